--- a/crates/control-plane/src/snapshot.rs
+++ b/crates/control-plane/src/snapshot.rs
@@ -96,6 +96,9 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- /dev/null
+++ b/crates/control-plane/tests/golden/process.rs
@@ -0,0 +1,78 @@
+//! A control process that starts on the file of an earlier build.
+
+use std::net::{Ipv4Addr, SocketAddr};
+use std::path::Path;
+use std::time::Duration;
+
+use control_plane::configuration::Command;
+use control_plane::operator::{Bytes, Operator, Order, StatusCode};
+use messages::settings::Settings;
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::{LocalSet, spawn_local};
+
+use crate::commands::{amend, replace};
+use crate::store::copy;
+
+/// An address of this machine that no other test process has.
+fn own_address() -> Ipv4Addr {
+    let id = std::process::id();
+    Ipv4Addr::new(127, 64 + (id >> 16) as u8 % 64, (id >> 8) as u8, id as u8)
+}
+
+fn settings(folder: &Path) -> Settings {
+    let (ip, folder) = (own_address(), folder.display());
+    let text = format!(
+        r#"{{"node": "n", "ip": "{ip}", "zone": "a", "region": "r", "zone_map": {{"a": "r"}},
+            "seeds": ["{ip}:7080"], "listen": {{"ctl": "{ip}:7080"}},
+            "port_range": [7070, 7079], "data_dir": "{folder}"}}"#
+    );
+    Settings::parse(Path::new("boot.json"), text.as_bytes()).expect("good")
+}
+
+async fn configuration(operator: &Operator) -> serde_json::Value {
+    let answer = operator.call(&Order::get("/-/Config.Read")).await.expect("an answer");
+    assert_eq!(answer.status(), StatusCode::OK);
+    serde_json::from_slice(answer.body()).expect("JSON")
+}
+
+async fn send(operator: &Operator, command: &Command) -> StatusCode {
+    let (path, base, body) = match command {
+        Command::Replace { base, body } => ("/-/Config.Replace", base, body),
+        Command::Amend { base, body } => ("/-/Config.Amend", base, body),
+        other => panic!("not a change of the configuration: {other:?}"),
+    };
+    let order = Order::post(path, Some(*base), Bytes::from(body.clone()));
+    operator.call(&order).await.expect("an answer").status()
+}
+
+async fn orders_sent_again(operator: &Operator) {
+    let before = configuration(operator).await;
+    assert_eq!(before["rev"], 9);
+    assert_eq!(before["routes"][0]["name"], "r");
+    // Of the snapshot, and of the entries after it.
+    for taken in [replace(0, 5), amend(5, 7), replace(7, 9)] {
+        assert_eq!(send(operator, &taken).await, StatusCode::OK, "{taken:?}");
+        assert_eq!(configuration(operator).await, before, "no second version");
+    }
+    // The same content on the current version is not the stored order, and its number is taken.
+    assert_ne!(send(operator, &replace(9, 9)).await, StatusCode::OK);
+    assert_eq!(configuration(operator).await, before);
+}
+
+#[test]
+fn a_process_on_a_stored_file_knows_the_orders_that_were_taken() {
+    let folder = copy("process");
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+        let (_reloads, reloads) = mpsc::unbounded_channel();
+        let (stop, stopped) = oneshot::channel::<()>();
+        let process = spawn_local(control_plane::run::run(settings(&folder.0), reloads, async {
+            let _ = stopped.await;
+        }));
+        let at = vec![SocketAddr::from((own_address(), 7080))];
+        let operator = Operator { at, patience: Duration::from_secs(20) };
+        orders_sent_again(&operator).await;
+        stop.send(()).expect("it runs");
+        assert_eq!(process.await.expect("no panic"), Ok(()));
+    });
+}
--- /dev/null
+++ b/crates/control-plane/tests/golden/store.rs
@@ -0,0 +1,146 @@
+//! The file of a one-member system, `control.redb`. Two writes of it differ in bytes, so that the fixture is only
+//! read, and its records are compared.
+
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+
+use agreement::{Entry, Members, NodeId, Payload, Save, Snapshot};
+use control_plane::configuration::{Agreed, Command, Verdict};
+use control_plane::evacuations::Step;
+use control_plane::store::{Order, Store};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+use serde::Serialize;
+
+use crate::commands::{amend, evacuation, replace};
+use crate::fixture;
+
+const ID: NodeId = 0x1122_3344_5566_7788;
+const TERM: u64 = 3;
+const FILE: &str = "control.redb";
+
+const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
+const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
+
+fn founders() -> Members {
+    let voters = BTreeMap::from([(ID, "127.77.0.1:7070".into())]);
+    Members { voters, ..Members::default() }
+}
+
+fn entry(term: u64, index: u64, command: &Command) -> Entry {
+    Entry { term, index, payload: Payload::Data(fixture::encode(command)) }
+}
+
+/// Covers an empty entry and the first configuration.
+fn snapshot() -> Snapshot {
+    let mut agreed = Agreed::default();
+    assert_eq!(agreed.apply(2, &replace(0, 5)), Verdict::Taken);
+    let data = control_plane::snapshot::written(&agreed).expect("encoded");
+    Snapshot { index: 2, term: 2, members: founders(), data }
+}
+
+fn entries() -> Vec<Entry> {
+    vec![
+        Entry { term: TERM, index: 3, payload: Payload::Empty },
+        entry(TERM, 4, &amend(5, 7)),
+        entry(TERM, 5, &evacuation(Step::Begin)),
+        Entry { term: TERM, index: 6, payload: Payload::Members(founders()) },
+        entry(TERM, 7, &replace(7, 9)),
+    ]
+}
+
+/// A folder of a test, which is removed when it ends.
+pub struct Folder(pub PathBuf);
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+fn empty_folder(name: &str) -> Folder {
+    let name = format!("shorefront-golden-{name}-{}", std::process::id());
+    let folder = std::env::temp_dir().join(name);
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).expect("a folder");
+    Folder(folder)
+}
+
+/// A folder with a copy of the stored file.
+pub fn copy(name: &str) -> Folder {
+    let folder = empty_folder(name);
+    std::fs::copy(fixture::path(FILE), folder.0.join(FILE)).expect("copied");
+    folder
+}
+
+fn write(folder: &Path) {
+    let (store, _) = Store::start(folder).expect("a new file");
+    store.found(ID, &founders()).expect("written");
+    let (disk, mut saved) = store.serve().expect("a thread");
+    let save = |seq, term, entries| {
+        Order::Save(Save { seq, term, vote: Some(ID), entries, snapshot: None })
+    };
+    let empty = Entry { term: 2, index: 1, payload: Payload::Empty };
+    disk.send(save(1, 2, vec![empty, entry(2, 2, &replace(0, 5))])).expect("sent");
+    disk.send(Order::Compact(snapshot())).expect("sent");
+    disk.send(save(2, TERM, entries())).expect("sent");
+    while saved.blocking_recv().expect("saved") < 2 {}
+    drop(disk);
+    // The channel ends once the thread has closed the file.
+    assert_eq!(saved.blocking_recv(), None);
+}
+
+#[test]
+#[ignore = "writes the fixture anew: for a run with SHOREFRONT_WRITE_FIXTURES=1"]
+fn write_the_stored_file() {
+    assert!(fixture::is_write_run(), "SHOREFRONT_WRITE_FIXTURES=1 is not set");
+    let folder = empty_folder("write");
+    write(&folder.0);
+    // The thread drops the file after its channel.
+    while Store::start(&folder.0).is_err() {
+        std::thread::sleep(std::time::Duration::from_millis(10));
+    }
+    std::fs::copy(folder.0.join(FILE), fixture::path(FILE)).expect("copied");
+}
+
+#[test]
+fn a_stored_file_is_read_at_a_start() {
+    let folder = copy("start");
+    let (_store, stored) = Store::start(&folder.0).expect("readable");
+    let (id, stored) = stored.expect("not a new file");
+    assert_eq!(id, ID);
+    assert_eq!((stored.term, stored.vote), (TERM, Some(ID)));
+    assert_eq!(stored.snapshot, Some(snapshot()));
+    assert_eq!(stored.entries, entries());
+}
+
+/// A record: a checksum, and the value.
+fn record<T: Serialize>(value: &T) -> Vec<u8> {
+    let value = fixture::encode(value);
+    [crc32fast::hash(&value).to_le_bytes().as_slice(), &value].concat()
+}
+
+#[test]
+fn each_record_of_a_stored_file_keeps_its_bytes() {
+    let folder = copy("records");
+    let file = Database::open(folder.0.join(FILE)).expect("opened");
+    let reading = file.begin_read().expect("readable");
+    let meta = reading.open_table(META).expect("a table");
+    let rows = meta.iter().expect("rows").map(|row| {
+        let (name, value) = row.expect("a row");
+        (name.value().to_string(), value.value().to_vec())
+    });
+    let expected = BTreeMap::from([
+        ("format".to_string(), record(&2u64)),
+        ("id".to_string(), record(&ID)),
+        ("snapshot".to_string(), record(&snapshot())),
+        ("vote".to_string(), record(&(TERM, Some(ID)))),
+    ]);
+    assert_eq!(rows.collect::<BTreeMap<_, _>>(), expected);
+    let table = reading.open_table(ENTRIES).expect("a table");
+    let rows = table.iter().expect("rows").map(|row| {
+        let (index, value) = row.expect("a row");
+        (index.value(), value.value().to_vec())
+    });
+    let expected: Vec<_> = entries().iter().map(|e| (e.index, record(e))).collect();
+    assert_eq!(rows.collect::<Vec<_>>(), expected);
+}
