--- a/crates/control-plane/tests/golden/fixture.rs
+++ b/crates/control-plane/tests/golden/fixture.rs
@@ -1,5 +1,5 @@
-//! Fixture files: bytes that an earlier build wrote, which this build reads and writes alike. They are written only
-//! where `SHOREFRONT_WRITE_FIXTURES=1` is set.
+//! Fixture files: bytes that an earlier build wrote, which this build reads and writes alike. A run with
+//! `SHOREFRONT_WRITE_FIXTURES=1` writes the files that are missing, for new variants; it never overwrites one.
 #![allow(dead_code, reason = "no test program uses all of it")]
 
 use std::fmt::Debug;
@@ -12,14 +12,14 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-pub fn is_write_run() -> bool {
+fn is_write_run() -> bool {
     std::env::var("SHOREFRONT_WRITE_FIXTURES").is_ok_and(|value| value == "1")
 }
 
-/// The bytes of a fixture; in a write run, `sample` becomes the fixture first.
+/// The bytes of a fixture; in a write run, `sample` becomes the fixture where there is none yet.
 pub fn bytes(name: &str, sample: &[u8]) -> Vec<u8> {
     let path = path(name);
-    if is_write_run() {
+    if is_write_run() && !path.exists() {
         std::fs::write(&path, sample).unwrap_or_else(|e| panic!("{name}: {e}"));
     }
     std::fs::read(&path).unwrap_or_else(|e| panic!("fixture {name}: {e}"))
--- a/crates/control-plane/tests/golden/store.rs
+++ b/crates/control-plane/tests/golden/store.rs
@@ -1,13 +1,14 @@
-//! The file of a one-member system, `control.redb`. Two writes of it differ in bytes, so that the fixture is only
-//! read, and its records are compared.
+//! The file of a one-member system, `control.redb`, as an earlier build wrote it: identity, a first configuration in
+//! the snapshot, and the entries below after it. Two writes of the file differ in bytes, so it is only read, and its
+//! records are compared.
 
 use std::collections::BTreeMap;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
-use agreement::{Entry, Members, NodeId, Payload, Save, Snapshot};
+use agreement::{Entry, Members, NodeId, Payload, Snapshot};
 use control_plane::configuration::{Agreed, Command, Verdict};
 use control_plane::evacuations::Step;
-use control_plane::store::{Order, Store};
+use control_plane::store::Store;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::Serialize;
 
@@ -72,36 +73,6 @@
     folder
 }
 
-fn write(folder: &Path) {
-    let (store, _) = Store::start(folder).expect("a new file");
-    store.found(ID, &founders()).expect("written");
-    let (disk, mut saved) = store.serve().expect("a thread");
-    let save = |seq, term, entries| {
-        Order::Save(Save { seq, term, vote: Some(ID), entries, snapshot: None })
-    };
-    let empty = Entry { term: 2, index: 1, payload: Payload::Empty };
-    disk.send(save(1, 2, vec![empty, entry(2, 2, &replace(0, 5))])).expect("sent");
-    disk.send(Order::Compact(snapshot())).expect("sent");
-    disk.send(save(2, TERM, entries())).expect("sent");
-    while saved.blocking_recv().expect("saved") < 2 {}
-    drop(disk);
-    // The channel ends once the thread has closed the file.
-    assert_eq!(saved.blocking_recv(), None);
-}
-
-#[test]
-#[ignore = "writes the fixture anew: for a run with SHOREFRONT_WRITE_FIXTURES=1"]
-fn write_the_stored_file() {
-    assert!(fixture::is_write_run(), "SHOREFRONT_WRITE_FIXTURES=1 is not set");
-    let folder = empty_folder("write");
-    write(&folder.0);
-    // The thread drops the file after its channel.
-    while Store::start(&folder.0).is_err() {
-        std::thread::sleep(std::time::Duration::from_millis(10));
-    }
-    std::fs::copy(folder.0.join(FILE), fixture::path(FILE)).expect("copied");
-}
-
 #[test]
 fn a_stored_file_is_read_at_a_start() {
     let folder = copy("start");
