--- /dev/null
+++ b/crates/shorefront/tests/outside_view.rs
@@ -0,0 +1,321 @@
+//! What operators and other programs see of shorefront, kept as text files: command-line help, exit statuses with
+//! their error texts, `shorefront status`, and the names in `/-/metrics` and `/-/Status`. They stay as they are from
+//! build to build.
+//!
+//! `SHOREFRONT_WRITE_FIXTURES=1 cargo test -p shorefront --test outside_view` writes the files anew. Without the
+//! variable a missing file is a failure.
+
+mod common;
+
+use std::collections::BTreeSet;
+use std::fmt::Write as _;
+use std::io::Write as _;
+use std::net::{SocketAddr, TcpListener};
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::thread;
+use std::time::Duration;
+
+use common::{PROGRAM, Process, connect, folder, free_port, get, post, stand_in, start, wait};
+use serde_json::{Value, json};
+
+/// Set to `1`, it has the files written instead of compared.
+const WRITE: &str = "SHOREFRONT_WRITE_FIXTURES";
+
+/// Compares a text with the one in its file.
+fn assert_golden(name: &str, text: &str) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    if std::env::var(WRITE).is_ok_and(|value| value == "1") {
+        std::fs::write(&path, text).expect("written");
+    }
+    let golden = std::fs::read_to_string(&path);
+    let golden = golden.unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    assert_eq!(text, golden, "{name}");
+}
+
+/// Runs the program in a folder: its exit status, and what it wrote to both outputs.
+fn run(folder: &Path, arguments: &[&str], settings: Option<&str>) -> (Option<i32>, String) {
+    let mut command = Command::new(PROGRAM);
+    command.current_dir(folder).args(arguments);
+    command.env_remove("SHOREFRONT_SETTINGS").env_remove("SHOREFRONT_LOG");
+    if let Some(file) = settings {
+        command.env("SHOREFRONT_SETTINGS", file);
+    }
+    let output = command.output().expect("run");
+    let written = [output.stdout, output.stderr].concat();
+    (output.status.code(), String::from_utf8_lossy(&written).into_owned())
+}
+
+fn usable_settings() -> Value {
+    json!({"node": "edge-1", "ip": "127.0.0.1", "zone": "a", "region": "r", "zone_map": {"a": "r"},
+        "listen": {}, "port_range": [7000, 7010]})
+}
+
+fn settings_with(field: &str, value: Value) -> String {
+    let mut settings = usable_settings();
+    settings[field] = value;
+    settings.to_string()
+}
+
+#[test]
+fn command_line_help_is_unchanged() {
+    let commands: [&[&str]; 14] = [
+        &[],
+        &["data-plane"],
+        &["control"],
+        &["check"],
+        &["config"],
+        &["config", "get"],
+        &["config", "replace"],
+        &["config", "amend"],
+        &["config", "check"],
+        &["config", "diff"],
+        &["drain"],
+        &["drain", "begin"],
+        &["drain", "finish"],
+        &["status"],
+    ];
+    let mut text = String::new();
+    for command in commands {
+        let (status, help) = run(Path::new("/"), &[command, &["--help"]].concat(), None);
+        assert_eq!(status, Some(0), "{help}");
+        let _ = writeln!(text, "{}:\n{help}", [&["shorefront"], command].concat().join(" "));
+    }
+    assert_golden("help.txt", &text);
+}
+
+#[test]
+fn unusable_settings_end_with_78_and_name_file_and_field() {
+    let folder = folder("outside-settings");
+    let file = folder.join("boot.json");
+    let mut without_ip = usable_settings();
+    without_ip.as_object_mut().expect("an object").remove("ip");
+    let cases = [
+        ("a field is missing", without_ip.to_string()),
+        ("a field of the wrong type", settings_with("node", json!(7))),
+        ("a nested field of the wrong type", settings_with("bounds", json!({"drain_ms": "x"}))),
+        ("an address that is none", settings_with("listen", json!({"http": "nowhere"}))),
+        ("ports in the wrong order", settings_with("port_range", json!([7010, 7000]))),
+        ("its own zone is unknown", settings_with("zone_map", json!({"b": "r"}))),
+        ("no heartbeat", settings_with("heartbeat_ms", json!(0))),
+        ("not JSON", "{\"node\"".to_string()),
+    ];
+    let mut text = String::new();
+    for (case, settings) in &cases {
+        std::fs::write(&file, settings).expect("written");
+        let (status, error) = run(&folder, &["check", "boot.json"], None);
+        let _ = writeln!(text, "{case}: {status:?}\n{error}");
+        assert_eq!(status, Some(78), "{case}: {error}");
+        for role in ["data-plane", "control"] {
+            let ended = run(&folder, &[role], Some("boot.json"));
+            assert_eq!(ended, (status, error.clone()), "{case}: {role}");
+        }
+    }
+    let (status, error) = run(&folder, &["check", "missing.json"], None);
+    let _ = writeln!(text, "no file: {status:?}\n{error}");
+    let (status, error) = run(&folder, &["data-plane"], None);
+    let _ = writeln!(text, "no file is named: {status:?}\n{error}");
+    assert_golden("unusable-settings.txt", &text);
+    let _ = std::fs::remove_dir_all(&folder);
+}
+
+#[test]
+fn exit_statuses_tell_success_failure_and_misuse() {
+    let folder = folder("outside-statuses");
+    std::fs::write(folder.join("good.json"), usable_settings().to_string()).expect("written");
+    let good = (Some(0), "edge-1: good\n".to_string());
+    assert_eq!(run(&folder, &["check", "good.json"], None), good);
+    assert_eq!(run(&folder, &["check"], Some("good.json")), good);
+
+    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let taken = taken.local_addr().map(|address| (address, taken)).expect("an address");
+    let ports = json!([taken.0.port(), taken.0.port()]);
+    let mut settings = usable_settings();
+    settings["port_range"] = ports;
+    settings["listen"] = json!({"http": taken.0, "readiness": taken.0, "ctl": taken.0});
+    settings["data_dir"] = json!(folder.join("data"));
+    std::fs::write(folder.join("taken.json"), settings.to_string()).expect("written");
+    for role in ["data-plane", "control"] {
+        let (status, error) = run(&folder, &[role], Some("taken.json"));
+        assert_eq!(status, Some(1), "{role}: {error}");
+        assert!(error.contains("shorefront: "), "{role}: {error}");
+    }
+
+    let (status, error) = run(&folder, &["config", "check", "missing.json"], None);
+    assert_eq!(status, Some(1), "{error}");
+    assert_eq!(run(&folder, &["no-such-command"], None).0, Some(2));
+    let nobody = ["status", "--patience", "0.1", "--at", &format!("127.0.0.1:{}", free_port())];
+    assert_eq!(run(&folder, &nobody, None).0, Some(4));
+    let _ = std::fs::remove_dir_all(&folder);
+}
+
+fn leader_status() -> Value {
+    let member = |address: &str, voter: bool, in_contact: bool| {
+        json!({"address": address, "id": "00000000000000ab", "voter": voter, "in_contact": in_contact,
+            "silence_ms": 120, "behind": 3})
+    };
+    let balancer = |node: &str, ready: bool, leaving: bool| json!({"node": node, "zone": "zone-a", "http": "10.0.1.1:80", "ready": ready, "leaving": leaving});
+    json!({"node": "control-1", "id": "00000000000000ab", "role": "leader", "term": 4,
+        "leader": "10.0.0.1:7000", "in_contact": true, "contact_age_ms": 10, "commit": 250, "last": 251,
+        "voters": ["10.0.0.1:7000", "10.0.0.2:7000"], "learners": ["10.0.0.3:7000"],
+        "members": [member("10.0.0.1:7000", true, true), member("10.0.0.3:7000", false, false)],
+        "losses_borne": 1, "rev": 41,
+        "balancers": [balancer("edge-1", true, false), balancer("edge-2", false, false),
+            balancer("edge-3", true, true)],
+        "evacuated": {"zone-b": 2},
+        "keys": {"one": {"slices": 5, "leaving": 1, "held": {"i-1": 3, "i-2": 1}}}})
+}
+
+fn follower_status() -> Value {
+    json!({"node": "control-2", "id": "00000000000000cd", "role": "follower", "term": 4, "leader": null,
+        "in_contact": false, "contact_age_ms": null, "commit": 200, "last": 200,
+        "voters": ["10.0.0.1:7000", "10.0.0.2:7000"], "learners": [], "members": null,
+        "losses_borne": null, "rev": 40, "balancers": [], "evacuated": {}, "keys": {}})
+}
+
+#[test]
+fn status_shows_fixed_answers_unchanged() {
+    let serve = |status: Value| stand_in(move |_, _| status.to_string()).to_string();
+    let (leader, follower) = (serve(leader_status()), serve(follower_status()));
+    let cases: [(&str, Vec<&str>); 4] = [
+        ("a leader", vec!["--at", &leader]),
+        ("a leader and a follower", vec!["--at", &follower, "--at", &leader]),
+        ("a follower without a leader", vec!["--at", &follower]),
+        ("as JSON", vec!["--at", &leader, "--output", "json"]),
+    ];
+    let mut text = String::new();
+    for (case, arguments) in cases {
+        let (status, shown) = run(Path::new("/"), &[&["status"], &arguments[..]].concat(), None);
+        assert_eq!(status, Some(0), "{shown}");
+        let _ = writeln!(text, "{case}:\n{shown}");
+    }
+    assert_golden("status.txt", &text);
+}
+
+/// A control balancer and a data-plane balancer on loopback, with stand-ins for the platform and one upstream.
+struct System {
+    folder: PathBuf,
+    ctl: SocketAddr,
+    http: SocketAddr,
+    readiness: SocketAddr,
+    _processes: [Process; 2],
+}
+
+impl System {
+    fn start(name: &str) -> Self {
+        let folder = folder(name);
+        let upstream = stand_in(|first, _| {
+            if first.contains("/slow") {
+                thread::sleep(Duration::from_millis(300));
+            }
+            "answered".into()
+        });
+        let instance = json!({"id": "i-1", "svc": "one", "addr": upstream, "zone": "a", "slots": 8,
+            "state": "ready", "warm_left_ms": 0});
+        let list = json!({"instances": [instance], "next_token": null}).to_string();
+        let platform = stand_in(move |_, _| list.clone());
+        let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
+        let (ctl, http, readiness) = (at(free_port()), at(free_port()), at(free_port()));
+        let inner = free_port();
+        let settings = |listen: Value| {
+            json!({"node": "edge-1", "ip": "127.0.0.1", "zone": "a", "region": "r",
+                "zone_map": {"a": "r"}, "listen": listen, "port_range": [inner, inner], "seeds": [ctl],
+                "bootstrap": true, "data_dir": folder.join("data"), "cloud_api": {"addr": platform}})
+        };
+        let control = start(&folder, "control", &settings(json!({"ctl": ctl})));
+        let listen = json!({"http": http, "readiness": readiness});
+        let data_plane = start(&folder, "data-plane", &settings(listen));
+        let system = Self { folder, ctl, http, readiness, _processes: [control, data_plane] };
+        system.configure();
+        system
+    }
+
+    fn configure(&self) {
+        let route = |name: &str, kind: &str| {
+            json!({"name": name, "host": "h", "path_prefix": format!("/{name}/"), "type": kind,
+                "deadline_ms": 5000, "target_ms": 1000, "svc": "one", "tries": 2})
+        };
+        let config = json!({"rev": 5, "services": [{"name": "one"}],
+            "routes": [route("repeated", "idempotent"), route("once", "mutating")]});
+        let taken = || post(self.ctl, "/-/Config.Replace", 0, &config).filter(|a| a.0 == 200);
+        wait("the configuration", taken);
+        wait("readiness", || get(self.readiness, "r", "/-/ready").filter(|a| a.0 == 200));
+    }
+
+    /// Sends a request whose client leaves before its answer.
+    fn abandon(&self, path: &str) {
+        let head = "Host: h\r\nAttempt-Id: 7\r\nDeadline-Ms: 4000\r\n\r\n";
+        let mut client = connect(self.http).expect("reachable");
+        client.write_all(format!("GET {path} HTTP/1.1\r\n{head}").as_bytes()).expect("sent");
+        thread::sleep(Duration::from_millis(100));
+    }
+}
+
+impl Drop for System {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+/// Names, types, units and labels of metrics, sorted, without their values and the ports of this run.
+fn metric_names(text: &str) -> String {
+    let lines = text.lines().filter(|l| !l.starts_with("# HELP") && *l != "# EOF");
+    let names = lines.map(|line| match line.strip_prefix("# ") {
+        Some(_) => line.to_string(),
+        None => without_port(line.rsplit_once(' ').map_or(line, |(name, _)| name)),
+    });
+    names.collect::<BTreeSet<_>>().into_iter().map(|name| name + "\n").collect()
+}
+
+fn without_port(name: &str) -> String {
+    match name.split_once("member=\"127.0.0.1:") {
+        Some((before, port)) => {
+            let after = port.trim_start_matches(|c: char| c.is_ascii_digit());
+            format!("{before}member=\"127.0.0.1:PORT{after}")
+        }
+        None => name.to_string(),
+    }
+}
+
+/// The paths of all fields of a JSON document, sorted; those of a list's items once.
+fn field_names(value: &Value, path: &str, names: &mut BTreeSet<String>) {
+    match value {
+        Value::Object(fields) => {
+            for (name, value) in fields {
+                field_names(value, &format!("{path}.{name}"), names);
+            }
+        }
+        Value::Array(items) => {
+            items.iter().for_each(|item| field_names(item, &format!("{path}[]"), names));
+        }
+        _ => {}
+    }
+    names.insert(path.to_string());
+}
+
+#[test]
+fn names_of_metrics_and_of_status_fields_are_unchanged() {
+    let system = System::start("outside-names");
+    assert_eq!(get(system.http, "h", "/once/x").map(|a| a.0), Some(200));
+    let metrics = |at: SocketAddr| get(at, "r", "/-/metrics").map(|answer| answer.1);
+    // Both ways in which an attempt ends whose client has left.
+    let ends = [r#"seconds_count{end="Cancelled"}"#, r#"seconds_count{end="Finished"}"#];
+    let data_plane = wait("abandoned attempts", || {
+        system.abandon("/repeated/slow");
+        system.abandon("/once/slow");
+        let counted = metrics(system.readiness)?;
+        ends.iter().all(|end| counted.contains(end)).then_some(counted)
+    });
+    assert_golden("data-plane-metrics.txt", &metric_names(&data_plane));
+
+    let control = metrics(system.ctl).expect("metrics");
+    assert_golden("control-plane-metrics.txt", &metric_names(&control));
+
+    let (_, status) = wait("status", || get(system.ctl, "c", "/-/Status").filter(|a| a.0 == 200));
+    let status: Value = serde_json::from_str(&status).expect("JSON");
+    assert_eq!(status["role"], "leader");
+    let mut names = BTreeSet::new();
+    field_names(&status, "", &mut names);
+    let names: String = names.into_iter().map(|name| name + "\n").collect();
+    assert_golden("status-fields.txt", &names);
+}
