--- a/crates/control-plane/src/cell.rs
+++ b/crates/control-plane/src/cell.rs
@@ -20,12 +20,12 @@
 use std::sync::mpsc as disk;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use agreement::{Core, Members, NodeId, Timing};
 use data_plane::changes::{Changes, Watcher};
-use messages::compact::CompactConfig;
-use messages::settings::Settings;
-use messages::wire::{Control, Session, Tell};
-use messages::zones::ZoneList;
+use protocol::compact::CompactConfig;
+use protocol::settings::Settings;
+use protocol::wire::{Control, Session, Tell};
+use protocol::zones::ZoneList;
+use raft::{Core, Members, NodeId, Timing};
 use rustc_hash::FxHashMap;
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::Instant;
@@ -164,7 +164,7 @@
     pub fn new(
         settings: Settings,
         id: NodeId,
-        stored: agreement::Stored,
+        stored: raft::Stored,
         channels: Channels,
         environment: Environment,
     ) -> Rc<Self> {
--- a/crates/control-plane/src/cell/contact.rs
+++ b/crates/control-plane/src/cell/contact.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use agreement::Role;
-use messages::wire::Tell;
+use protocol::wire::Tell;
+use raft::Role;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout};
 
--- a/crates/control-plane/src/cell/keys.rs
+++ b/crates/control-plane/src/cell/keys.rs
@@ -1,6 +1,6 @@
 //! Who holds which keys, as agreed on, and how much work there is for them.
 
-use messages::keys::{Change, Counts, Slices};
+use protocol::keys::{Change, Counts, Slices};
 
 use super::Cell;
 use crate::configuration::Command;
--- a/crates/control-plane/src/cell/log.rs
+++ b/crates/control-plane/src/cell/log.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use agreement::{Core, Output, Payload};
-use messages::wire::Tell;
+use protocol::wire::Tell;
+use raft::{Core, Output, Payload};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 
--- a/crates/control-plane/src/cell/membership.rs
+++ b/crates/control-plane/src/cell/membership.rs
@@ -3,9 +3,9 @@
 
 use std::time::Duration;
 
-use agreement::{Members, MembershipPolicy, MembershipReport};
-use messages::settings::Settings;
-use messages::wire::Tell;
+use protocol::settings::Settings;
+use protocol::wire::Tell;
+use raft::{Members, MembershipPolicy, MembershipReport};
 use tokio::time::{Instant, sleep};
 
 use super::{Cell, TIMING};
@@ -16,7 +16,7 @@
 /// What is known here of the log and its members.
 pub struct LogStatus {
     /// What the member knows of itself.
-    pub own: agreement::Status,
+    pub own: raft::Status,
     /// The members as of its last entry.
     pub members: Members,
     /// How they stand; only the leader knows.
--- a/crates/control-plane/src/cell/peers.rs
+++ b/crates/control-plane/src/cell/peers.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use agreement::NodeId;
-use messages::wire::{Control, Session, Tell};
+use protocol::wire::{Control, Session, Tell};
+use raft::NodeId;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
--- a/crates/control-plane/src/cell/sessions.rs
+++ b/crates/control-plane/src/cell/sessions.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use messages::compact::CompactConfig;
-use messages::keys::Slices;
-use messages::wire::{self, Ask, Bank, News, Session};
+use protocol::compact::CompactConfig;
+use protocol::keys::Slices;
+use protocol::wire::{self, Ask, Bank, News, Session};
 
 use super::{Cell, Inner};
 
--- a/crates/control-plane/src/cell/zones.rs
+++ b/crates/control-plane/src/cell/zones.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use messages::wire::{Control, Tell};
-use messages::zones::{Taken, Upstream, ZoneList};
+use protocol::wire::{Control, Tell};
+use protocol::zones::{Taken, Upstream, ZoneList};
 
 use super::Cell;
 
@@ -51,7 +51,7 @@
     }
 
     /// Another control balancer tells a zone.
-    pub(super) fn zone(&self, from: SocketAddr, zone: &str, told: &messages::zones::Told) {
+    pub(super) fn zone(&self, from: SocketAddr, zone: &str, told: &protocol::zones::Told) {
         let (now, unix) = self.clock();
         let taken = {
             let mut inner = self.inner.borrow_mut();
--- a/crates/control-plane/src/configuration.rs
+++ b/crates/control-plane/src/configuration.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use messages::config::Config;
-use messages::keys::{Change, Slices};
+use protocol::config::Config;
+use protocol::keys::{Change, Slices};
 use serde::de::Visitor;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use serde_json::{Map, Value};
@@ -582,7 +582,7 @@
 
     #[test]
     fn of_two_leaders_that_place_the_same_keys_one_is_heard() {
-        use messages::keys::{Holder, Owned};
+        use protocol::keys::{Holder, Owned};
         let mut agreed = first();
         let place = |was: u64, id: &str| {
             let addr = std::net::SocketAddr::from(([10, 0, 0, 1], 80));
--- a/crates/control-plane/src/interface.rs
+++ b/crates/control-plane/src/interface.rs
@@ -6,17 +6,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use agreement::MemberReport;
 use bytes::Bytes;
 use data_plane::front::{Gate, Receipt, Receipts};
 use data_plane::heads::{Answer, bare};
-use decisions::interface::Span;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderName, HeaderValue, LOCATION};
 use hyper::{Method, Request, Response, StatusCode};
-use messages::keys::{Owned, Slices};
-use messages::wire::{LONGEST, Session};
+use load_balancing::interface::Span;
+use protocol::keys::{Owned, Slices};
+use protocol::wire::{LONGEST, Session};
+use raft::MemberReport;
 use serde_json::json;
 use tokio::time::{Instant, timeout, timeout_at};
 
@@ -313,7 +313,7 @@
 
 #[cfg(test)]
 mod tests {
-    use messages::wire::Balancer;
+    use protocol::wire::Balancer;
 
     use super::*;
 
--- a/crates/control-plane/src/metrics.rs
+++ b/crates/control-plane/src/metrics.rs
@@ -1,9 +1,9 @@
 //! How things stand at a control balancer, for whoever watches it: written out when asked for.
 
-use agreement::{MembershipReport, Role};
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
+use raft::{MembershipReport, Role};
 
 use crate::cell::{Cell, LogStatus};
 
--- a/crates/control-plane/src/outbound.rs
+++ b/crates/control-plane/src/outbound.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::time::Duration;
 
-use messages::wire::{self, Tell};
+use protocol::wire::{self, Tell};
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
--- a/crates/control-plane/src/owners.rs
+++ b/crates/control-plane/src/owners.rs
@@ -105,7 +105,7 @@
             .iter()
             .filter(|(u, _)| u.svc == *service)
             .map(|(u, evacuated)| Listed {
-                holder: messages::keys::Holder { id: u.id.clone(), addr: u.addr },
+                holder: protocol::keys::Holder { id: u.id.clone(), addr: u.addr },
                 slots: u.slots,
                 leaves: u.draining || *evacuated,
                 takes: !u.draining && !evacuated && u.warm_left_ms == 0,
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -7,7 +7,7 @@
 
 use data_plane::upstreams::AbortOnDrop;
 use data_plane::watch::{BEAT, SILENCE, dial};
-use messages::wire::{self, Ask, Hello, News, PROTOCOL, Session, Tell, Word};
+use protocol::wire::{self, Ask, Hello, News, PROTOCOL, Session, Tell, Word};
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, BufReader, BufWriter};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/control-plane/src/platform.rs
+++ b/crates/control-plane/src/platform.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use data_plane::fetch::{Client, FetchError};
-use messages::zones::Upstream;
+use protocol::zones::Upstream;
 use serde::Deserialize;
 use tokio::time::{Instant, sleep, sleep_until};
 
--- a/crates/control-plane/src/run.rs
+++ b/crates/control-plane/src/run.rs
@@ -7,11 +7,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use agreement::{Members, NodeId, Stored};
 use data_plane::connections::Times;
 use data_plane::front::{Bounds, Front, Gate, LAST_WORD};
-use decisions::settings::stable_hash;
-use messages::settings::Settings;
+use load_balancing::settings::stable_hash;
+use protocol::settings::Settings;
+use raft::{Members, NodeId, Stored};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
--- a/crates/control-plane/src/snapshot.rs
+++ b/crates/control-plane/src/snapshot.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use messages::keys::Slices;
+use protocol::keys::Slices;
 use serde::{Deserialize, Serialize};
 
 use crate::configuration::{Agreed, OrderDigest};
--- a/crates/control-plane/src/snapshot/golden_tests.rs
+++ b/crates/control-plane/src/snapshot/golden_tests.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use messages::keys::{Change, Holder, Owned};
+use protocol::keys::{Change, Holder, Owned};
 
 use super::*;
 use crate::evacuations::Attempt;
--- a/crates/control-plane/src/store.rs
+++ b/crates/control-plane/src/store.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-use agreement::{Entry, Members, NodeId, Save, Snapshot, Stored};
+use raft::{Entry, Members, NodeId, Save, Snapshot, Stored};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/control-plane/src/store/tests.rs
+++ b/crates/control-plane/src/store/tests.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-use agreement::Payload;
+use raft::Payload;
 use redb::StorageBackend;
 
 use super::*;
--- a/crates/control-plane/tests/common/balancers.rs
+++ b/crates/control-plane/tests/common/balancers.rs
@@ -10,8 +10,8 @@
 use data_plane::changes::{Changes, Watcher};
 use data_plane::upstreams::AbortOnDrop;
 use data_plane::watch::{CONNECT, Follower, Network, Watch};
-use messages::keys::Counts;
-use messages::wire::{Ask, Balancer, Bank, News};
+use protocol::keys::Counts;
+use protocol::wire::{Ask, Balancer, Bank, News};
 use tokio::io::{DuplexStream, duplex};
 use tokio::time::{Instant, sleep};
 
@@ -121,7 +121,7 @@
     // Cells are taken in an order of each balancer's own, by its name.
     let at = |i: usize| settings(i).inner();
     let place =
-        |node: &str, i: usize| decisions::settings::stable_hash(&format!("{}{node}", at(i)));
+        |node: &str, i: usize| load_balancing::settings::stable_hash(&format!("{}{node}", at(i)));
     let chosen = |node: &String| {
         let mut order: Vec<usize> = (0..SIZE).collect();
         order.sort_by_key(|i| place(node, *i));
--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -12,14 +12,14 @@
 use std::sync::mpsc as disk;
 use std::time::Duration;
 
-use agreement::{Members, NodeId, Snapshot, Stored};
 use control_plane::cell::{Cell, Channels, DialRequest, Environment, Unclear};
 use control_plane::configuration::{Command, Verdict};
 use control_plane::store::Order;
 use data_plane::upstreams::AbortOnDrop;
 use freezer::Freezer;
-use messages::settings::Settings;
-use messages::wire::Tell;
+use protocol::settings::Settings;
+use protocol::wire::Tell;
+use raft::{Members, NodeId, Snapshot, Stored};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
--- a/crates/control-plane/tests/drains.rs
+++ b/crates/control-plane/tests/drains.rs
@@ -6,10 +6,10 @@
 use std::sync::mpsc as disk;
 use std::time::Duration;
 
-use agreement::{Members, Snapshot, Stored};
 use control_plane::cell::{Cell, Channels, Environment};
 use control_plane::store::Order;
-use messages::settings::Settings;
+use protocol::settings::Settings;
+use raft::{Members, Snapshot, Stored};
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
--- a/crates/control-plane/tests/golden/commands.rs
+++ b/crates/control-plane/tests/golden/commands.rs
@@ -2,7 +2,7 @@
 
 use control_plane::configuration::Command;
 use control_plane::evacuations::{Attempt, Step};
-use messages::keys::{Change, Holder, Owned};
+use protocol::keys::{Change, Holder, Owned};
 
 use crate::fixture::check;
 
--- a/crates/control-plane/tests/golden/log.rs
+++ b/crates/control-plane/tests/golden/log.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use agreement::{Entry, Members, Payload};
+use raft::{Entry, Members, Payload};
 
 use crate::fixture::{check, encode};
 
--- a/crates/control-plane/tests/golden/messages.rs
+++ b/crates/control-plane/tests/golden/messages.rs
@@ -1,7 +1,7 @@
 //! Messages of the log between control processes, as frames.
 
-use agreement::{Body, Content, LogPosition, Message, Piece, TransferId};
-use messages::wire::{Tell, frame, parse};
+use protocol::wire::{Tell, frame, parse};
+use raft::{Body, Content, LogPosition, Message, Piece, TransferId};
 
 use crate::{fixture, log};
 
--- a/crates/control-plane/tests/golden/process.rs
+++ b/crates/control-plane/tests/golden/process.rs
@@ -6,7 +6,7 @@
 
 use control_plane::configuration::Command;
 use control_plane::operator::{Bytes, Operator, Order, StatusCode};
-use messages::settings::Settings;
+use protocol::settings::Settings;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{LocalSet, spawn_local};
 
--- a/crates/control-plane/tests/golden/store.rs
+++ b/crates/control-plane/tests/golden/store.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use agreement::{Entry, Members, NodeId, Payload, Snapshot};
 use control_plane::configuration::{Agreed, Command, Verdict};
 use control_plane::evacuations::Step;
 use control_plane::store::Store;
+use raft::{Entry, Members, NodeId, Payload, Snapshot};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::Serialize;
 
--- a/crates/control-plane/tests/outbound.rs
+++ b/crates/control-plane/tests/outbound.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use agreement::{Body, Message};
 use control_plane::outbound::write_all;
-use messages::wire::{self, Tell};
+use protocol::wire::{self, Tell};
+use raft::{Body, Message};
 use tokio::io::{AsyncReadExt, BufReader, DuplexStream};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
--- a/crates/control-plane/tests/validity.rs
+++ b/crates/control-plane/tests/validity.rs
@@ -5,11 +5,11 @@
 use std::cell::Cell;
 
 use control_plane::configuration::{Agreed, Command, Verdict};
-use messages::compact::CompactConfig;
-use messages::config::Config;
 use proptest::prelude::*;
 use proptest::sample::select;
 use proptest::test_runner::{Config as Runs, RngAlgorithm, TestRng, TestRunner};
+use protocol::compact::CompactConfig;
+use protocol::config::Config;
 use serde_json::{Map, Value, json};
 
 const BASE: u64 = 5;
--- a/crates/data-plane/src/engine.rs
+++ b/crates/data-plane/src/engine.rs
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use decisions::interface as d;
-use decisions::interface::{Action, Event, ListKind, Outcome, RequestId, ServerId, Span};
-use decisions::policy::Balancer;
-use messages::keys::{RUN, Row};
+use load_balancing::interface as d;
+use load_balancing::interface::{Action, Event, ListKind, Outcome, RequestId, ServerId, Span};
+use load_balancing::policy::Balancer;
+use protocol::keys::{RUN, Row};
 use rustc_hash::FxHashMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
--- a/crates/data-plane/src/engine/abandoned.rs
+++ b/crates/data-plane/src/engine/abandoned.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use decisions::interface as d;
+use load_balancing::interface as d;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::histogram::Histogram;
--- a/crates/data-plane/src/engine/clock.rs
+++ b/crates/data-plane/src/engine/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use decisions::interface::Time;
+use load_balancing::interface::Time;
 use tokio::time::Instant;
 
 /// The module's clock: monotonic, and set once to Unix time so that the list's times need no further
--- a/crates/data-plane/src/engine/handle.rs
+++ b/crates/data-plane/src/engine/handle.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, SystemTime};
 
 use bytes::Bytes;
-use decisions::interface as d;
-use decisions::interface::{ListKind, RequestId, Span};
 use hyper::Response;
-use messages::keys::Row;
+use load_balancing::interface as d;
+use load_balancing::interface::{ListKind, RequestId, Span};
+use protocol::keys::Row;
 use rustc_hash::FxHashMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
--- a/crates/data-plane/src/engine/listed.rs
+++ b/crates/data-plane/src/engine/listed.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use decisions::interface::{self as d, ListKind, ServerId};
-use decisions::settings::stable_hash;
 use hyper::header::HeaderValue;
+use load_balancing::interface::{self as d, ListKind, ServerId};
+use load_balancing::settings::stable_hash;
 use rustc_hash::FxHashMap;
 use tokio::time::Instant;
 
--- a/crates/data-plane/src/engine/requests.rs
+++ b/crates/data-plane/src/engine/requests.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use decisions::interface::{Outcome, ServerId};
 use hyper::Response;
+use load_balancing::interface::{Outcome, ServerId};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
--- a/crates/data-plane/src/heads.rs
+++ b/crates/data-plane/src/heads.rs
@@ -1,13 +1,13 @@
 //! Heads of requests and answers: what may pass, what is added, what is said in short.
 
 use bytes::Bytes;
-use decisions::interface::Span;
 use http_body_util::Full;
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HOST, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER, TE,
     TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 use hyper::{Response, StatusCode};
+use load_balancing::interface::Span;
 
 /// A head may have so many lines, on either side.
 pub const HEAD_LINES: usize = 64;
--- a/crates/data-plane/src/node.rs
+++ b/crates/data-plane/src/node.rs
@@ -9,9 +9,9 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderName;
 use hyper::{Request, StatusCode};
-use messages::config::Limits;
-use messages::settings::Settings;
-use messages::wire::Balancer;
+use protocol::config::Limits;
+use protocol::settings::Settings;
+use protocol::wire::Balancer;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
@@ -132,7 +132,7 @@
         dialect: dialect(),
     });
     let terms = engine::Terms {
-        seed: decisions::settings::stable_hash(&settings.node),
+        seed: load_balancing::settings::stable_hash(&settings.node),
         headroom: HEADROOM,
         drain_grace: Duration::ZERO,
         grid: GRID,
--- a/crates/data-plane/src/routes.rs
+++ b/crates/data-plane/src/routes.rs
@@ -11,17 +11,17 @@
 use std::time::{Duration, SystemTime};
 
 use bytes::Bytes;
-use decisions::interface::{self as d, ListKind, Span};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HOST, HeaderName, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
-use messages::config::{Config, Kind, Limits, Route};
-use messages::keys::{Counts, Held, SPENT_MS};
-use messages::settings::{Bounds, Settings};
-use messages::wire::{Ask, Bank, News};
-use messages::zones::{Taken, Upstream, ZoneList};
+use load_balancing::interface::{self as d, ListKind, Span};
+use protocol::config::{Config, Kind, Limits, Route};
+use protocol::keys::{Counts, Held, SPENT_MS};
+use protocol::settings::{Bounds, Settings};
+use protocol::wire::{Ask, Bank, News};
+use protocol::zones::{Taken, Upstream, ZoneList};
 use rustc_hash::FxHashMap;
 use tokio::time::{Instant, timeout_at};
 
--- a/crates/data-plane/src/routes/tests.rs
+++ b/crates/data-plane/src/routes/tests.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
-use messages::compact::CompactConfig;
-use messages::config::{Part, Service};
+use protocol::compact::CompactConfig;
+use protocol::config::{Part, Service};
 
 use super::*;
 
--- a/crates/data-plane/src/upstreams.rs
+++ b/crates/data-plane/src/upstreams.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use decisions::interface::{Outcome, Report, ServerId};
-use decisions::settings::Field;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Response, StatusCode, Uri};
+use load_balancing::interface::{Outcome, Report, ServerId};
+use load_balancing::settings::Field;
 use rustc_hash::FxHashMap;
 use socket2::SockRef;
 use tokio::net::TcpStream;
--- a/crates/data-plane/src/watch.rs
+++ b/crates/data-plane/src/watch.rs
@@ -23,8 +23,8 @@
 use std::time::Duration;
 
 use crate::changes::Watcher;
-use messages::keys::Counts;
-use messages::wire::{self, Ask, Balancer, Bank, Control, Hello, News, PROTOCOL, Word};
+use protocol::keys::Counts;
+use protocol::wire::{self, Ask, Balancer, Bank, Control, Hello, News, PROTOCOL, Word};
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, BufReader, BufWriter, WriteHalf};
 use tokio::net::TcpStream;
@@ -231,7 +231,7 @@
             Some(c) if c.region == self.me.region => 1,
             _ => 2,
         };
-        let spread = decisions::settings::stable_hash(&format!("{at}{}", self.me.node));
+        let spread = load_balancing::settings::stable_hash(&format!("{at}{}", self.me.node));
         (known.rest(), far, spread)
     }
 
--- a/crates/data-plane/tests/answers.rs
+++ b/crates/data-plane/tests/answers.rs
@@ -11,9 +11,9 @@
 use data_plane::heads::passed_on;
 use data_plane::node::dialect;
 use data_plane::upstreams::{Ended, Forward, Pool, Target, Terms};
-use decisions::interface::{self as d, ListKind, Outcome, ServerId, Span};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
+use load_balancing::interface::{self as d, ListKind, Outcome, ServerId, Span};
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
--- a/crates/data-plane/tests/model/link.rs
+++ b/crates/data-plane/tests/model/link.rs
@@ -12,9 +12,9 @@
 
 use data_plane::node::dialect;
 use data_plane::upstreams::{Ended, Forward, Pool, Target, Terms};
-use decisions::interface::{Outcome, ServerId};
 use hyper::header::{CONTENT_LENGTH, HOST, HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
+use load_balancing::interface::{Outcome, ServerId};
 use proptest::strategy::{BoxedStrategy, Strategy, ValueTree};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use tokio::task::{LocalSet, spawn_local};
--- a/crates/data-plane/tests/model/tries.rs
+++ b/crates/data-plane/tests/model/tries.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use data_plane::engine::{self, Arrival, Engine, Handle, Note, Reply, Upstream};
-use decisions::interface::{Class, Effect, ListKind, Settings, Span, Status};
 use hyper::{Method, StatusCode};
+use load_balancing::interface::{Class, Effect, ListKind, Settings, Span, Status};
 use tokio::net::TcpSocket;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/load-balancing/tests/common/mod.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
-use decisions::interface::*;
-use decisions::policy::Balancer;
+use load_balancing::interface::*;
+use load_balancing::policy::Balancer;
 
 pub const MS: i64 = 1000;
 
--- a/crates/decisions/tests/fleet/bank.rs
+++ b/crates/load-balancing/tests/fleet/bank.rs
@@ -4,8 +4,8 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-use decisions::interface::*;
-use decisions::policy::Balancer;
+use load_balancing::interface::*;
+use load_balancing::policy::Balancer;
 use oorandom::Rand64;
 
 use crate::common::{MS, class, member, settings};
--- a/crates/decisions/tests/mechanism.rs
+++ b/crates/load-balancing/tests/mechanism.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 use common::{Asked, MS, Try, World, member, settings};
-use decisions::interface::*;
-use decisions::policy::Balancer;
+use load_balancing::interface::*;
+use load_balancing::policy::Balancer;
 
 fn serve(w: &mut World, id: u64, ms: i64) {
     w.pass(Span(ms * MS));
--- a/crates/decisions/tests/rules.rs
+++ b/crates/load-balancing/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{MS, World, member, settings};
-use decisions::interface::*;
+use load_balancing::interface::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/crates/decisions/tests/told.rs
+++ b/crates/load-balancing/tests/told.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{MS, class, settings};
-use decisions::interface::*;
-use decisions::policy::Balancer;
+use load_balancing::interface::*;
+use load_balancing::policy::Balancer;
 
 fn told(id: u32, slots: u32, zone: u32) -> Member {
     Member { slots, zone, ..Member::live(ServerId(id)) }
--- a/crates/mutations/src/main.rs
+++ b/crates/mutation-testing/src/main.rs
@@ -1,4 +1,4 @@
-//! Mutation testing by hand-picked faults: `cargo run -p mutations -- AREA [FAULT...]`.
+//! Mutation testing by hand-picked faults: `cargo run -p mutation-testing -- AREA [FAULT...]`.
 //!
 //! Each `tests/faults/AREA/*.patch` is a unified diff under a header that names the fault and the commands that
 //! must catch it, the first that fails ends the search:
@@ -33,7 +33,7 @@
     Command { command: String, cause: String },
     #[error("`{0}` fails without any fault")]
     FailsUnchanged(String),
-    #[error("usage: mutations AREA [FAULT...], where AREA is a directory of tests/faults")]
+    #[error("usage: mutation-testing AREA [FAULT...], where AREA is a directory of tests/faults")]
     Usage,
 }
 
--- a/crates/mutations/src/report.rs
+++ b/crates/mutation-testing/src/report.rs
@@ -45,7 +45,7 @@
     let caught = judged.iter().filter(|(_, v)| matches!(v, Verdict::CaughtBy { .. })).count();
     let (all, rows) = (judged.len(), table(judged));
     let section = format!(
-        "{title}\n```sh\ncargo run -p mutations -- {area}\n```\n\n{caught} of {all} are caught.\n\n{rows}"
+        "{title}\n```sh\ncargo run -p mutation-testing -- {area}\n```\n\n{caught} of {all} are caught.\n\n{rows}"
     );
     let mut sections: Vec<String> = Vec::new();
     for line in old.split_inclusive('\n') {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -14,7 +14,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use messages::keys::{Change, Holder, Owned, Slice, Slices};
+use protocol::keys::{Change, Holder, Owned, Slice, Slices};
 pub use work::Work;
 
 /// Slices for each upstream at the start: what a lost upstream held goes to as many others. Each costs a grant a
--- a/crates/placement/src/work.rs
+++ b/crates/placement/src/work.rs
@@ -1,7 +1,7 @@
 //! How much work the keys bring, as balancers counted it lately: how many requests an upstream has at a time for
 //! them, on the average. What is slow, or waits, at the one that holds a key weighs more.
 
-use messages::keys::{RUN, SPENT_MS};
+use protocol::keys::{RUN, SPENT_MS};
 
 const RUNS: usize = (1 << 16) / RUN as usize;
 /// What was counted so many milliseconds ago weighs a third as much as what is counted now.
--- a/crates/placement/tests/simulation.rs
+++ b/crates/placement/tests/simulation.rs
@@ -10,9 +10,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use messages::keys::{Change, Holder, RUN, Slices};
 use oorandom::Rand64;
 use placement::{Answer, Ask, Call, Listed, Planner, Timing, Work};
+use protocol::keys::{Change, Holder, RUN, Slices};
 
 const STEP: u64 = 10;
 const TIMING: Timing = Timing { hold: 400, call: 80, stale: 100, again: 30, settle: 100 };
@@ -540,7 +540,7 @@
     };
     assert_eq!(of(&world, &first), 0, "a release is answered at once");
     let handed =
-        |s: &messages::keys::Slice| matches!(&s.owned, messages::keys::Owned::By(_, Some(_)));
+        |s: &protocol::keys::Slice| matches!(&s.owned, protocol::keys::Owned::By(_, Some(_)));
     assert!(world.slices.all().filter(|(_, s)| handed(s)).count() >= 2, "with its handover");
     // Cut off, and still listed: its grants have to run out.
     world.upstreams.get_mut("i-2").expect("there").cut_until = u64::MAX;
--- a/crates/messages/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use agreement::{Message, NodeId};
+use raft::{Message, NodeId};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
--- a/crates/messages/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -10,14 +10,14 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use messages::compact::CompactConfig;
-use messages::config::{Config, Kind, Limits, Part, Route, Service};
-use messages::keys::{Change, Holder, Owned, Row, Slices};
-use messages::wire::{
+use protocol::compact::CompactConfig;
+use protocol::config::{Config, Kind, Limits, Part, Route, Service};
+use protocol::keys::{Change, Holder, Owned, Row, Slices};
+use protocol::wire::{
     Ask, Balancer, Bank, Control, Hello, LONGEST, News, PROTOCOL, Session, Tell, Word, digest,
     frame, parse,
 };
-use messages::zones::{Told, Upstream, ZoneList};
+use protocol::zones::{Told, Upstream, ZoneList};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
--- a/crates/agreement/tests/catching_up.rs
+++ b/crates/raft/tests/catching_up.rs
@@ -4,9 +4,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use agreement::{
-    Body, Core, Members, Message, NodeId, Payload, Role, Save, Snapshot, Stored, Timing,
-};
+use raft::{Body, Core, Members, Message, NodeId, Payload, Role, Save, Snapshot, Stored, Timing};
 
 const TIMING: Timing = Timing { heartbeat: 300, election: 1000 };
 /// The host's clock for the log, and the world's, in milliseconds.
@@ -303,7 +301,7 @@
         }
     }
 
-    fn status(&self, id: NodeId) -> agreement::Status {
+    fn status(&self, id: NodeId) -> raft::Status {
         self.machines[&id].core.as_ref().expect("it runs").status()
     }
 
--- a/crates/agreement/tests/changes.rs
+++ b/crates/raft/tests/changes.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use agreement::{Members, MembershipPolicy, MembershipView, NodeId, Observation, Role, Timing};
+use raft::{Members, MembershipPolicy, MembershipView, NodeId, Observation, Role, Timing};
 use world::{Network, World};
 
 const TIMING: Timing = Timing { heartbeat: 300, election: 1000 };
--- a/crates/agreement/tests/contact.rs
+++ b/crates/raft/tests/contact.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use agreement::{Core, Members, Message, NodeId, Role, Snapshot, Stored, Timing};
 use oorandom::Rand64;
+use raft::{Core, Members, Message, NodeId, Role, Snapshot, Stored, Timing};
 
 const TIMING: Timing = Timing { heartbeat: 300, election: 1000 };
 const SIZE: usize = 5;
@@ -203,7 +203,7 @@
         group.step();
         let of_leader = group.mail.iter().filter(|(_, m)| m.from == leader as NodeId + 1);
         rounds.extend(of_leader.filter_map(|(_, m)| match m.body {
-            agreement::Body::Append { round, .. } => Some(round),
+            raft::Body::Append { round, .. } => Some(round),
             _ => None,
         }));
         assert!(group.now < 10_000, "not all were served");
--- a/crates/agreement/tests/follower.rs
+++ b/crates/raft/tests/follower.rs
@@ -1,6 +1,6 @@
 //! What one member answers to a leader's messages, one by one.
 
-use agreement::{
+use raft::{
     Body, Content, Core, Entry, Members, Message, Output, Payload, Piece, Snapshot, Stored, Timing,
     TransferId,
 };
--- a/crates/agreement/tests/leader.rs
+++ b/crates/raft/tests/leader.rs
@@ -1,7 +1,7 @@
 //! What a leader may conclude from the answers of others, message by message: nothing before an entry of its own term
 //! is committed, and nothing once a majority no longer answers.
 
-use agreement::{
+use raft::{
     Body, Core, Entry, Members, Message, NodeId, Payload, Role, Save, Snapshot, Stored, Timing,
 };
 
--- a/crates/agreement/tests/membership.rs
+++ b/crates/raft/tests/membership.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use agreement::{Core, NodeId, Role, Timing};
+use raft::{Core, NodeId, Role, Timing};
 use world::{Network, World};
 
 const TIMING: Timing = Timing { heartbeat: 300, election: 1000 };
--- a/crates/agreement/tests/simulation.rs
+++ b/crates/raft/tests/simulation.rs
@@ -4,7 +4,7 @@
 
 mod world;
 
-use agreement::{Core, NodeId, Role, Timing};
+use raft::{Core, NodeId, Role, Timing};
 use world::{Network, World};
 
 const TIMING: Timing = Timing { heartbeat: 50, election: 200 };
--- a/crates/agreement/tests/start.rs
+++ b/crates/raft/tests/start.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use agreement::{Body, Core, Members, Message, Role, Snapshot, Stored, Timing};
+use raft::{Body, Core, Members, Message, Role, Snapshot, Stored, Timing};
 
 const TIMING: Timing = Timing { heartbeat: 300, election: 1000 };
 const STEP: u64 = 10;
--- a/crates/agreement/tests/world/mod.rs
+++ b/crates/raft/tests/world/mod.rs
@@ -7,10 +7,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use agreement::{
-    Body, Core, Members, Message, NodeId, Payload, Role, Save, Snapshot, Stored, Timing,
-};
 use oorandom::Rand64;
+use raft::{Body, Core, Members, Message, NodeId, Payload, Role, Save, Snapshot, Stored, Timing};
 
 /// A disk: what is synced, and what is on its way.
 #[derive(Default)]
@@ -113,7 +111,7 @@
         let voters: BTreeMap<NodeId, String> = (1..=size).map(|i| (i, format!("m{i}"))).collect();
         let founders = Members { voters, ..Members::default() };
         for id in 1..=size {
-            let snapshot = agreement::Snapshot::of_founders(founders.clone());
+            let snapshot = raft::Snapshot::of_founders(founders.clone());
             let stored = Stored { snapshot: Some(snapshot), ..Stored::default() };
             let disk = Disk { stored, ..Disk::default() };
             world.add(id, format!("m{id}"), disk);
@@ -154,7 +152,7 @@
         m.applied.clear();
         (m.frozen, m.frozen_until) = (false, 0);
         let mut core = Core::new(m.id, self.timing, seed, stored, Members::default());
-        core.set_membership_policy(agreement::MembershipPolicy::new(self.timing, self.tolerated));
+        core.set_membership_policy(raft::MembershipPolicy::new(self.timing, self.tolerated));
         core.tick(self.now);
         m.core = Some(core);
     }
--- a/crates/shorefront/src/main.rs
+++ b/crates/shorefront/src/main.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use messages::settings::{Settings, SettingsError};
+use protocol::settings::{Settings, SettingsError};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
--- a/crates/shorefront/src/operate.rs
+++ b/crates/shorefront/src/operate.rs
@@ -13,8 +13,8 @@
 use clap::{Args, Subcommand, ValueEnum};
 use control_plane::configuration::validate;
 use control_plane::operator::{Bytes, Operator, Order, Response, StatusCode};
-use messages::config::Config;
-use messages::settings::Settings;
+use protocol::config::Config;
+use protocol::settings::Settings;
 use serde_json::Value;
 
 /// Exit statuses beside 0: nothing of it was sent, or no answer says what became of it; it was refused and
--- a/crates/shorefront/src/reload.rs
+++ b/crates/shorefront/src/reload.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
 
-use messages::settings::Settings;
+use protocol::settings::Settings;
 use tokio::signal::unix::Signal;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -2,8 +2,8 @@
 //! power what was synced is there, and the transaction under way as a whole or not at all: a torn page is found by
 //! its checksum, which the test `disk` shows of the file format itself.
 
-use agreement::{Entry, Stored};
 use control_plane::store::Order;
+use raft::{Entry, Stored};
 
 /// One machine's disk.
 #[derive(Default)]
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -3,12 +3,12 @@
 
 use std::collections::BTreeMap;
 
-use agreement::{
+use control_plane::configuration::{Agreed, Command, Verdict};
+use control_plane::store::Order as DiskOrder;
+use raft::{
     Core, Entry, Members, MembershipPolicy, Message, NodeId, Output, Payload, Role, Snapshot,
     Timing,
 };
-use control_plane::configuration::{Agreed, Command, Verdict};
-use control_plane::store::Order as DiskOrder;
 
 use crate::disk::Disk;
 use crate::operators::Answer;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use agreement::{Body, Message, Payload};
 use oorandom::Rand64;
+use raft::{Body, Message, Payload};
 
 /// A message takes at least and at most so long.
 const FASTEST: u64 = 1;
--- a/crates/simulation/src/oracles.rs
+++ b/crates/simulation/src/oracles.rs
@@ -5,8 +5,8 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-use agreement::{Entry, Members, NodeId, Payload};
 use control_plane::configuration::{Agreed, Command, Verdict};
+use raft::{Entry, Members, NodeId, Payload};
 use rustc_hash::FxHasher;
 
 /// Of an order, so many characters are shown.
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -5,8 +5,8 @@
 use std::hash::{Hash, Hasher};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use agreement::{Entry, Members, NodeId, Payload, Role, Snapshot, Stored};
 use oorandom::Rand64;
+use raft::{Entry, Members, NodeId, Payload, Role, Snapshot, Stored};
 use rustc_hash::FxHasher;
 
 use crate::disk::Disk;
--- a/crates/simulation/tests/cells/net.rs
+++ b/crates/simulation/tests/cells/net.rs
@@ -12,13 +12,13 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-use agreement::{Members, NodeId, Snapshot, Stored};
 use control_plane::cell::{Cell, Channels, DialRequest, Environment};
 use control_plane::peers::converse;
 use control_plane::store::Order;
 use data_plane::upstreams::AbortOnDrop;
-use messages::settings::Settings;
 use oorandom::Rand64;
+use protocol::settings::Settings;
+use raft::{Members, NodeId, Snapshot, Stored};
 use tokio::io::DuplexStream;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
--- a/crates/simulation/tests/cells/platform.rs
+++ b/crates/simulation/tests/cells/platform.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use messages::zones::Upstream;
+use protocol::zones::Upstream;
 use tokio::time::{Instant, sleep};
 
 use crate::net::Net;
--- a/crates/hollowpaddle-benchlink/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,8 +1,8 @@
 //! One balancer of the bank and the names its handles stand for.
 
-use decisions::interface::{self as d, Action, Event, Report, RequestId, ServerId, Time};
-use decisions::policy::Balancer;
-use decisions::settings::{Field, key_hash, span, stable_hash};
+use load_balancing::interface::{self as d, Action, Event, Report, RequestId, ServerId, Time};
+use load_balancing::policy::Balancer;
+use load_balancing::settings::{Field, key_hash, span, stable_hash};
 use rustc_hash::FxHashMap;
 
 use crate::wire::{self, Command};
--- a/crates/hollowpaddle-benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -17,7 +17,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("hollowpaddle-benchlink: {message}");
+            eprintln!("simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/hollowpaddle-benchlink/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use std::borrow::Cow;
 
 use arrayvec::ArrayVec;
-use decisions::settings::Facts;
+use load_balancing::settings::Facts;
 use serde::{Deserialize, Serialize};
 
 pub type Text<'a> = Cow<'a, str>;
--- a/crates/hollowpaddle-benchlink/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 fn drill(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_hollowpaddle-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/hollowpaddle/src/api.rs
+++ b/crates/standalone-proxy/src/api.rs
@@ -9,8 +9,6 @@
 use data_plane::front::Gate;
 use data_plane::heads::{Answer, bare, malformed, onward, passed_on, refusal};
 use data_plane::upstreams::Forward;
-use decisions::interface::{Class, Effect, Span};
-use decisions::settings::{Facts, key_hash};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{
@@ -18,6 +16,8 @@
 };
 use hyper::http::request::Parts;
 use hyper::{Method, Request, StatusCode};
+use load_balancing::interface::{Class, Effect, Span};
+use load_balancing::settings::{Facts, key_hash};
 use rustc_hash::FxHashSet;
 use tokio::time::{Instant, timeout};
 
--- a/crates/hollowpaddle/src/config.rs
+++ b/crates/standalone-proxy/src/config.rs
@@ -6,9 +6,9 @@
 use data_plane::connections::Times;
 use data_plane::front::Bounds;
 use data_plane::upstreams::{Dialect, Load, Terms};
-use decisions::settings::{Facts, Field};
 use hyper::StatusCode;
 use hyper::header::HeaderName;
+use load_balancing::settings::{Facts, Field};
 use serde::Deserialize;
 
 use crate::discovery::List;
@@ -107,7 +107,7 @@
             name: say("LB_NAME", file.name),
             listen: address("LB_LISTEN", say("LB_LISTEN", file.listen))?,
             discovery: address("LB_DISCOVERY", discovery)?,
-            seed: decisions::settings::key_hash(&seed),
+            seed: load_balancing::settings::key_hash(&seed),
             sockets,
             memory: file.limits.memory_mb.unwrap_or(MEMORY_MB) << 20,
             known: file.known,
--- a/crates/hollowpaddle/src/main.rs
+++ b/crates/standalone-proxy/src/main.rs
@@ -15,7 +15,7 @@
 use data_plane::engine::{self, Engine};
 use data_plane::front::Front;
 use data_plane::upstreams::Pool;
-use decisions::interface::ListKind;
+use load_balancing::interface::ListKind;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
@@ -36,7 +36,7 @@
     match start() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("hollowpaddle: {message}");
+            eprintln!("standalone-proxy: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/hollowpaddle/tests/node/stubs.rs
+++ b/crates/standalone-proxy/tests/node/stubs.rs
@@ -245,12 +245,12 @@
     }
 }
 
-pub const NODE: &str = env!("CARGO_BIN_EXE_hollowpaddle");
+pub const NODE: &str = env!("CARGO_BIN_EXE_standalone-proxy");
 
 pub fn write_config(config: &str) -> std::path::PathBuf {
     static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    let name = format!("hollowpaddle-{}-{n}.json", std::process::id());
+    let name = format!("standalone-proxy-{}-{n}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, config).expect("a temporary file");
     path
