--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/connections.rs
@@ -5,17 +5,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use data_plane::upstreams::AbortOnDrop;
-use data_plane::watch::{BEAT, SILENCE, dial};
-use protocol::wire::{self, Ask, Hello, News, PROTOCOL, Session, Tell, Word};
+use data_plane::control_client::{HEARTBEAT_INTERVAL, IDLE_TIMEOUT, dial};
+use data_plane::upstream_pool::AbortOnDrop;
+use protocol::wire::{
+    self, Handshake, PROTOCOL_VERSION, PeerMessage, Session, SessionMessage, WatchRequest,
+    WatchUpdate,
+};
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, BufReader, BufWriter};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::cell::{Cell, DialRequest, TELL};
-use crate::outbound;
+use crate::peer_writer;
+use crate::server::{ControlServer, DialRequest, SESSION_SYNC_INTERVAL};
 
 /// A frame that is not taken for so long is not taken any more.
 const WRITE: Duration = Duration::from_millis(2000);
@@ -35,25 +38,28 @@
 const SECOND: Duration = Duration::from_millis(600);
 
 /// Calls the peers that the cell wants called.
-pub async fn call_all(cell: Rc<Cell>, mut requests: mpsc::UnboundedReceiver<DialRequest>) {
+pub async fn dial_peers(
+    cell: Rc<ControlServer>,
+    mut requests: mpsc::UnboundedReceiver<DialRequest>,
+) {
     while let Some(request) = requests.recv().await {
         tokio::task::spawn_local(call(cell.clone(), request));
     }
 }
 
-async fn call(cell: Rc<Cell>, mut request: DialRequest) {
+async fn call(cell: Rc<ControlServer>, mut request: DialRequest) {
     loop {
         // Its own call shows that it is there: no use in waiting for an old one of ours.
         let dialled = tokio::select! {
-            dialled = dial(request.at) => dialled,
+            dialled = dial(request.address) => dialled,
             () = request.connected.notified() => continue,
         };
         let ended = match dialled {
-            Ok(stream) => speak(&cell, stream, &mut request.queue).await,
+            Ok(stream) => speak(&cell, stream, &mut request.messages).await,
             Err(cause) => Err(cause),
         };
         if let Err(cause) = ended {
-            tracing::debug!(at = %request.at, %cause, "peer");
+            tracing::debug!(at = %request.address, %cause, "peer");
         }
         tokio::select! {
             () = sleep(AGAIN) => {}
@@ -63,26 +69,30 @@
 }
 
 async fn speak(
-    cell: &Rc<Cell>,
+    cell: &Rc<ControlServer>,
     stream: TcpStream,
-    queue: &mut mpsc::Receiver<Tell>,
+    queue: &mut mpsc::Receiver<PeerMessage>,
 ) -> io::Result<()> {
     // An end from the other side is noticed by reading: nothing else ever comes.
     // What the kernel holds back goes before any heartbeat: it is to be little.
     let _ = SockRef::from(&stream).set_tcp_notsent_lowat(UNSENT);
     let (mut reader, writer) = stream.into_split();
     let mut writer = BufWriter::new(writer);
-    let hello = Hello::Control { protocol: PROTOCOL, id: cell.id, at: cell.me.clone() };
+    let hello = Handshake::Control {
+        protocol: PROTOCOL_VERSION,
+        id: cell.id,
+        at: cell.control_node.clone(),
+    };
     // What waits by now is older than what it is told here; the log tells its own anew.
     while queue.try_recv().is_ok() {}
-    outbound::write_frame(&mut writer, &wire::frame(&hello)?).await?;
+    peer_writer::write_frame(&mut writer, &wire::encode_frame(&hello)?).await?;
     let ended = async {
         loop {
-            wire::receive::<Tell>(&mut reader).await?;
+            wire::receive_message::<PeerMessage>(&mut reader).await?;
         }
     };
     tokio::select! {
-        ended = outbound::write_all(&mut writer, cell.introduction(), queue) => ended,
+        ended = peer_writer::write_all(&mut writer, cell.introduction_messages(), queue) => ended,
         ended = ended => ended,
     }
 }
@@ -93,14 +103,14 @@
 impl<S: AsyncRead + AsyncWrite + Unpin + 'static> Stream for S {}
 
 /// Takes calls from peers and from the data plane.
-pub async fn listen(cell: Rc<Cell>, listener: TcpListener) {
+pub async fn accept_connections(cell: Rc<ControlServer>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
                 let cell = cell.clone();
-                data_plane::watch::tune(&stream);
+                data_plane::control_client::configure_socket(&stream);
                 tokio::task::spawn_local(async move {
-                    if let Err(cause) = converse(cell, stream).await {
+                    if let Err(cause) = serve_connection(cell, stream).await {
                         tracing::debug!(%from, %cause, "call over");
                     }
                 });
@@ -114,32 +124,43 @@
 }
 
 /// One call, of a peer or of a data-plane balancer, until it ends.
-pub async fn converse(cell: Rc<Cell>, mut stream: impl Stream) -> io::Result<()> {
-    let hello = timeout(HELLO, wire::receive::<Hello>(&mut stream)).await??;
+pub async fn serve_connection(cell: Rc<ControlServer>, mut stream: impl Stream) -> io::Result<()> {
+    let hello = timeout(HELLO, wire::receive_message::<Handshake>(&mut stream)).await??;
     let other = |protocol| {
-        tracing::warn!(protocol, "a caller that speaks another protocol is turned away");
+        tracing::warn!(
+            protocol,
+            "a caller that speaks another protocol is turned away"
+        );
         Err(io::ErrorKind::Unsupported.into())
     };
     match hello {
-        Hello::Control { protocol, .. } if protocol != PROTOCOL => other(protocol),
-        Hello::DataPlane { protocol, .. } if protocol != PROTOCOL => other(protocol),
-        Hello::Control { id, at, .. } => {
-            let from = at.inner;
-            cell.connected(id, at);
+        Handshake::Control { protocol, .. } if protocol != PROTOCOL_VERSION => other(protocol),
+        Handshake::DataPlane { protocol, .. } if protocol != PROTOCOL_VERSION => other(protocol),
+        Handshake::Control { id, at, .. } => {
+            let from = at.internal_addr;
+            cell.on_peer_connected(id, at);
             let mut stream = BufReader::new(stream);
             loop {
-                let tell = timeout(3 * TELL, wire::receive(&mut stream)).await??;
-                if !cell.receive(from, tell) {
+                let tell = timeout(
+                    3 * SESSION_SYNC_INTERVAL,
+                    wire::receive_message(&mut stream),
+                )
+                .await??;
+                if !cell.handle_peer_message(from, tell) {
                     return Err(io::ErrorKind::TimedOut.into());
                 }
             }
         }
-        Hello::DataPlane { balancer, .. } => {
+        Handshake::DataPlane { balancer, .. } => {
             let node = balancer.node.clone();
-            let session = Session { balancer, ready: false, leaving: false };
-            let mark = cell.session(None, session.clone());
+            let session = Session {
+                balancer,
+                ready: false,
+                draining: false,
+            };
+            let mark = cell.update_session(None, session.clone());
             let ended = serve(&cell, stream, mark, session).await;
-            cell.session_over(mark, &node);
+            cell.end_session(mark, &node);
             ended
         }
     }
@@ -147,7 +168,7 @@
 
 /// A data-plane balancer's session, for as long as it asks.
 async fn serve(
-    cell: &Rc<Cell>,
+    cell: &Rc<ControlServer>,
     stream: impl Stream,
     mark: u64,
     mut session: Session,
@@ -155,66 +176,86 @@
     let node = session.balancer.node.clone();
     let (reader, writer) = tokio::io::split(stream);
     let mut writer = BufWriter::new(writer);
-    let (heard, mut words) = mpsc::channel::<Word>(8);
+    let (heard, mut words) = mpsc::channel::<SessionMessage>(8);
     // Reading has a task of its own: a frame half read must not be dropped.
     // Its end closes the channel.
     let _reading = AbortOnDrop(tokio::task::spawn_local(async move {
         let mut reader = BufReader::new(reader);
-        while let Ok(Ok(word)) = timeout(SILENCE, wire::receive::<Word>(&mut reader)).await {
+        while let Ok(Ok(word)) = timeout(
+            IDLE_TIMEOUT,
+            wire::receive_message::<SessionMessage>(&mut reader),
+        )
+        .await
+        {
             if heard.send(word).await.is_err() {
                 return;
             }
         }
     }));
     let first = words.recv().await.ok_or(io::ErrorKind::UnexpectedEof)?;
-    let Word::Ask(mut has) = first else { return Err(io::ErrorKind::InvalidData.into()) };
+    let SessionMessage::Watch(mut has) = first else {
+        return Err(io::ErrorKind::InvalidData.into());
+    };
     note(cell, mark, &mut session, &has);
     let opened = Instant::now();
-    let patience = if cell.in_contact() { CONFIRM } else { CONFIRM_ANEW };
+    let patience = if cell.has_quorum_contact() {
+        CONFIRM
+    } else {
+        CONFIRM_ANEW
+    };
     // What was acknowledged before the session opened is among the first that it is told.
-    let mut confirmed = cell.catch_up(patience).await;
+    let mut confirmed = cell.wait_until_current(patience).await;
     // What was said last of contact.
     let mut in_contact = None;
-    let mut changes = cell.changes();
-    let mut said = Instant::now() - BEAT;
+    let mut changes = cell.watch_changes();
+    let mut said = Instant::now() - HEARTBEAT_INTERVAL;
     // Since when there is something to tell on a session that is not the first.
     let mut waits: Option<Instant> = None;
     loop {
-        changes.see_all();
+        changes.mark_all_seen();
         let mut told = has.clone();
         // Looked at right before anything is handed out: this process may have stood still.
-        confirmed |= cell.contact_age().is_some_and(|age| age < opened.elapsed());
-        let contact = confirmed && cell.in_contact();
-        let mut news = cell.news(&node, &mut told, contact);
+        confirmed |= cell
+            .quorum_contact_age()
+            .is_some_and(|age| age < opened.elapsed());
+        let contact = confirmed && cell.has_quorum_contact();
+        let mut news = cell.watch_update(&node, &mut told, contact);
         waits = news.as_ref().map(|_| waits.unwrap_or_else(Instant::now));
-        let from = waits.filter(|_| has.second).map(|since| since + SECOND);
+        let from = waits
+            .filter(|_| has.is_secondary)
+            .map(|since| since + SECOND);
         if from.is_some_and(|from| Instant::now() < from) {
             news = None;
         }
-        if news.is_some() || in_contact != Some(contact) || said.elapsed() >= BEAT {
+        if news.is_some() || in_contact != Some(contact) || said.elapsed() >= HEARTBEAT_INTERVAL {
             if news.is_some() {
                 (has, waits) = (told, None);
             }
             (said, in_contact) = (Instant::now(), Some(contact));
-            let news = News { out_of_contact: !contact, ..news.unwrap_or_default() };
+            let news = WatchUpdate {
+                out_of_contact: !contact,
+                ..news.unwrap_or_default()
+            };
             let written = async {
-                wire::send(&mut writer, &news).await?;
+                wire::send_message(&mut writer, &news).await?;
                 writer.flush().await
             };
             timeout(WRITE, written).await??;
             continue;
         }
-        let next = from.map_or(said + BEAT, |from| from.min(said + BEAT));
+        let next = from.map_or(said + HEARTBEAT_INTERVAL, |from| {
+            from.min(said + HEARTBEAT_INTERVAL)
+        });
         tokio::select! {
             // In this order, so that a simulation plays the same each time; each turn of the loop tells what is new.
             biased;
             word = words.recv() => match word.ok_or(io::ErrorKind::UnexpectedEof)? {
-                Word::Ask(ask) => {
+                SessionMessage::Watch(ask) => {
                     note(cell, mark, &mut session, &ask);
                     has = ask;
                 }
-                Word::Same => {}
-                Word::Work(counts) => cell.count(counts),
+                SessionMessage::KeepAlive => {}
+                SessionMessage::Work(counts) => cell.record_work(counts),
             },
             () = changes.changed() => {}
             () = tokio::time::sleep_until(next) => {}
@@ -222,8 +263,8 @@
     }
 }
 
-fn note(cell: &Cell, mark: u64, session: &mut Session, ask: &Ask) {
-    (session.ready, session.leaving) = (ask.ready, ask.leaving);
-    cell.session(Some(mark), session.clone());
-    cell.heard_of(&ask.zones);
+fn note(cell: &ControlServer, mark: u64, session: &mut Session, ask: &WatchRequest) {
+    (session.ready, session.draining) = (ask.ready, ask.draining);
+    cell.update_session(Some(mark), session.clone());
+    cell.observe_zone_versions(&ask.zone_versions);
 }
--- a/crates/control-plane/src/platform.rs
+++ b/crates/control-plane/src/discovery.rs
@@ -4,12 +4,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use data_plane::fetch::{Client, FetchError};
-use protocol::zones::Upstream;
+use data_plane::http_client::{HttpClient, HttpClientError};
+use protocol::upstream_list::Upstream;
 use serde::Deserialize;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::cell::Cell;
+use crate::server::ControlServer;
 
 /// A zone is asked for this many times within the time that a drain leaves.
 const ASKS_PER_DRAIN: u32 = 4;
@@ -39,18 +39,18 @@
 }
 
 /// Asks for the zones that this cell keeps, for good. What can't be had leaves the last list in force.
-pub async fn follow(cell: Rc<Cell>) {
+pub async fn run(cell: Rc<ControlServer>) {
     let Some(platform) = cell.settings.cloud_api.clone() else {
         tracing::warn!("no `cloud_api` in the settings: no upstreams are known");
         return;
     };
-    let client = Client::new(platform.addr);
+    let client = HttpClient::new(platform.addr);
     let every = Duration::from_millis(cell.settings.bounds.drain_ms.max(400)) / ASKS_PER_DRAIN;
     loop {
         let next = Instant::now() + every;
-        for zone in cell.kept_zones() {
+        for zone in cell.managed_zones() {
             match list(&client, &zone).await {
-                Ok(upstreams) => cell.listed(&zone, upstreams),
+                Ok(upstreams) => cell.set_platform_list(&zone, upstreams),
                 Err(cause) => tracing::info!(%cause, zone, "the platform's list"),
             }
         }
@@ -58,12 +58,17 @@
     }
 }
 
-async fn list(client: &Client, zone: &str) -> Result<Vec<Upstream>, FetchError> {
+async fn list(client: &HttpClient, zone: &str) -> Result<Vec<Upstream>, HttpClientError> {
     let (mut all, mut token) = (Vec::new(), None::<String>);
     for _ in 0..PAGES {
-        let page = token.as_ref().map(|t| format!("&page_token={t}")).unwrap_or_default();
-        let body = client.get(&format!("/instances?zone={zone}{page}"), CALL).await?;
-        let page: Page = serde_json::from_slice(&body).map_err(FetchError::Malformed)?;
+        let page = token
+            .as_ref()
+            .map(|t| format!("&page_token={t}"))
+            .unwrap_or_default();
+        let body = client
+            .get(&format!("/instances?zone={zone}{page}"), CALL)
+            .await?;
+        let page: Page = serde_json::from_slice(&body).map_err(HttpClientError::Malformed)?;
         all.extend(page.instances.into_iter().map(|i| Upstream {
             draining: i.state != "ready",
             warm_left_ms: i.warm_left_ms.clamp(0.0, 1e9) as u64,
@@ -78,5 +83,5 @@
         }
         sleep(Duration::ZERO).await;
     }
-    Err(FetchError::Endless)
+    Err(HttpClientError::TooManyPages)
 }
--- a/crates/control-plane/src/interface.rs
+++ b/crates/control-plane/src/http_api.rs
@@ -7,30 +7,30 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use data_plane::front::{Gate, Receipt, Receipts};
-use data_plane::heads::{Answer, bare};
+use data_plane::headers::{ClientResponse, empty_response};
+use data_plane::listener::{DeliveryReceipts, DeliveryStatus, RequestHandler};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderName, HeaderValue, LOCATION};
 use hyper::{Method, Request, Response, StatusCode};
 use load_balancing::interface::Span;
-use protocol::keys::{Owned, Slices};
-use protocol::wire::{LONGEST, Session};
+use protocol::key_ranges::{KeyRangeMap, Ownership};
+use protocol::wire::{MAX_FRAME_BYTES, Session};
 use raft::MemberReport;
 use serde_json::json;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::cell::{Acknowledgement, Cell, LISTENS, LogStatus, Unclear};
-use crate::configuration::{Command, Verdict};
+use crate::configuration::{Command, CommandOutcome};
+use crate::server::{Acknowledgement, CALLER_WAIT, ControlServer, Indeterminate, LogStatus};
 
 /// The version that an order builds on.
-pub const BASE: HeaderName = HeaderName::from_static("base-version");
+pub const BASE_VERSION_HEADER: HeaderName = HeaderName::from_static("base-version");
 /// A caller moves on after a second of silence: an order that has no majority by then is unclear.
-const ORDER: Duration = Duration::from_millis(950);
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(950);
 /// A large configuration may take so long to come.
-const BODY: Duration = Duration::from_millis(10_000);
+const BODY_READ_TIMEOUT: Duration = Duration::from_millis(10_000);
 /// The largest configuration: a frame has to carry it, and a log entry.
-const BODY_LIMIT: usize = LONGEST / 2;
+const MAX_BODY_BYTES: usize = MAX_FRAME_BYTES / 2;
 /// Clients ask again after this long; some take three times as long, and a balancer that leaves has
 /// `grace_s` for all of them to hear of it.
 const TTL_OF_GRACE: f64 = 1.0 / 3.0;
@@ -43,13 +43,13 @@
 const ENOUGH: usize = 2;
 
 /// Operators' orders.
-pub struct Operators {
-    pub cell: Rc<Cell>,
+pub struct OperatorApi {
+    pub server: Rc<ControlServer>,
 }
 
 /// Clients' directory.
-pub struct Directory {
-    cell: Rc<Cell>,
+pub struct DirectoryApi {
+    server: Rc<ControlServer>,
     told: RefCell<Answers>,
 }
 
@@ -60,37 +60,47 @@
     answers: BTreeMap<(String, String), Option<Bytes>>,
 }
 
-impl Directory {
-    pub fn new(cell: Rc<Cell>) -> Self {
-        Self { cell, told: RefCell::default() }
+impl DirectoryApi {
+    pub fn new(cell: Rc<ControlServer>) -> Self {
+        Self {
+            server: cell,
+            told: RefCell::default(),
+        }
     }
 }
 
-fn answer(status: StatusCode, body: &serde_json::Value) -> Answer {
+fn answer(status: StatusCode, body: &serde_json::Value) -> ClientResponse {
     raw(status, Bytes::from(body.to_string()))
 }
 
-fn raw(status: StatusCode, body: Bytes) -> Answer {
+fn raw(status: StatusCode, body: Bytes) -> ClientResponse {
     let mut answer = Response::new(Full::from(body));
     *answer.status_mut() = status;
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    answer
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     answer
 }
 
-fn fault(status: StatusCode, why: &str) -> Answer {
+fn fault(status: StatusCode, why: &str) -> ClientResponse {
     answer(status, &json!({"err": why}))
 }
 
-impl Gate for Operators {
+impl RequestHandler for OperatorApi {
     const WANTS_RECEIPTS: bool = true;
 
-    async fn answer(&self, request: Request<Incoming>, arrived: Instant, _: bool) -> Answer {
+    async fn answer(
+        &self,
+        request: Request<Incoming>,
+        arrived: Instant,
+        _: bool,
+    ) -> ClientResponse {
         let path = request.uri().path().to_string();
         match (request.method(), path.as_str()) {
             (&Method::GET, "/-/Config.Read") => self.read().await,
             (&Method::GET, "/-/Status") => self.status(),
             (&Method::GET, "/-/metrics") => {
-                data_plane::metrics::answer(crate::metrics::text(&self.cell))
+                data_plane::metrics::metrics_response(crate::metrics::text(&self.server))
             }
             (&Method::POST, "/-/Config.Replace") => self.config(request, false).await,
             (&Method::POST, "/-/Config.Amend") => self.config(request, true).await,
@@ -99,7 +109,7 @@
                 let Some(zone) = begin.or_else(|| path.strip_prefix("/-/Drain.Finish/")) else {
                     return fault(StatusCode::NOT_FOUND, "no such call");
                 };
-                if !self.cell.settings.zone_map.contains_key(zone) {
+                if !self.server.settings.zone_map.contains_key(zone) {
                     return fault(StatusCode::NOT_FOUND, &format!("no zone `{zone}`"));
                 }
                 let (zone, begin) = (zone.to_string(), begin.is_some());
@@ -110,7 +120,7 @@
     }
 }
 
-impl Operators {
+impl OperatorApi {
     /// Evacuates a zone, or returns it. The connection is closed behind the acknowledgement, so that it shows
     /// whether the caller has read it.
     async fn drain(
@@ -119,89 +129,119 @@
         zone: &str,
         begin: bool,
         arrived: Instant,
-    ) -> Answer {
-        let receipts = request.extensions().get::<Receipts>().cloned();
-        let mut acknowledgement = match self.cell.drain(zone, begin, ORDER).await {
+    ) -> ClientResponse {
+        let receipts = request.extensions().get::<DeliveryReceipts>().cloned();
+        let mut acknowledgement = match self
+            .server
+            .submit_zone_command(zone, begin, COMMAND_TIMEOUT)
+            .await
+        {
             Ok(acknowledgement) => acknowledgement,
             Err(unclear) => return self.outcome(request.uri().path(), Err(unclear)),
         };
-        acknowledgement.written();
+        acknowledgement.mark_sent();
         if let Some(receipts) = receipts {
-            let until = arrived + LISTENS;
+            let until = arrived + CALLER_WAIT;
             tokio::task::spawn_local(settle(acknowledgement, receipts, until));
         }
-        let evacuations = self.cell.agreed().evacuations(zone);
+        let evacuations = self.server.replicated_state().evacuations(zone);
         let body = json!({"zone": zone, "evacuations": evacuations});
         let mut answer = answer(StatusCode::OK, &body);
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        answer
+            .headers_mut()
+            .insert(CONNECTION, HeaderValue::from_static("close"));
         answer
     }
 
-    async fn read(&self) -> Answer {
-        if !self.cell.me.disk {
-            return self.outcome("/-/Config.Read", Err(self.cell.elsewhere().await));
+    async fn read(&self) -> ClientResponse {
+        if !self.server.control_node.has_disk {
+            return self.outcome("/-/Config.Read", Err(self.server.redirect_target().await));
         }
-        if !self.cell.catch_up(ORDER).await {
-            return fault(StatusCode::SERVICE_UNAVAILABLE, "no majority of the control balancers");
+        if !self.server.wait_until_current(COMMAND_TIMEOUT).await {
+            return fault(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "no majority of the control balancers",
+            );
         }
-        let agreed = self.cell.agreed();
-        if agreed.rev == 0 {
+        let agreed = self.server.replicated_state();
+        if agreed.revision == 0 {
             return fault(StatusCode::NOT_FOUND, "no configuration yet");
         }
-        raw(StatusCode::OK, Bytes::copy_from_slice(agreed.config.as_bytes()))
+        raw(
+            StatusCode::OK,
+            Bytes::copy_from_slice(agreed.config.as_bytes()),
+        )
     }
 
-    fn status(&self) -> Answer {
-        let LogStatus { own: core, members, report } = self.cell.status();
-        let agreed = self.cell.agreed();
+    fn status(&self) -> ClientResponse {
+        let LogStatus {
+            own: core,
+            members,
+            report,
+        } = self.server.log_status();
+        let agreed = self.server.replicated_state();
         let session = |s: &Session| {
             json!({"node": s.balancer.node, "zone": s.balancer.zone, "http": s.balancer.http,
-                "ready": s.ready, "leaving": s.leaving})
+                "ready": s.ready, "leaving": s.draining})
         };
-        let keys = |(service, slices): (&String, &Slices)| {
+        let keys = |(service, slices): (&String, &KeyRangeMap)| {
             let (mut held, mut leaving) = (BTreeMap::<&str, u32>::new(), 0);
-            for (_, slice) in slices.all() {
-                match &slice.owned {
-                    Owned::By(holder, _) => *held.entry(&holder.id).or_default() += 1,
-                    Owned::Leaving(_) | Owned::Free => leaving += 1,
+            for (_, slice) in slices.iter() {
+                match &slice.ownership {
+                    Ownership::Assigned(holder, _) => *held.entry(&holder.id).or_default() += 1,
+                    Ownership::Releasing(_) | Ownership::Unowned => leaving += 1,
                 }
             }
-            let all = slices.all().count();
-            (service.clone(), json!({"slices": all, "leaving": leaving, "held": held}))
+            let all = slices.iter().count();
+            (
+                service.clone(),
+                json!({"slices": all, "leaving": leaving, "held": held}),
+            )
         };
-        let sessions: Vec<_> = self.cell.members().iter().map(session).collect();
+        let sessions: Vec<_> = self.server.all_sessions().iter().map(session).collect();
         let member = |m: &MemberReport| {
             json!({"address": m.address, "id": format!("{:016x}", m.id), "voter": m.voter,
-                "in_contact": m.in_contact, "silence_ms": m.silence, "behind": m.behind})
+                "in_contact": m.in_contact, "silence_ms": m.silence_ms, "behind": m.entries_behind})
         };
-        let reported = report.as_ref().map(|r| r.members.iter().map(member).collect::<Vec<_>>());
+        let reported = report
+            .as_ref()
+            .map(|r| r.members.iter().map(member).collect::<Vec<_>>());
         answer(
             StatusCode::OK,
-            &json!({"node": self.cell.settings.node, "id": format!("{:016x}", core.id),
+            &json!({"node": self.server.settings.node, "id": format!("{:016x}", core.id),
                 "role": format!("{:?}", core.role).to_lowercase(), "term": core.term,
-                "leader": self.cell.leader(), "in_contact": self.cell.in_contact(),
-                "contact_age_ms": self.cell.contact_age().map(|age| age.as_millis() as u64),
-                "commit": core.commit, "last": core.last,
+                "leader": self.server.leader_address(), "in_contact": self.server.has_quorum_contact(),
+                "contact_age_ms": self.server.quorum_contact_age().map(|age| age.as_millis() as u64),
+                "commit": core.commit_index, "last": core.last_log_index,
                 "voters": members.voters.values().collect::<Vec<_>>(),
                 "learners": members.learners.values().collect::<Vec<_>>(),
-                "members": reported, "losses_borne": report.map(|r| r.margin),
-                "rev": agreed.rev, "balancers": sessions,
+                "members": reported, "losses_borne": report.map(|r| r.tolerable_losses),
+                "rev": agreed.revision, "balancers": sessions,
                 "evacuated": agreed.evacuated().collect::<BTreeMap<_, _>>(),
                 "keys": agreed.keys.iter().map(keys).collect::<BTreeMap<_, _>>()}),
         )
     }
 
-    async fn config(&self, request: Request<Incoming>, amend: bool) -> Answer {
+    async fn config(&self, request: Request<Incoming>, amend: bool) -> ClientResponse {
         let path = request.uri().path().to_string();
-        let base = request.headers().get(BASE).and_then(|v| v.to_str().ok());
+        let base = request
+            .headers()
+            .get(BASE_VERSION_HEADER)
+            .and_then(|v| v.to_str().ok());
         let Some(base) = base.and_then(|v| v.trim().parse::<u64>().ok()) else {
-            return fault(StatusCode::BAD_REQUEST, "Base-Version: expected a whole number");
+            return fault(
+                StatusCode::BAD_REQUEST,
+                "Base-Version: expected a whole number",
+            );
         };
-        let body = Limited::new(request.into_body(), BODY_LIMIT).collect();
-        let body = match timeout(BODY, body).await {
+        let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
+        let body = match timeout(BODY_READ_TIMEOUT, body).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-                return fault(StatusCode::PAYLOAD_TOO_LARGE, "the configuration is too large");
+                return fault(
+                    StatusCode::PAYLOAD_TOO_LARGE,
+                    "the configuration is too large",
+                );
             }
             Ok(Err(_)) => return fault(StatusCode::BAD_REQUEST, "the body was cut short"),
             Err(_) => return fault(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
@@ -209,24 +249,32 @@
         let Ok(body) = String::from_utf8(body.into()) else {
             return fault(StatusCode::BAD_REQUEST, "the body is not UTF-8");
         };
-        let command =
-            if amend { Command::Amend { base, body } } else { Command::Replace { base, body } };
-        let verdict = self.cell.order(&command, ORDER).await;
+        let command = if amend {
+            Command::Amend { base, body }
+        } else {
+            Command::Replace { base, body }
+        };
+        let verdict = self.server.submit_command(&command, COMMAND_TIMEOUT).await;
         self.outcome(&path, verdict)
     }
 
-    fn outcome(&self, path: &str, verdict: Result<Verdict, Unclear>) -> Answer {
+    fn outcome(
+        &self,
+        path: &str,
+        verdict: Result<CommandOutcome, Indeterminate>,
+    ) -> ClientResponse {
         match verdict {
-            Ok(Verdict::Taken | Verdict::AlreadyTaken) => {
-                let rev = self.cell.agreed().rev;
+            Ok(CommandOutcome::Applied | CommandOutcome::AlreadyApplied) => {
+                let rev = self.server.replicated_state().revision;
                 answer(StatusCode::OK, &json!({"rev": rev}))
             }
-            Ok(Verdict::Stale { current }) => {
-                fault(StatusCode::PRECONDITION_FAILED, &format!("version {current} is in place"))
-            }
-            Ok(Verdict::Invalid(why)) => fault(StatusCode::BAD_REQUEST, &why),
-            Err(Unclear::NotLeader(Some(leader))) => {
-                let port = self.cell.settings.listen.ctl.map_or(0, |at| at.port());
+            Ok(CommandOutcome::RevisionMismatch { current }) => fault(
+                StatusCode::PRECONDITION_FAILED,
+                &format!("version {current} is in place"),
+            ),
+            Ok(CommandOutcome::Invalid(why)) => fault(StatusCode::BAD_REQUEST, &why),
+            Err(Indeterminate::NotLeader(Some(leader))) => {
+                let port = self.server.settings.listen.ctl.map_or(0, |at| at.port());
                 let at = SocketAddr::new(leader.ip(), port);
                 let mut answer = fault(StatusCode::TEMPORARY_REDIRECT, "another one leads");
                 if let Ok(location) = HeaderValue::from_str(&format!("http://{at}{path}")) {
@@ -234,31 +282,33 @@
                 }
                 answer
             }
-            Ok(Verdict::Forgotten) => fault(
+            Ok(CommandOutcome::Expired) => fault(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "too old to tell whether it was taken; see `/-/Config.Read`",
             ),
-            Ok(Verdict::Raced) | Err(Unclear::NotLeader(None) | Unclear::NoMajority) => {
-                fault(StatusCode::SERVICE_UNAVAILABLE, "no majority of the control balancers")
-            }
+            Ok(CommandOutcome::Conflict)
+            | Err(Indeterminate::NotLeader(None) | Indeterminate::NoMajority) => fault(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "no majority of the control balancers",
+            ),
         }
     }
 }
 
 /// Notes what the end of its connection tells of an acknowledgement: a caller that has read it closes at once, and
 /// one that has not stays until it gives up.
-async fn settle(acknowledgement: Acknowledgement, mut receipts: Receipts, until: Instant) {
+async fn settle(acknowledgement: Acknowledgement, mut receipts: DeliveryReceipts, until: Instant) {
     match timeout_at(until, receipts.next()).await {
-        Ok(Receipt::Read) => acknowledgement.heard().await,
-        Ok(Receipt::Broken) => acknowledgement.broken().await,
-        Ok(Receipt::Unknown) | Err(_) => {}
+        Ok(DeliveryStatus::Delivered) => acknowledgement.confirm().await,
+        Ok(DeliveryStatus::Broken) => acknowledgement.mark_connection_broken().await,
+        Ok(DeliveryStatus::Unknown) | Err(_) => {}
     }
 }
 
-impl Gate for Directory {
-    async fn answer(&self, request: Request<Incoming>, _: Instant, _: bool) -> Answer {
+impl RequestHandler for DirectoryApi {
+    async fn answer(&self, request: Request<Incoming>, _: Instant, _: bool) -> ClientResponse {
         if request.method() != Method::GET || request.uri().path() != "/-/resolve" {
-            return bare(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         }
         let query = request.uri().query().unwrap_or_default();
         let field = |name: &str| {
@@ -270,24 +320,31 @@
         };
         let (zone, region) = (field("zone").unwrap_or(""), field("region").unwrap_or(""));
         // This process may have stood still: those who were heard of too long ago are not named.
-        self.cell.forget_lapsed();
-        let members = self.cell.members();
+        self.server.expire_silent_peers();
+        let members = self.server.all_sessions();
         let mut told = self.told.borrow_mut();
         // Failure: with the whole fleet walked and written out for each client, look-ups took over a second.
         if !Rc::ptr_eq(&told.of, &members) || told.answers.len() > ANSWERS {
-            *told = Answers { of: members.clone(), answers: BTreeMap::new() };
+            *told = Answers {
+                of: members.clone(),
+                answers: BTreeMap::new(),
+            };
         }
         let key = (zone.to_string(), region.to_string());
         let body = told.answers.entry(key).or_insert_with(|| {
             let addresses = nearest(&members, zone, region);
-            let bounds = &self.cell.settings.bounds;
-            let ttl = (bounds.grace_s * TTL_OF_GRACE).min(bounds.ttl_max_s).max(0.5);
+            let bounds = &self.server.settings.bounds;
+            let ttl = (bounds.grace_s * TTL_OF_GRACE)
+                .min(bounds.ttl_max_s)
+                .max(0.5);
             let body = json!({"addrs": addresses, "ttl_s": ttl}).to_string();
             (!addresses.is_empty()).then(|| Bytes::from(body))
         });
         match body {
             Some(body) => raw(StatusCode::OK, body.clone()),
-            None => data_plane::heads::refusal(StatusCode::SERVICE_UNAVAILABLE, Span(1_000_000)),
+            None => {
+                data_plane::headers::retry_later(StatusCode::SERVICE_UNAVAILABLE, Span(1_000_000))
+            }
         }
     }
 }
@@ -295,7 +352,7 @@
 /// The balancers that a client is sent to: those of its zone, of its region if these are too few, all if
 /// there are none.
 fn nearest(members: &[Session], zone: &str, region: &str) -> Vec<SocketAddr> {
-    let open: Vec<&Session> = members.iter().filter(|s| s.ready && !s.leaving).collect();
+    let open: Vec<&Session> = members.iter().filter(|s| s.ready && !s.draining).collect();
     let pick = |near: &dyn Fn(&Session) -> bool| -> Vec<SocketAddr> {
         let near = open.iter().filter(|s| near(s)).map(|s| s.balancer.http);
         near.take(ADDRESSES).collect()
@@ -320,8 +377,17 @@
     fn session(port: u16, zone: &str, region: &str, ready: bool, leaving: bool) -> Session {
         let http = SocketAddr::from(([127, 0, 0, 1], port));
         let (zone, region) = (zone.to_string(), region.to_string());
-        let balancer = Balancer { node: format!("n{port}"), zone, region, http };
-        Session { balancer, ready, leaving }
+        let balancer = Balancer {
+            node: format!("n{port}"),
+            zone,
+            region,
+            http,
+        };
+        Session {
+            balancer,
+            ready,
+            draining: leaving,
+        }
     }
 
     #[test]
@@ -334,7 +400,10 @@
             session(5, "c", "q", false, false),
         ];
         let ports = |zone, region| -> Vec<u16> {
-            nearest(&members, zone, region).iter().map(SocketAddr::port).collect()
+            nearest(&members, zone, region)
+                .iter()
+                .map(SocketAddr::port)
+                .collect()
         };
         assert_eq!(ports("a", "r"), [1, 2]);
         assert_eq!(ports("b", "r"), [1, 2, 3], "one alone is too few");
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -5,30 +5,30 @@
 //! - [`evacuations`]: which order of a zone is another one, and which is sent again; no I/O.
 //! - [`snapshot`]: the replicated state in the forms that this build reads, and the one that it writes.
 //! - [`store`]: what is on disk, in one `redb` file, written by a thread of its own.
-//! - [`cell`]: what a control balancer knows: the log, sessions, zones; it tells whoever waits for news.
-//! - [`peers`]: connections between control balancers, and the sessions of the data plane.
-//! - [`outbound`]: the order in which a peer is told, and at what pace.
-//! - [`platform`]: the list of upstreams, asked for by the one cell that keeps a zone.
-//! - [`owners`]: where upstreams divide a service's keys, the leader grants them what `placement` plans.
-//! - [`interface`]: what operators and clients ask: configurations, drains, the directory.
+//! - [`server`]: what a control balancer knows: the log, sessions, zones; it tells whoever waits for news.
+//! - [`client_connections`]: connections between control balancers, and the sessions of the data plane.
+//! - [`peer_writer`]: the order in which a peer is told, and at what pace.
+//! - [`discovery`]: the list of upstreams, asked for by the one cell that keeps a zone.
+//! - [`key_leases`]: where upstreams divide a service's keys, the leader grants them what `placement` plans.
+//! - [`http_api`]: what operators and clients ask: configurations, drains, the directory.
 //! - [`metrics`]: how things stand, for whoever watches.
-//! - [`operator`]: the other side of it: an order is sent until its answer is clear.
+//! - [`operator_client`]: the other side of it: an order is sent until its answer is clear.
 //!
 //! **Promises.** What was acknowledged is on the disks of a majority; what is agreed on is told and read only in
 //! contact with one. **Neighbours down.** Without a majority orders get 503, sessions hear that it is out of
 //! contact, and the data plane goes on with what it has; a silent cell's zone is kept by another.
 #![forbid(unsafe_code)]
 
-pub mod cell;
 pub mod configuration;
+pub mod connections;
+pub mod discovery;
 pub mod evacuations;
-pub mod interface;
+pub mod http_api;
+pub mod key_leases;
 pub mod metrics;
-pub mod operator;
-pub mod outbound;
-pub mod owners;
-pub mod peers;
-pub mod platform;
-pub mod run;
+pub mod operator_client;
+pub mod peer_writer;
+pub mod runtime;
+pub mod server;
 pub mod snapshot;
 pub mod store;
--- a/crates/control-plane/src/outbound.rs
+++ b/crates/control-plane/src/peer_writer.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::time::Duration;
 
-use protocol::wire::{self, Tell};
+use protocol::wire::{self, PeerMessage};
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -24,8 +24,8 @@
 /// What waits to be written.
 #[derive(Default)]
 struct Outbox {
-    log: VecDeque<Tell>,
-    other: VecDeque<Tell>,
+    log: VecDeque<PeerMessage>,
+    other: VecDeque<PeerMessage>,
     /// Messages of the log that were written since the last other one.
     turns: usize,
 }
@@ -35,14 +35,14 @@
         self.log.len() + self.other.len() < MOST
     }
 
-    fn push(&mut self, tell: Tell) {
+    fn push(&mut self, tell: PeerMessage) {
         match tell {
-            Tell::Log(_) => self.log.push_back(tell),
+            PeerMessage::Raft(_) => self.log.push_back(tell),
             _ => self.other.push_back(tell),
         }
     }
 
-    fn pop(&mut self) -> Option<Tell> {
+    fn pop(&mut self) -> Option<PeerMessage> {
         let others_turn = self.turns >= TURNS && !self.other.is_empty();
         if !others_turn && let Some(tell) = self.log.pop_front() {
             self.turns += 1;
@@ -64,8 +64,8 @@
 /// Writes the introduction and all that the queue brings, until the link or the queue ends.
 pub async fn write_all(
     writer: &mut (impl AsyncWrite + Unpin),
-    introduction: Vec<Tell>,
-    queue: &mut mpsc::Receiver<Tell>,
+    introduction: Vec<PeerMessage>,
+    queue: &mut mpsc::Receiver<PeerMessage>,
 ) -> io::Result<()> {
     let mut outbox = Outbox::default();
     introduction.into_iter().for_each(|tell| outbox.push(tell));
@@ -76,7 +76,7 @@
             outbox.push(tell);
         }
         if let Some(tell) = outbox.pop() {
-            write_frame(writer, &wire::frame(&tell)?).await?;
+            write_frame(writer, &wire::encode_frame(&tell)?).await?;
             continue;
         }
         timeout(STALLED, writer.flush()).await??;
--- a/crates/control-plane/src/cell/keys.rs
+++ b/crates/control-plane/src/server/keys.rs
@@ -1,22 +1,25 @@
 //! Who holds which keys, as agreed on, and how much work there is for them.
 
-use protocol::keys::{Change, Counts, Slices};
+use protocol::key_ranges::{KeyRangeChange, KeyRangeMap, WorkCounts};
 
-use super::Cell;
+use super::ControlServer;
 use crate::configuration::Command;
 
-impl Cell {
+impl ControlServer {
     /// Puts changes of who holds which keys into the log; whether they count shows once they are agreed on.
-    pub fn place(&self, service: &str, changes: Vec<Change>) {
+    pub fn propose_key_changes(&self, service: &str, changes: Vec<KeyRangeChange>) {
         let mut data = Vec::new();
-        let command = Command::Place { service: service.to_string(), changes };
+        let command = Command::AssignKeys {
+            service: service.to_string(),
+            changes,
+        };
         if ciborium::into_writer(&command, &mut data).is_ok() {
             let _ = self.with_core(|core| core.propose(data));
         }
     }
 
     /// Balancers counted so many requests for keys.
-    pub fn count(&self, counts: Counts) {
+    pub fn record_work(&self, counts: WorkCounts) {
         let mut inner = self.inner.borrow_mut();
         for (service, runs) in counts {
             let known = inner.work.entry(service).or_default();
@@ -28,23 +31,25 @@
     }
 
     /// What was counted and not taken yet.
-    pub fn counted(&self) -> Counts {
+    pub fn take_work_counts(&self) -> WorkCounts {
         let work = std::mem::take(&mut self.inner.borrow_mut().work);
-        work.into_iter().map(|(service, runs)| (service, runs.into_iter().collect())).collect()
+        work.into_iter()
+            .map(|(service, runs)| (service, runs.into_iter().collect()))
+            .collect()
     }
 
     /// Looks at a service's slices, as agreed on.
-    pub fn with_slices<T>(&self, service: &str, look: impl FnOnce(&Slices) -> T) -> T {
+    pub fn with_key_ranges<T>(&self, service: &str, look: impl FnOnce(&KeyRangeMap) -> T) -> T {
         let inner = self.inner.borrow();
         match inner.agreed.keys.get(service) {
             Some(slices) => look(slices),
-            None => look(&Slices::default()),
+            None => look(&KeyRangeMap::default()),
         }
     }
 
     /// The place in the log of the configuration, and the services in it whose upstreams divide their keys, if
     /// it is another place than `known`.
-    pub fn sharded(&self, known: u64) -> Option<(u64, Vec<String>)> {
+    pub fn sharded_services_since(&self, known: u64) -> Option<(u64, Vec<String>)> {
         let inner = self.inner.borrow();
         let agreed = &inner.agreed;
         (agreed.config_index != known).then(|| (agreed.config_index, agreed.sharded()))
--- a/crates/control-plane/src/cell/membership.rs
+++ b/crates/control-plane/src/server/membership.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use protocol::settings::Settings;
-use protocol::wire::Tell;
+use protocol::wire::PeerMessage;
 use raft::{Members, MembershipPolicy, MembershipReport};
 use tokio::time::{Instant, sleep};
 
-use super::{Cell, TIMING};
+use super::{ControlServer, TIMING};
 
 /// How often it is looked whether another one leads: a fraction of a round trip between regions.
 const LOOK: Duration = Duration::from_millis(10);
@@ -32,16 +32,16 @@
 /// When members are given up, for the losses that are to be borne here.
 pub(super) fn policy(settings: &Settings) -> MembershipPolicy {
     MembershipPolicy {
-        absence: ABSENCE,
-        long_absence: LONG_ABSENCE,
-        learner_absence: LEARNER_ABSENCE,
+        voter_removal_timeout_ms: ABSENCE,
+        unconditional_removal_timeout_ms: LONG_ABSENCE,
+        learner_removal_timeout_ms: LEARNER_ABSENCE,
         ..MembershipPolicy::new(TIMING, settings.tolerate.nodes)
     }
 }
 
-impl Cell {
+impl ControlServer {
     /// What the log's member knows, for who asks how things stand.
-    pub fn status(&self) -> LogStatus {
+    pub fn log_status(&self) -> LogStatus {
         let core = &self.inner.borrow().core;
         LogStatus {
             own: core.status(),
@@ -53,29 +53,32 @@
     /// Asks to take part in the log, while it votes for nobody or hears no leader: it may have been removed
     /// while it was away, and learns of that only from the leader that takes it in again.
     pub(super) fn join(&self) {
-        if !self.me.disk {
+        if !self.control_node.has_disk {
             return;
         }
         let wants = self.with_core(|core| {
             let wants = core.wants_to_join();
             if wants {
-                core.join(self.id, self.me.inner.to_string());
+                core.handle_join_request(self.id, self.control_node.internal_addr.to_string());
             }
             wants
         });
         if wants {
-            self.tell_all(&Tell::Join { id: self.id, inner: self.me.inner });
+            self.tell_all(&PeerMessage::Join {
+                id: self.id,
+                inner: self.control_node.internal_addr,
+            });
         }
     }
 
     /// The process is about to end: it leads no more once another one does, or `within` has passed.
-    pub async fn leave(&self, within: Duration) {
+    pub async fn shut_down(&self, within: Duration) {
         let until = Instant::now() + within;
         let alone = self.with_core(|core| {
-            core.leave();
+            core.begin_shutdown();
             !core.members().voters.keys().any(|id| *id != self.id)
         });
-        let led = || alone || self.inner.borrow().core.is_led_by_another();
+        let led = || alone || self.inner.borrow().core.has_other_leader();
         while !led() && Instant::now() < until {
             sleep(LOOK).await;
         }
--- a/crates/control-plane/src/cell/peers.rs
+++ b/crates/control-plane/src/server/peers.rs
@@ -5,12 +5,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use protocol::wire::{Control, Session, Tell};
+use protocol::wire::{ControlNode, PeerMessage, Session};
 use raft::NodeId;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-use super::{Cell, DialRequest, Inner};
+use super::{ControlServer, DialRequest, Inner};
 
 /// One that has said nothing for so long is lost, and its sessions and its cell with it.
 const LAPSE: Duration = Duration::from_millis(3000);
@@ -19,8 +19,8 @@
 
 /// What is known of another control balancer.
 pub(super) struct Peer {
-    pub(super) at: Option<Control>,
-    pub(super) to: mpsc::Sender<Tell>,
+    pub(super) at: Option<ControlNode>,
+    pub(super) to: mpsc::Sender<PeerMessage>,
     pub(super) connected: Rc<Notify>,
     pub(super) heard: Option<Instant>,
     /// Whom it takes for the leader, and when it said so.
@@ -33,25 +33,37 @@
     pub(super) lapsed: bool,
 }
 
-impl Cell {
+impl ControlServer {
     /// Another control balancer that may be there.
-    pub fn meet(&self, at: SocketAddr, control: Option<Control>) {
+    pub fn add_peer(&self, at: SocketAddr, control: Option<ControlNode>) {
         let mut inner = self.inner.borrow_mut();
         self.meet_in(&mut inner, at, control);
     }
 
-    pub(super) fn meet_in(&self, inner: &mut Inner, at: SocketAddr, control: Option<Control>) {
-        if at == self.me.inner {
+    pub(super) fn meet_in(&self, inner: &mut Inner, at: SocketAddr, control: Option<ControlNode>) {
+        if at == self.control_node.internal_addr {
             return;
         }
         let peer = inner.peers.entry(at).or_insert_with(|| {
             let (to, queue) = mpsc::channel(PEER_QUEUE);
             let connected = Rc::new(Notify::new());
-            let _ =
-                self.channels.dial.send(DialRequest { at, queue, connected: connected.clone() });
+            let _ = self.channels.dial.send(DialRequest {
+                address: at,
+                messages: queue,
+                connected: connected.clone(),
+            });
             let sessions = BTreeMap::new();
             let (at, heard, leader) = (None, None, None);
-            Peer { at, to, connected, heard, leader, sessions, behind: true, lapsed: false }
+            Peer {
+                at,
+                to,
+                connected,
+                heard,
+                leader,
+                sessions,
+                behind: true,
+                lapsed: false,
+            }
         });
         if control.is_some() {
             peer.at = control;
@@ -61,18 +73,22 @@
     /// Those that the log names are called, whether they have called or not.
     pub(super) fn meet_members(&self) {
         let mut inner = self.inner.borrow_mut();
-        let members: Vec<SocketAddr> =
-            inner.core.members().all().filter_map(|(_, at)| at.parse().ok()).collect();
+        let members: Vec<SocketAddr> = inner
+            .core
+            .members()
+            .all()
+            .filter_map(|(_, at)| at.parse().ok())
+            .collect();
         for at in members {
             self.meet_in(&mut inner, at, None);
         }
     }
 
     /// A control balancer has connected.
-    pub fn connected(&self, id: NodeId, control: Control) {
+    pub fn on_peer_connected(&self, id: NodeId, control: ControlNode) {
         let mut inner = self.inner.borrow_mut();
-        inner.ids.insert(id, control.inner);
-        let at = control.inner;
+        inner.ids.insert(id, control.internal_addr);
+        let at = control.internal_addr;
         self.meet_in(&mut inner, at, Some(control));
         if let Some(peer) = inner.peers.get_mut(&at) {
             peer.lapsed = false;
@@ -82,7 +98,7 @@
 
     /// A control balancer has said something. Whether it may go on: after too long a silence it has to
     /// introduce itself again, because what it said before is forgotten.
-    pub fn receive(&self, from: SocketAddr, tell: Tell) -> bool {
+    pub fn handle_peer_message(&self, from: SocketAddr, tell: PeerMessage) -> bool {
         let mut news = false;
         {
             let mut inner = self.inner.borrow_mut();
@@ -100,17 +116,26 @@
             }
         }
         match tell {
-            Tell::Log(message) => self.with_core(|core| core.receive(message)),
-            Tell::Join { id, inner } => self.with_core(|core| core.join(id, inner.to_string())),
-            Tell::Sessions { sessions, controls } => {
-                let all = sessions.into_iter().map(|s| (s.balancer.node.clone(), s)).collect();
+            PeerMessage::Raft(message) => self.with_core(|core| core.step(message)),
+            PeerMessage::Join { id, inner } => {
+                self.with_core(|core| core.handle_join_request(id, inner.to_string()))
+            }
+            PeerMessage::Sessions { sessions, controls } => {
+                let all = sessions
+                    .into_iter()
+                    .map(|s| (s.balancer.node.clone(), s))
+                    .collect();
                 news |= self.sessions_of(from, Some(controls), |known| {
                     let other = *known != all;
                     *known = all;
                     other
                 });
             }
-            Tell::Moved { sessions, gone, controls } => {
+            PeerMessage::SessionChanges {
+                sessions,
+                gone,
+                controls,
+            } => {
                 news |= self.sessions_of(from, controls, |known| {
                     let mut other = false;
                     for node in &gone {
@@ -124,25 +149,30 @@
                     other
                 });
             }
-            Tell::Alive { leader } => {
+            PeerMessage::Heartbeat { leader } => {
                 if let Some(peer) = self.inner.borrow_mut().peers.get_mut(&from) {
                     peer.leader = leader.map(|leader| (leader, Instant::now()));
                 }
             }
-            Tell::Work(counts) => self.count(counts),
-            Tell::Confirm { token } => self.confirm_for(from, token),
-            Tell::Confirmed { token } => self.inner.borrow_mut().read_ended(token, Some(0)),
-            Tell::Zone { zone, told } => self.zone(from, &zone, &told),
-            Tell::Want { zone } => {
+            PeerMessage::Work(counts) => self.record_work(counts),
+            PeerMessage::ConfirmLeadership { token } => self.confirm_for(from, token),
+            PeerMessage::LeadershipConfirmed { token } => {
+                self.inner.borrow_mut().read_ended(token, Some(0))
+            }
+            PeerMessage::ZoneUpdate { zone, told } => self.zone(from, &zone, &told),
+            PeerMessage::ZoneSnapshotRequest { zone } => {
                 let mut inner = self.inner.borrow_mut();
-                let whole = inner.zones.get(&zone).and_then(|z| z.whole(self.clock().0));
+                let whole = inner
+                    .zones
+                    .get(&zone)
+                    .and_then(|z| z.snapshot(self.clock().0));
                 if let (Some(told), Some(peer)) = (whole, inner.peers.get_mut(&from)) {
-                    let _ = peer.to.try_send(Tell::Zone { zone, told });
+                    let _ = peer.to.try_send(PeerMessage::ZoneUpdate { zone, told });
                 }
             }
         }
         if news {
-            self.changed();
+            self.notify_changed();
         }
         true
     }
@@ -151,21 +181,24 @@
     pub(super) fn sessions_of(
         &self,
         from: SocketAddr,
-        controls: Option<Vec<Control>>,
+        controls: Option<Vec<ControlNode>>,
         apply: impl FnOnce(&mut BTreeMap<String, Session>) -> bool,
     ) -> bool {
         let mut inner = self.inner.borrow_mut();
         for control in controls.into_iter().flatten() {
-            self.meet_in(&mut inner, control.inner, None);
+            self.meet_in(&mut inner, control.internal_addr, None);
         }
-        let news = inner.peers.get_mut(&from).is_some_and(|peer| apply(&mut peer.sessions));
+        let news = inner
+            .peers
+            .get_mut(&from)
+            .is_some_and(|peer| apply(&mut peer.sessions));
         if news {
             inner.roll = None;
         }
         news
     }
 
-    pub(super) fn tell_all(&self, tell: &Tell) {
+    pub(super) fn tell_all(&self, tell: &PeerMessage) {
         for peer in self.inner.borrow().peers.values() {
             let _ = peer.to.try_send(tell.clone());
         }
@@ -184,11 +217,16 @@
             inner.controls.clone_from(controls);
         }
         let moved = std::mem::take(&mut inner.moved);
-        let (stand, gone): (Vec<_>, Vec<_>) =
-            moved.into_iter().partition(|node| inner.local.contains_key(node));
+        let (stand, gone): (Vec<_>, Vec<_>) = moved
+            .into_iter()
+            .partition(|node| inner.local.contains_key(node));
         let stand = stand.iter().filter_map(|node| inner.local.get(node));
         let sessions = stand.map(|(_, s)| s.clone()).collect();
-        let tell = Tell::Moved { sessions, gone, controls };
+        let tell = PeerMessage::SessionChanges {
+            sessions,
+            gone,
+            controls,
+        };
         for peer in inner.peers.values_mut() {
             peer.behind |= peer.to.try_send(tell.clone()).is_err();
         }
@@ -196,18 +234,22 @@
 
     /// Tells the peers that this one is there, and all sessions to who has missed some.
     pub(super) fn tell_alive(&self) {
-        let leader = if self.me.disk { self.leader() } else { None };
+        let leader = if self.control_node.has_disk {
+            self.leader_address()
+        } else {
+            None
+        };
         let all = self.sessions();
-        if let Some(leader) = leader.filter(|at| *at != self.me.inner) {
-            let counts = self.counted();
+        if let Some(leader) = leader.filter(|at| *at != self.control_node.internal_addr) {
+            let counts = self.take_work_counts();
             if let Some(peer) = self.inner.borrow().peers.get(&leader)
                 && !counts.is_empty()
             {
-                let _ = peer.to.try_send(Tell::Work(counts));
+                let _ = peer.to.try_send(PeerMessage::Work(counts));
             }
         }
         for peer in self.inner.borrow_mut().peers.values_mut() {
-            let _ = peer.to.try_send(Tell::Alive { leader });
+            let _ = peer.to.try_send(PeerMessage::Heartbeat { leader });
             if peer.behind {
                 peer.behind = peer.to.try_send(all.clone()).is_err();
             }
@@ -215,29 +257,42 @@
     }
 
     /// All sessions that stand here.
-    pub(super) fn sessions(&self) -> Tell {
+    pub(super) fn sessions(&self) -> PeerMessage {
         let inner = self.inner.borrow();
         let sessions = inner.local.values().map(|(_, s)| s.clone()).collect();
-        Tell::Sessions { sessions, controls: inner.live_controls() }
+        PeerMessage::Sessions {
+            sessions,
+            controls: inner.live_controls(),
+        }
     }
 
     /// All that a peer is told which has just been reached, or may have missed something.
-    pub fn introduction(&self) -> Vec<Tell> {
+    pub fn introduction_messages(&self) -> Vec<PeerMessage> {
         let (inner, now) = (self.inner.borrow(), self.clock().0);
-        let zones = inner.zones.iter().filter_map(|(zone, z)| Some((zone.clone(), z.whole(now)?)));
-        let zones: Vec<Tell> = zones.map(|(zone, told)| Tell::Zone { zone, told }).collect();
+        let zones = inner
+            .zones
+            .iter()
+            .filter_map(|(zone, z)| Some((zone.clone(), z.snapshot(now)?)));
+        let zones: Vec<PeerMessage> = zones
+            .map(|(zone, told)| PeerMessage::ZoneUpdate { zone, told })
+            .collect();
         drop(inner);
         std::iter::once(self.sessions()).chain(zones).collect()
     }
 
     /// Sessions with a control balancer that has been silent for too long are not known to stand.
-    pub fn forget_lapsed(&self) {
+    pub fn expire_silent_peers(&self) {
         let now = Instant::now();
         let news = {
             let mut inner = self.inner.borrow_mut();
             let mut news = false;
             let silent = |p: &&mut Peer| p.heard.is_some_and(|at| now >= at + LAPSE);
-            for peer in inner.peers.values_mut().filter(|p| !p.lapsed).filter(silent) {
+            for peer in inner
+                .peers
+                .values_mut()
+                .filter(|p| !p.lapsed)
+                .filter(silent)
+            {
                 // Its connection may stand: this process may have stood still itself. It ends by the next word.
                 peer.lapsed = true;
                 news |= !std::mem::take(&mut peer.sessions).is_empty();
@@ -248,16 +303,16 @@
             news
         };
         if news {
-            self.changed();
+            self.notify_changed();
         }
     }
 
     /// Control balancers with a disk that are there, this one included.
-    pub fn controls(&self) -> Vec<Control> {
+    pub fn control_nodes(&self) -> Vec<ControlNode> {
         let mut all = self.inner.borrow().live_controls();
-        all.retain(|c| c.disk);
-        if self.me.disk {
-            all.push(self.me.clone());
+        all.retain(|c| c.has_disk);
+        if self.control_node.has_disk {
+            all.push(self.control_node.clone());
         }
         all.sort();
         all
@@ -266,9 +321,13 @@
 
 impl Inner {
     /// Other control balancers that are there.
-    pub(super) fn live_controls(&self) -> Vec<Control> {
+    pub(super) fn live_controls(&self) -> Vec<ControlNode> {
         let now = Instant::now();
-        self.peers.values().filter(|p| p.live(now)).filter_map(|p| p.at.clone()).collect()
+        self.peers
+            .values()
+            .filter(|p| p.live(now))
+            .filter_map(|p| p.at.clone())
+            .collect()
     }
 }
 
