--- a/crates/data-plane/src/bodies.rs
+++ b/crates/data-plane/src/body.rs
@@ -7,29 +7,35 @@
 
 /// What bodies of one side may take together. Atomic since `Bytes` asks for it; there is one thread.
 #[derive(Clone)]
-pub struct Allowance {
+pub struct BodyBudget {
     taken: Arc<AtomicUsize>,
     most: usize,
 }
 
 /// A part of it, for as long as it is held.
-pub struct Room {
-    of: Allowance,
+pub struct BodyReservation {
+    of: BodyBudget,
     bytes: usize,
 }
 
-impl Allowance {
+impl BodyBudget {
     pub fn new(most: usize) -> Self {
-        Self { taken: Arc::default(), most }
+        Self {
+            taken: Arc::default(),
+            most,
+        }
     }
 
-    pub fn room(&self, bytes: usize) -> Option<Room> {
-        let mut room = Room { of: self.clone(), bytes: 0 };
+    pub fn reserve(&self, bytes: usize) -> Option<BodyReservation> {
+        let mut room = BodyReservation {
+            of: self.clone(),
+            bytes: 0,
+        };
         room.reach(bytes).then_some(room)
     }
 }
 
-impl Room {
+impl BodyReservation {
     /// Grows to so many bytes, if there are as many left.
     fn reach(&mut self, bytes: usize) -> bool {
         let more = bytes.saturating_sub(self.bytes);
@@ -43,7 +49,7 @@
     }
 }
 
-impl Drop for Room {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.of.taken.fetch_sub(self.bytes, Relaxed);
     }
@@ -52,7 +58,7 @@
 /// A body that is counted until its last copy is dropped, a slow reader's too.
 struct Counted {
     body: Vec<u8>,
-    _room: Room,
+    _room: BodyReservation,
 }
 
 impl AsRef<[u8]> for Counted {
@@ -62,24 +68,38 @@
 }
 
 /// A body that is being read, within its room.
-pub struct Filling {
+pub struct BodyBuffer {
     body: Vec<u8>,
     /// None for a body that nobody wants.
-    room: Option<Room>,
+    room: Option<BodyReservation>,
     length: usize,
     largest: usize,
 }
 
-impl Filling {
+impl BodyBuffer {
     /// One that announces so much; `None` if it is larger than `largest` or than there is room for.
-    pub fn new(allowance: &Allowance, announced: usize, largest: usize) -> Option<Self> {
-        let room = if announced <= largest { allowance.room(announced)? } else { return None };
-        Some(Self { body: Vec::with_capacity(announced), room: Some(room), length: 0, largest })
+    pub fn new(allowance: &BodyBudget, announced: usize, largest: usize) -> Option<Self> {
+        let room = if announced <= largest {
+            allowance.reserve(announced)?
+        } else {
+            return None;
+        };
+        Some(Self {
+            body: Vec::with_capacity(announced),
+            room: Some(room),
+            length: 0,
+            largest,
+        })
     }
 
     /// One that is only read past.
     pub fn discarded(largest: usize) -> Self {
-        Self { body: Vec::new(), room: None, length: 0, largest }
+        Self {
+            body: Vec::new(),
+            room: None,
+            length: 0,
+            largest,
+        }
     }
 
     /// Takes in the next piece; `None` if that is too much.
@@ -96,9 +116,12 @@
     }
 
     /// The whole of it; nothing of one that was only read past.
-    pub fn done(self) -> Bytes {
+    pub fn into_bytes(self) -> Bytes {
         match self.room {
-            Some(room) => Bytes::from_owner(Counted { body: self.body, _room: room }),
+            Some(room) => Bytes::from_owner(Counted {
+                body: self.body,
+                _room: room,
+            }),
             None => Bytes::new(),
         }
     }
--- a/crates/data-plane/src/changes.rs
+++ b/crates/data-plane/src/change_notifier.rs
@@ -14,30 +14,33 @@
 
 /// Something that changes.
 #[derive(Default)]
-pub struct Changes(Rc<Count>);
+pub struct ChangeNotifier(Rc<Count>);
 
-impl Changes {
+impl ChangeNotifier {
     /// It has changed: whoever waits wakes.
-    pub fn note(&self) {
+    pub fn notify(&self) {
         self.0.changes.set(self.0.changes.get() + 1);
         self.0.changed.notify_waiters();
     }
 
     /// A watcher to whom all that has changed by now is known.
-    pub fn watch(&self) -> Watcher {
-        Watcher { seen: self.0.changes.get(), count: self.0.clone() }
+    pub fn watch(&self) -> ChangeWatcher {
+        ChangeWatcher {
+            seen: self.0.changes.get(),
+            count: self.0.clone(),
+        }
     }
 }
 
 /// Waits for changes that it has not seen.
-pub struct Watcher {
+pub struct ChangeWatcher {
     count: Rc<Count>,
     seen: u64,
 }
 
-impl Watcher {
+impl ChangeWatcher {
     /// All that has changed by now is seen.
-    pub fn see_all(&mut self) {
+    pub fn mark_all_seen(&mut self) {
         self.seen = self.count.changes.get();
     }
 
--- a/crates/data-plane/src/connections.rs
+++ b/crates/data-plane/src/client_connections.rs
@@ -16,7 +16,7 @@
 
 /// How long a client may take and stay idle.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct ClientTimeouts {
     /// A head must be whole so long after its connection came up, or after its first byte on a kept one.
     pub head: Duration,
     /// A kept connection is closed once it has idled for so long.
@@ -34,7 +34,7 @@
 
 /// What is known of one connection.
 pub struct Connection {
-    times: Rc<Cell<Times>>,
+    times: Rc<Cell<ClientTimeouts>>,
     traffic: Traffic,
     state: Cell<State>,
     evicted: Notify,
@@ -74,7 +74,9 @@
     }
 
     pub fn closing(&self) {
-        self.state.set(State::Closing { since: Instant::now() });
+        self.state.set(State::Closing {
+            since: Instant::now(),
+        });
     }
 
     /// Whether a request is open on it.
@@ -112,7 +114,7 @@
     /// When one that is kept has to go. Failure: the time was counted from when the answer was given, so that
     /// whoever read slowly lost its end, and whoever had read slowly its connection sooner than it was told.
     fn kept_limit(&self, kept: &mut Kept) -> Instant {
-        let Times { head, idle } = self.times.get();
+        let ClientTimeouts { head, idle } = self.times.get();
         let written = self.traffic.written();
         if kept.written != written {
             (kept.written, kept.since) = (written, Instant::now());
@@ -129,7 +131,9 @@
     /// Since when nothing was asked on it, if its answer is out and the next head has not begun. Closed here,
     /// it costs its client no request: one that crosses with the close is sent once more.
     fn kept_since(&self) -> Option<Instant> {
-        let State::Kept(kept) = self.state.get() else { return None };
+        let State::Kept(kept) = self.state.get() else {
+            return None;
+        };
         (self.traffic.read() == kept.read && !self.traffic.blocked()).then_some(kept.since)
     }
 
@@ -137,7 +141,9 @@
     fn idle_since(&self, now: Instant) -> Option<(bool, Instant)> {
         let (served, since, after) = match self.state.get() {
             State::New { since } | State::Closing { since } => (false, since, SILENT),
-            State::Kept(Kept { next: Some(next), .. }) => (false, next, SILENT),
+            State::Kept(Kept {
+                next: Some(next), ..
+            }) => (false, next, SILENT),
             State::Kept(_) => (true, self.kept_since()?, KEPT),
             State::Asked | State::Evicted => return None,
         };
@@ -191,23 +197,29 @@
     most: usize,
     /// Of those in use, no more than so many while some of them idle.
     at_ease: usize,
-    times: Rc<Cell<Times>>,
+    times: Rc<Cell<ClientTimeouts>>,
 }
 
 /// A connection's place among them, for as long as it is held.
-pub struct Seat {
+pub struct ConnectionSlot {
     pub connection: Rc<Connection>,
     all: Rc<Connections>,
     id: u64,
 }
 
-impl Seat {
+impl ConnectionSlot {
     /// Notes that its request was answered, and lets idle ones go if there are many. Failure: clients that
     /// ask once and keep their connection soon had all that they may open, and then none to ask on.
     pub fn answered(&self) {
         let (now, traffic) = (Instant::now(), &self.connection.traffic);
         let (read, written) = (traffic.read(), traffic.written());
-        let kept = Kept { answered: now, since: now, read, written, next: None };
+        let kept = Kept {
+            answered: now,
+            since: now,
+            read,
+            written,
+            next: None,
+        };
         self.connection.state.set(State::Kept(kept));
         let open = self.all.open.borrow();
         if open.len() > self.all.at_ease
@@ -223,20 +235,26 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.all.open.borrow_mut().remove(&self.id);
     }
 }
 
 impl Connections {
-    pub fn new(most: usize, at_ease: usize, times: Times) -> Rc<Self> {
+    pub fn new(most: usize, at_ease: usize, times: ClientTimeouts) -> Rc<Self> {
         let times = Rc::new(Cell::new(times));
-        Rc::new(Self { open: RefCell::default(), next: Cell::new(0), most, at_ease, times })
+        Rc::new(Self {
+            open: RefCell::default(),
+            next: Cell::new(0),
+            most,
+            at_ease,
+            times,
+        })
     }
 
     /// From now on clients have these times, those that are connected too.
-    pub fn allow(&self, times: Times) {
+    pub fn allow(&self, times: ClientTimeouts) {
         self.times.set(times);
     }
 
@@ -252,9 +270,11 @@
         self.len() >= self.most
     }
 
-    pub fn seat(self: &Rc<Self>, traffic: Traffic) -> Seat {
+    pub fn seat(self: &Rc<Self>, traffic: Traffic) -> ConnectionSlot {
         let id = self.next.replace(self.next.get() + 1);
-        let state = Cell::new(State::New { since: Instant::now() });
+        let state = Cell::new(State::New {
+            since: Instant::now(),
+        });
         let connection = Rc::new(Connection {
             times: self.times.clone(),
             traffic,
@@ -262,7 +282,11 @@
             evicted: Notify::new(),
         });
         self.open.borrow_mut().insert(id, connection.clone());
-        Seat { connection, all: self.clone(), id }
+        ConnectionSlot {
+            connection,
+            all: self.clone(),
+            id,
+        }
     }
 
     /// Makes one give way that has no request open: what has said nothing for longest, else what has idled
--- a/crates/data-plane/src/watch.rs
+++ b/crates/data-plane/src/control_client.rs
@@ -22,21 +22,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::changes::Watcher;
-use protocol::keys::Counts;
-use protocol::wire::{self, Ask, Balancer, Bank, Control, Hello, News, PROTOCOL, Word};
+use crate::change_notifier::ChangeWatcher;
+use protocol::key_ranges::WorkCounts;
+use protocol::wire::{
+    self, Balancer, ControlNode, FleetView, Handshake, PROTOCOL_VERSION, SessionMessage,
+    WatchRequest, WatchUpdate,
+};
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, BufReader, BufWriter, WriteHalf};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// A word at least this often, in both directions.
-pub const BEAT: Duration = Duration::from_millis(1000);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 /// Without a word for so long, the other side is not there.
-pub const SILENCE: Duration = Duration::from_millis(2500);
+pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A connection that does not come up within this, longer than a round trip takes anywhere, is tried anew: a
 /// machine that was without power a moment ago has dropped the opening packet.
-pub const CONNECT: Duration = Duration::from_millis(400);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Sessions at the same time.
 const SESSIONS: usize = 2;
 /// A control balancer that failed is called again before others only after this.
@@ -51,16 +54,16 @@
 
 /// Sets a connection up. Silence ends it by the time limits on every read and write; what was written and nobody
 /// acknowledges ends it too.
-pub fn tune(stream: &TcpStream) {
+pub fn configure_socket(stream: &TcpStream) {
     // Without them words are only later; a connection that is broken says so when it is read.
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(SILENCE));
+    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(IDLE_TIMEOUT));
 }
 
 /// A connection to another process of the system.
 pub async fn dial(at: SocketAddr) -> io::Result<TcpStream> {
-    let stream = timeout(CONNECT, TcpStream::connect(at)).await??;
-    tune(&stream);
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(at)).await??;
+    configure_socket(&stream);
     Ok(stream)
 }
 
@@ -74,9 +77,9 @@
 }
 
 /// The machine's own network.
-pub struct Tcp;
+pub struct TcpNetwork;
 
-impl Network for Tcp {
+impl Network for TcpNetwork {
     type Stream = TcpStream;
 
     async fn dial(&self, at: SocketAddr) -> io::Result<TcpStream> {
@@ -85,17 +88,17 @@
 }
 
 /// Whoever wants the news.
-pub trait Follower: 'static {
+pub trait UpdateHandler: 'static {
     /// The versions it has by now; the bank and the control balancers are the session's own.
-    fn ask(&self) -> Ask;
+    fn ask(&self) -> WatchRequest;
     /// Takes news in; what is not newer changes nothing. Whether something has to be told anew.
-    fn take(&self, news: &News) -> bool;
+    fn take(&self, news: &WatchUpdate) -> bool;
     /// The work on keys that upstreams divide, since this was asked last.
-    fn work(&self) -> Counts;
+    fn work(&self) -> WorkCounts;
     /// The bank as the sessions tell it.
-    fn bank(&self, bank: Bank);
+    fn bank(&self, bank: FleetView);
     /// Wakes when there is something else to ask.
-    fn changes(&self) -> Watcher;
+    fn changes(&self) -> ChangeWatcher;
     /// Wakes the sessions.
     fn wake(&self);
 }
@@ -103,7 +106,7 @@
 /// What is known of a control balancer.
 #[derive(Default)]
 struct Known {
-    at: Option<Control>,
+    at: Option<ControlNode>,
     /// It failed, or was out of contact: until then others come first.
     rests_until: Option<Instant>,
     in_use: bool,
@@ -148,7 +151,7 @@
 }
 
 /// The sessions of one data-plane balancer.
-pub struct Watch<F, N = Tcp> {
+pub struct ControlClient<F, N = TcpNetwork> {
     me: Balancer,
     follower: Rc<F>,
     network: N,
@@ -157,18 +160,18 @@
     first: Cell<Option<SocketAddr>>,
     /// Those with whom a session stands, and is to stand on.
     standing: RefCell<BTreeSet<SocketAddr>>,
-    banks: RefCell<BTreeMap<SocketAddr, Bank>>,
+    banks: RefCell<BTreeMap<SocketAddr, FleetView>>,
 }
 
-impl<F: Follower> Watch<F> {
+impl<F: UpdateHandler> ControlClient<F> {
     pub fn new(me: Balancer, follower: Rc<F>) -> Rc<Self> {
-        Self::over(Tcp, me, follower)
+        Self::with_network(TcpNetwork, me, follower)
     }
 }
 
-impl<F: Follower, N: Network> Watch<F, N> {
+impl<F: UpdateHandler, N: Network> ControlClient<F, N> {
     /// Keeps its sessions over this network.
-    pub fn over(network: N, me: Balancer, follower: Rc<F>) -> Rc<Self> {
+    pub fn with_network(network: N, me: Balancer, follower: Rc<F>) -> Rc<Self> {
         Rc::new(Self {
             me,
             follower,
@@ -181,7 +184,7 @@
     }
 
     /// Other addresses to try.
-    pub fn seeds(&self, seeds: impl Iterator<Item = SocketAddr>) {
+    pub fn add_seeds(&self, seeds: impl Iterator<Item = SocketAddr>) {
         let mut known = self.known.borrow_mut();
         for seed in seeds {
             known.entry(seed).or_default();
@@ -247,15 +250,20 @@
     fn nearest(&self) -> Option<SocketAddr> {
         let members_only = self.has_stopgap(None);
         let known = self.known.borrow();
-        let free = known.iter().filter(|(_, k)| !k.in_use && (k.is_member() || !members_only));
-        free.min_by_key(|(at, k)| self.distance(**at, k)).map(|(at, _)| *at)
+        let free = known
+            .iter()
+            .filter(|(_, k)| !k.in_use && (k.is_member() || !members_only));
+        free.min_by_key(|(at, k)| self.distance(**at, k))
+            .map(|(at, _)| *at)
     }
 
     /// Whether another one that is not in use is nearer than this, or this is the second that is no member.
     fn is_far(&self, at: SocketAddr) -> bool {
         let is_second_stopgap = self.has_stopgap(Some(at));
         let known = self.known.borrow();
-        let Some(own) = known.get(&at) else { return false };
+        let Some(own) = known.get(&at) else {
+            return false;
+        };
         if is_second_stopgap && !own.is_member() {
             return true;
         }
@@ -277,7 +285,7 @@
     /// somewhere. One that was told nothing yet is not ready, and is not named.
     fn may_leave(&self, at: SocketAddr) -> bool {
         let stands = self.standing.borrow().iter().any(|other| *other != at);
-        stands || self.follower.ask().config == 0
+        stands || self.follower.ask().config_index == 0
     }
 
     /// Whether another control balancer may be of more use than this one, which is out of contact.
@@ -285,40 +293,55 @@
         let known = self.known.borrow();
         let free = |k: &Known| !k.in_use && k.rest().is_none();
         let any_member = known.values().any(Known::is_member);
-        known.iter().any(|(other, k)| *other != at && free(k) && (k.is_member() || !any_member))
+        known
+            .iter()
+            .any(|(other, k)| *other != at && free(k) && (k.is_member() || !any_member))
     }
 
     /// Says what is other than said last. Once news has come on it, a session is the first if there is none.
     async fn say(
         &self,
         writer: &mut BufWriter<WriteHalf<N::Stream>>,
-        said: &mut Option<Ask>,
-        ask: Ask,
+        said: &mut Option<WatchRequest>,
+        ask: WatchRequest,
     ) -> io::Result<()> {
-        let word = if said.as_ref() == Some(&ask) { Word::Same } else { Word::Ask(ask.clone()) };
+        let word = if said.as_ref() == Some(&ask) {
+            SessionMessage::KeepAlive
+        } else {
+            SessionMessage::Watch(ask.clone())
+        };
         *said = Some(ask);
-        wire::send(writer, &word).await?;
-        timeout(SILENCE, writer.flush()).await?
+        wire::send_message(writer, &word).await?;
+        timeout(IDLE_TIMEOUT, writer.flush()).await?
     }
 
-    fn ask(&self, at: SocketAddr, bank: Option<Bank>, controls: u32) -> Ask {
+    fn ask(&self, at: SocketAddr, bank: Option<FleetView>, controls: u32) -> WatchRequest {
         let second = self.first.get().is_some_and(|first| first != at);
-        Ask { bank, controls, second, ..self.follower.ask() }
+        WatchRequest {
+            fleet: bank,
+            control_nodes_digest: controls,
+            is_secondary: second,
+            ..self.follower.ask()
+        }
     }
 
     async fn session(&self, at: SocketAddr) -> Result<Infallible, Ended> {
         let (reader, writer) = tokio::io::split(self.network.dial(at).await?);
         let (mut reader, mut writer) = (BufReader::new(reader), BufWriter::new(writer));
-        let hello = Hello::DataPlane { protocol: PROTOCOL, balancer: self.me.clone() };
-        wire::send(&mut writer, &hello).await?;
+        let hello = Handshake::DataPlane {
+            protocol: PROTOCOL_VERSION,
+            balancer: self.me.clone(),
+        };
+        wire::send_message(&mut writer, &hello).await?;
         let mut changes = self.follower.changes();
         let (mut bank, mut controls, mut said) = (None, 0, None);
-        self.say(&mut writer, &mut said, self.ask(at, bank, controls)).await?;
-        let mut next = Instant::now() + BEAT;
+        self.say(&mut writer, &mut said, self.ask(at, bank, controls))
+            .await?;
+        let mut next = Instant::now() + HEARTBEAT_INTERVAL;
         loop {
-            let news: News = {
+            let news: WatchUpdate = {
                 // A frame half read must not be dropped.
-                let news = timeout(SILENCE, wire::receive(&mut reader));
+                let news = timeout(IDLE_TIMEOUT, wire::receive_message(&mut reader));
                 tokio::pin!(news);
                 loop {
                     tokio::select! {
@@ -327,20 +350,20 @@
                         biased;
                         () = sleep_until(next) => {
                             let ask = self.ask(at, bank, controls);
-                            let first = !ask.second;
+                            let first = !ask.is_secondary;
                             self.say(&mut writer, &mut said, ask).await?;
-                            next = Instant::now() + BEAT;
-                            let work = if first { self.follower.work() } else { Counts::new() };
+                            next = Instant::now() + HEARTBEAT_INTERVAL;
+                            let work = if first { self.follower.work() } else { WorkCounts::new() };
                             if !work.is_empty() {
-                                wire::send(&mut writer, &Word::Work(work)).await?;
-                                let flushed = timeout(SILENCE, writer.flush()).await;
+                                wire::send_message(&mut writer, &SessionMessage::Work(work)).await?;
+                                let flushed = timeout(IDLE_TIMEOUT, writer.flush()).await;
                                 flushed.map_err(io::Error::from)??;
                             }
                         }
                         news = &mut news => break news.map_err(io::Error::from)??,
                         () = changes.changed() => {
                             let ask = self.ask(at, bank, controls);
-                            let waited_for = said.as_ref().is_none_or(|s| s.waits_for(&ask));
+                            let waited_for = said.as_ref().is_none_or(|s| s.is_urgent_change(&ask));
                             let soon = if waited_for { Duration::ZERO } else { GATHER };
                             next = next.min(Instant::now() + soon);
                         }
@@ -354,7 +377,7 @@
                 self.first.set(Some(at));
                 self.follower.wake();
             }
-            if let Some(told) = news.bank {
+            if let Some(told) = news.fleet {
                 bank = Some(told);
                 self.banks.borrow_mut().insert(at, told);
                 let banks = self.banks.borrow();
@@ -363,11 +386,11 @@
                     self.follower.bank(*most);
                 }
             }
-            if let Some(told) = &news.controls {
+            if let Some(told) = &news.control_nodes {
                 controls = wire::digest(told);
                 let mut known = self.known.borrow_mut();
                 for control in told {
-                    known.entry(control.inner).or_default().at = Some(control.clone());
+                    known.entry(control.internal_addr).or_default().at = Some(control.clone());
                 }
             }
             if self.follower.take(&news) {
--- a/crates/data-plane/src/engine.rs
+++ b/crates/data-plane/src/engine.rs
@@ -15,9 +15,11 @@
 use std::time::Duration;
 
 use load_balancing::interface as d;
-use load_balancing::interface::{Action, Event, ListKind, Outcome, RequestId, ServerId, Span};
+use load_balancing::interface::{
+    Action, AttemptOutcome, Event, MembershipKind, RequestId, ServerId, Span,
+};
 use load_balancing::policy::Balancer;
-use protocol::keys::{RUN, Row};
+use protocol::key_ranges::{KEYS_PER_BUCKET, KeyRangeRow};
 use rustc_hash::FxHashMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
@@ -25,10 +27,10 @@
 pub use self::abandoned::Abandoned;
 use self::clock::Clock;
 use self::handle::Work;
-pub use self::handle::{Arrival, Handle, Note, Reply, Upstream};
+pub use self::handle::{EngineEvent, EngineHandle, EngineReply, IncomingRequest, ListedUpstream};
 use self::listed::Upstreams;
 use self::requests::{Held, Try, TryState};
-use crate::upstreams::{AbortOnDrop, Ended, Forward, Pool};
+use crate::upstream_pool::{AbortOnDrop, AttemptResult, ForwardedRequest, UpstreamPool};
 
 /// At this much less than the client's deadline the engine answers itself, should a module still owe it.
 const BACKSTOP: Duration = Duration::from_millis(5);
@@ -42,20 +44,20 @@
 }
 
 /// An event of the engine's own making, told once the present actions are carried out.
-type Later = (RequestId, usize, Ended);
+type Later = (RequestId, usize, AttemptResult);
 
 /// One service: its module and its upstreams.
 struct Service {
     balancer: Balancer,
     upstreams: Upstreams,
     /// Who holds which keys, as told last.
-    rows: Vec<Row>,
+    rows: Vec<KeyRangeRow>,
     second_copies: bool,
     max_attempts: usize,
 }
 
 /// What an engine is told at its start.
-pub struct Terms {
+pub struct EngineConfig {
     /// For the modules' random numbers.
     pub seed: u64,
     /// The modules work to this much less than the client's deadline, so that an answer at the deadline
@@ -70,16 +72,16 @@
 }
 
 pub struct Engine {
-    terms: Terms,
+    terms: EngineConfig,
     services: Vec<Service>,
     clock: Clock,
-    notes: mpsc::UnboundedReceiver<Note>,
-    own_notes: mpsc::UnboundedSender<Note>,
+    notes: mpsc::UnboundedReceiver<EngineEvent>,
+    own_notes: mpsc::UnboundedSender<EngineEvent>,
     requests: FxHashMap<RequestId, Held>,
     timers: BinaryHeap<Reverse<(Instant, Due)>>,
     actions: Vec<Action>,
     later: VecDeque<Later>,
-    pool: Rc<Pool>,
+    pool: Rc<UpstreamPool>,
     /// A handle of an upstream is never used twice, or news of one that is gone would be taken for
     /// another's.
     next_upstream: u32,
@@ -89,12 +91,12 @@
 }
 
 impl Engine {
-    pub fn new(terms: Terms, pool: Rc<Pool>) -> (Self, Handle) {
+    pub fn new(terms: EngineConfig, pool: Rc<UpstreamPool>) -> (Self, EngineHandle) {
         let (own_notes, notes) = mpsc::unbounded_channel();
         let ready = Rc::new(Cell::new(false));
         let work = Rc::new(RefCell::default());
         let abandoned = Abandoned::default();
-        let handle = Handle {
+        let handle = EngineHandle {
             notes: own_notes.clone(),
             next: Cell::new(0),
             ready: ready.clone(),
@@ -126,8 +128,7 @@
         service: usize,
         settings: d::Settings,
     ) -> Result<(), d::SettingsError> {
-        let (second_copies, max_attempts) =
-            (settings.limits.second_copies, settings.limits.max_attempts);
+        let (second_copies, max_attempts) = (settings.limits.hedging, settings.limits.max_attempts);
         if let Some(known) = self.services.get_mut(service) {
             (known.second_copies, known.max_attempts) = (second_copies, max_attempts);
             return known.balancer.reconfigure(settings);
@@ -136,7 +137,13 @@
         let balancer = Balancer::new(settings, seed, self.clock.now())?;
         let upstreams = Upstreams::new(self.terms.drain_grace);
         let rows = Vec::new();
-        self.services.push(Service { balancer, upstreams, rows, second_copies, max_attempts });
+        self.services.push(Service {
+            balancer,
+            upstreams,
+            rows,
+            second_copies,
+            max_attempts,
+        });
         Ok(())
     }
 
@@ -168,35 +175,45 @@
             }
             self.timers.pop();
             match due {
-                Due::Token(service, token) => self.tell(service, Event::Timer(token)),
+                Due::Token(service, token) => self.tell(service, Event::TimerFired(token)),
                 Due::Deadline(id) => self.overdue(id),
             }
         }
     }
 
-    fn take(&mut self, note: Note) {
+    fn take(&mut self, note: EngineEvent) {
         match note {
-            Note::Arrived { id, service, arrival, forward, reply } => {
+            EngineEvent::Arrived {
+                id,
+                service,
+                arrival,
+                forward,
+                reply,
+            } => {
                 self.arrived(id, service, arrival, forward, reply);
             }
-            Note::Left(id) => self.left(id),
-            Note::Ended { id, attempt, ended } => {
+            EngineEvent::Left(id) => self.left(id),
+            EngineEvent::Ended { id, attempt, ended } => {
                 self.ended(id, attempt, ended);
                 self.catch_up();
             }
-            Note::Settings { service, settings } => {
+            EngineEvent::Settings { service, settings } => {
                 if let Err(cause) = self.settings(service, *settings) {
                     tracing::error!(%cause, service, "settings that can't be used");
                 }
             }
-            Note::Members { service, kind, list } => self.listed(service, kind, &list),
-            Note::Holders { service, rows } => {
+            EngineEvent::Members {
+                service,
+                kind,
+                list,
+            } => self.listed(service, kind, &list),
+            EngineEvent::Holders { service, rows } => {
                 if let Some(known) = self.services.get_mut(service) {
                     known.rows = rows;
                     self.tell_holders(service);
                 }
             }
-            Note::Ending => self.refuse_waiting(),
+            EngineEvent::Ending => self.refuse_waiting(),
         }
     }
 
@@ -204,9 +221,9 @@
         &mut self,
         id: RequestId,
         service: usize,
-        arrival: Arrival,
-        forward: Forward,
-        reply: oneshot::Sender<Reply>,
+        arrival: IncomingRequest,
+        forward: ForwardedRequest,
+        reply: oneshot::Sender<EngineReply>,
     ) {
         let until = arrival.until - self.terms.headroom;
         let held = Held {
@@ -222,14 +239,15 @@
             error: None,
         };
         self.requests.insert(id, held);
-        self.timers.push(Reverse((arrival.until - BACKSTOP, Due::Deadline(id))));
+        self.timers
+            .push(Reverse((arrival.until - BACKSTOP, Due::Deadline(id))));
         let request = d::Request {
             class: arrival.class,
             tenant: arrival.tenant,
             key: arrival.key,
             shard: arrival.shard,
-            cost_guess: arrival.cost_guess,
-            resent: arrival.resent,
+            estimated_work: arrival.cost_guess,
+            is_client_retry: arrival.resent,
             ..d::Request::new(id, arrival.class, self.clock.at(until))
         };
         self.tell(service, Event::Request(request));
@@ -237,22 +255,24 @@
 
     /// The client of a request went away before its answer.
     fn left(&mut self, id: RequestId) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
+        let Some(held) = self.requests.get_mut(&id) else {
+            return;
+        };
         if held.reply.take().is_some() {
             held.live.set(false);
             held.left = Some(Instant::now());
             let service = held.service;
-            self.tell(service, Event::Left(id));
+            self.tell(service, Event::ClientDisconnected(id));
         }
         self.forget(id);
     }
 
     /// Guards against a request that the module still owes its answer when the client is about to give up.
     fn overdue(&mut self, id: RequestId) {
-        if self.answer(id, Reply::Failed { late: true }) {
+        if self.answer(id, EngineReply::Failed { late: true }) {
             tracing::warn!("answered at the deadline");
             if let Some(service) = self.requests.get(&id).map(|h| h.service) {
-                self.tell(service, Event::Left(id));
+                self.tell(service, Event::ClientDisconnected(id));
             }
         }
         self.forget(id);
@@ -263,32 +283,51 @@
     fn refuse_waiting(&mut self) {
         let waits = |(_, held): &(&RequestId, &Held)| held.reply.is_some() && held.out() == 0;
         let waiting = self.requests.iter().filter(waits);
-        let waiting: Vec<_> = waiting.map(|(id, h)| (*id, h.service, h.may_have_run())).collect();
+        let waiting: Vec<_> = waiting
+            .map(|(id, h)| (*id, h.service, h.may_have_run()))
+            .collect();
         for (id, service, may_have_run) in waiting {
-            let refused = Reply::Refused { retry_after: ELSEWHERE };
-            let reply = if may_have_run { Reply::Failed { late: false } } else { refused };
+            let refused = EngineReply::Refused {
+                retry_after: ELSEWHERE,
+            };
+            let reply = if may_have_run {
+                EngineReply::Failed { late: false }
+            } else {
+                refused
+            };
             self.give_up(id, reply);
-            self.tell(service, Event::Left(id));
+            self.tell(service, Event::ClientDisconnected(id));
         }
     }
 
     /// Gives the final answer, unless there was one.
-    fn answer(&mut self, id: RequestId, reply: Reply) -> bool {
-        let Some(held) = self.requests.get_mut(&id) else { return false };
-        let Some(sender) = held.reply.take() else { return false };
+    fn answer(&mut self, id: RequestId, reply: EngineReply) -> bool {
+        let Some(held) = self.requests.get_mut(&id) else {
+            return false;
+        };
+        let Some(sender) = held.reply.take() else {
+            return false;
+        };
         held.live.set(false);
         let _ = sender.send(reply);
         true
     }
 
-    fn ended(&mut self, id: RequestId, attempt: usize, mut ended: Ended) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
-        if ended.outcome == Outcome::NotHolder && held.shard.is_none() {
+    fn ended(&mut self, id: RequestId, attempt: usize, mut ended: AttemptResult) {
+        let Some(held) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if ended.outcome == AttemptOutcome::NotOwner && held.shard.is_none() {
             // Nobody holds anything there: it is another upstream than was meant.
-            ended.outcome = Outcome::Full;
+            ended.outcome = AttemptOutcome::Rejected;
         }
-        let Some(tried) = held.attempts.get_mut(attempt) else { return };
-        if matches!(std::mem::replace(&mut tried.state, TryState::Ended), TryState::Ended) {
+        let Some(tried) = held.attempts.get_mut(attempt) else {
+            return;
+        };
+        if matches!(
+            std::mem::replace(&mut tried.state, TryState::Ended),
+            TryState::Ended
+        ) {
             return;
         }
         let (server, latency) = (tried.server, tried.sent.elapsed());
@@ -297,20 +336,27 @@
             self.abandoned.ended(ended.outcome, left.elapsed());
         }
         let service = held.service;
-        if let Some(key) = held.shard.filter(|_| ended.outcome != Outcome::NotHolder) {
-            *self.work.borrow_mut().entry((service, key / RUN)).or_default() += latency;
+        if let Some(key) = held
+            .shard
+            .filter(|_| ended.outcome != AttemptOutcome::NotOwner)
+        {
+            *self
+                .work
+                .borrow_mut()
+                .entry((service, key / KEYS_PER_BUCKET))
+                .or_default() += latency;
         }
         // The first whole answer is the client's; one that comes after the end is dropped.
         match ended.response {
-            Some(response) if ended.outcome == Outcome::Ok => {
-                self.answer(id, Reply::Served(response));
+            Some(response) if ended.outcome == AttemptOutcome::Ok => {
+                self.answer(id, EngineReply::Served(response));
             }
             error => held.error = error,
         }
         let over = self.requests.get(&id).is_none_or(|h| h.reply.is_none());
-        let answer = d::Answer {
+        let answer = d::AttemptResult {
             report: ended.report,
-            ..d::Answer::new(
+            ..d::AttemptResult::new(
                 id,
                 attempt,
                 server,
@@ -319,32 +365,46 @@
                 over,
             )
         };
-        self.handle(service, Event::Answered(answer));
+        self.handle(service, Event::AttemptEnded(answer));
         self.forget(id);
     }
 
     /// Drops a request that is answered and has nothing out.
     fn forget(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|h| h.reply.is_none() && h.out() == 0) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|h| h.reply.is_none() && h.out() == 0)
+        {
             self.requests.remove(&id);
         }
     }
 
     /// Takes in a list and tells the module.
-    pub fn listed(&mut self, service: usize, kind: ListKind, list: &[Upstream]) {
-        if kind == ListKind::Unavailable {
+    pub fn listed(&mut self, service: usize, kind: MembershipKind, list: &[ListedUpstream]) {
+        if kind == MembershipKind::Unavailable {
             // No list is not an empty list.
-            return self.tell(service, Event::Members { kind, list: &[] });
+            return self.tell(service, Event::Membership { kind, list: &[] });
         }
-        let Some(known) = self.services.get_mut(service) else { return };
+        let Some(known) = self.services.get_mut(service) else {
+            return;
+        };
         let clock = self.clock;
         let members =
-            known.upstreams.update(list, kind, &self.pool, &mut self.next_upstream, clock);
+            known
+                .upstreams
+                .update(list, kind, &self.pool, &mut self.next_upstream, clock);
         let ready = self.services.iter().any(|s| s.upstreams.any_open());
         if self.ready.replace(ready) != ready {
             tracing::info!(ready, "upstreams");
         }
-        self.tell(service, Event::Members { kind, list: &members });
+        self.tell(
+            service,
+            Event::Membership {
+                kind,
+                list: &members,
+            },
+        );
         self.services[service].upstreams.forget(&self.pool);
         // A holder may have been told before the list that names it.
         if !self.services[service].rows.is_empty() {
@@ -353,14 +413,20 @@
     }
 
     fn tell_holders(&mut self, service: usize) {
-        let Some(known) = self.services.get(service) else { return };
+        let Some(known) = self.services.get(service) else {
+            return;
+        };
         let ids = &known.upstreams.ids;
-        let keys = |Row(since, to, holder): &Row| {
+        let keys = |KeyRangeRow(since, to, holder): &KeyRangeRow| {
             let server = holder.as_ref().and_then(|id| ids.get(id)).copied();
-            d::Keys { since: *since, to: *to, server }
+            d::OwnedKeyRange {
+                since: *since,
+                to: *to,
+                server,
+            }
         };
-        let keys: Vec<d::Keys> = known.rows.iter().map(keys).collect();
-        self.tell(service, Event::Holders(&keys));
+        let keys: Vec<d::OwnedKeyRange> = known.rows.iter().map(keys).collect();
+        self.tell(service, Event::KeyOwners(&keys));
     }
 
     /// Tells the module, and carries out what it says until nothing is left to tell.
@@ -387,34 +453,56 @@
     }
 
     /// The final answer of a request that no upstream served: an upstream's own error, if there was one.
-    fn give_up(&mut self, id: RequestId, reply: Reply) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
+    fn give_up(&mut self, id: RequestId, reply: EngineReply) {
+        let Some(held) = self.requests.get_mut(&id) else {
+            return;
+        };
         // A refusal promises that the request never runs: one that is out may.
-        let out = held.out() > 0 && matches!(reply, Reply::Refused { .. });
-        let reply = if out { Reply::Failed { late: false } } else { reply };
-        let reply = held.error.take().map_or(reply, Reply::Served);
+        let out = held.out() > 0 && matches!(reply, EngineReply::Refused { .. });
+        let reply = if out {
+            EngineReply::Failed { late: false }
+        } else {
+            reply
+        };
+        let reply = held.error.take().map_or(reply, EngineReply::Served);
         self.answer(id, reply);
         self.forget(id);
     }
 
     fn carry_out(&mut self, service: usize, action: Action) {
         match action {
-            Action::Send { request, server, timeout } => self.send(request, server, timeout),
-            Action::Refuse { request, retry_after } => {
-                self.give_up(request, Reply::Refused { retry_after });
+            Action::Send {
+                request,
+                server,
+                timeout,
+            } => self.send(request, server, timeout),
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
+                self.give_up(request, EngineReply::Refused { retry_after });
             }
             Action::Fail { request } => {
                 let last = self.requests.get(&request).and_then(|h| h.last);
-                self.give_up(request, Reply::Failed { late: last == Some(Outcome::Timeout) });
+                self.give_up(
+                    request,
+                    EngineReply::Failed {
+                        late: last == Some(AttemptOutcome::Timeout),
+                    },
+                );
             }
             Action::Cancel { request, attempt } => {
                 let held = self.requests.get_mut(&request);
                 if let Some(tried) = held.and_then(|h| h.broken_off(attempt)) {
                     tried.state = TryState::Ending;
-                    self.later.push_back((request, attempt, Ended::bare(Outcome::Cancelled)));
+                    self.later.push_back((
+                        request,
+                        attempt,
+                        AttemptResult::bare(AttemptOutcome::Cancelled),
+                    ));
                 }
             }
-            Action::Arm { token, at } => {
+            Action::SetTimer { token, at } => {
                 let at = self.clock.on_grid(at, self.terms.grid);
                 self.timers.push(Reverse((at, Due::Token(service, token))));
             }
@@ -430,21 +518,33 @@
     }
 
     fn send(&mut self, id: RequestId, server: ServerId, allow: Span) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
+        let Some(held) = self.requests.get_mut(&id) else {
+            return;
+        };
         let (now, attempt) = (Instant::now(), held.attempts.len());
-        let allowed =
-            if allow.0 > 0 { now + Duration::from_micros(allow.0 as u64) } else { held.until };
+        let allowed = if allow.0 > 0 {
+            now + Duration::from_micros(allow.0 as u64)
+        } else {
+            held.until
+        };
         let until = allowed.min(held.until);
-        let Some(service) = self.services.get(held.service) else { return };
+        let Some(service) = self.services.get(held.service) else {
+            return;
+        };
         let twice = held.out() > 0 && !service.second_copies;
         let target = service.upstreams.target(server);
         let on_wire = Rc::new(Cell::new(false));
-        let mut tried =
-            Try { server, sent: now, on_wire: on_wire.clone(), state: TryState::Ending };
+        let mut tried = Try {
+            server,
+            sent: now,
+            on_wire: on_wire.clone(),
+            state: TryState::Ending,
+        };
         let over = held.reply.is_none() || attempt >= service.max_attempts || now >= until;
         let (Some(target), false) = (target, over || twice) else {
             held.attempts.push(tried);
-            self.later.push_back((id, attempt, Ended::bare(Outcome::Moot)));
+            self.later
+                .push_back((id, attempt, AttemptResult::bare(AttemptOutcome::NotIssued)));
             return;
         };
         let (pool, notes) = (self.pool.clone(), self.own_notes.clone());
@@ -455,7 +555,7 @@
                 live.get()
             };
             let ended = pool.attempt(server, &target, &forward, until, may_go).await;
-            let _ = notes.send(Note::Ended { id, attempt, ended });
+            let _ = notes.send(EngineEvent::Ended { id, attempt, ended });
         })));
         held.attempts.push(tried);
     }
--- a/crates/data-plane/src/engine/abandoned.rs
+++ b/crates/data-plane/src/engine/abandoned.rs
@@ -37,10 +37,19 @@
 
 impl Abandoned {
     /// An attempt has ended so long after its client had left.
-    pub(super) fn ended(&self, outcome: d::Outcome, after: Duration) {
-        let cancelled = matches!(outcome, d::Outcome::Cancelled | d::Outcome::Moot);
-        let end = if cancelled { End::Cancelled } else { End::Finished };
-        self.0.get_or_create(&Labels { end }).observe(after.as_secs_f64());
+    pub(super) fn ended(&self, outcome: d::AttemptOutcome, after: Duration) {
+        let cancelled = matches!(
+            outcome,
+            d::AttemptOutcome::Cancelled | d::AttemptOutcome::NotIssued
+        );
+        let end = if cancelled {
+            End::Cancelled
+        } else {
+            End::Finished
+        };
+        self.0
+            .get_or_create(&Labels { end })
+            .observe(after.as_secs_f64());
     }
 
     /// Adds it to what is told.
--- a/crates/data-plane/src/engine/clock.rs
+++ b/crates/data-plane/src/engine/clock.rs
@@ -15,8 +15,13 @@
 
 impl Clock {
     pub(super) fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), unix_us: unix.as_micros() as i64 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Self {
+            start: Instant::now(),
+            unix_us: unix.as_micros() as i64,
+        }
     }
 
     pub(super) fn now(&self) -> Time {
@@ -36,7 +41,9 @@
     pub(super) fn on_grid(&self, time: Time, grid: Duration) -> Instant {
         let grid = grid.as_micros().max(1) as i64;
         let passed = time.0 - self.unix_us;
-        self.instant(Time(self.unix_us + (passed + grid - 1).div_euclid(grid) * grid))
+        self.instant(Time(
+            self.unix_us + (passed + grid - 1).div_euclid(grid) * grid,
+        ))
     }
 
     pub(super) fn instant(&self, time: Time) -> Instant {
--- a/crates/data-plane/src/engine/handle.rs
+++ b/crates/data-plane/src/engine/handle.rs
@@ -8,18 +8,18 @@
 use bytes::Bytes;
 use hyper::Response;
 use load_balancing::interface as d;
-use load_balancing::interface::{ListKind, RequestId, Span};
-use protocol::keys::Row;
+use load_balancing::interface::{MembershipKind, RequestId, Span};
+use protocol::key_ranges::KeyRangeRow;
 use rustc_hash::FxHashMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
 use super::abandoned::Abandoned;
-use crate::upstreams::{Ended, Forward};
+use crate::upstream_pool::{AttemptResult, ForwardedRequest};
 
 /// An upstream as whoever lists it knows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Upstream {
+pub struct ListedUpstream {
     /// Who it is, in this life.
     pub id: String,
     /// Where it is; without a valid address the last one stands.
@@ -37,19 +37,19 @@
 }
 
 /// What the engine is told.
-pub enum Note {
+pub enum EngineEvent {
     Arrived {
         id: RequestId,
         service: usize,
-        arrival: Arrival,
-        forward: Forward,
-        reply: oneshot::Sender<Reply>,
+        arrival: IncomingRequest,
+        forward: ForwardedRequest,
+        reply: oneshot::Sender<EngineReply>,
     },
     Left(RequestId),
     Ended {
         id: RequestId,
         attempt: usize,
-        ended: Ended,
+        ended: AttemptResult,
     },
     /// A service has these settings from now on; the next one after the last is new.
     Settings {
@@ -59,20 +59,20 @@
     /// The list of a service's upstreams, or a change to it.
     Members {
         service: usize,
-        kind: ListKind,
-        list: Vec<Upstream>,
+        kind: MembershipKind,
+        list: Vec<ListedUpstream>,
     },
     /// Who holds which keys of a service, by id, all of them.
     Holders {
         service: usize,
-        rows: Vec<Row>,
+        rows: Vec<KeyRangeRow>,
     },
     /// The process is about to end: what waits to be sent is answered now.
     Ending,
 }
 
 /// A request as the module needs to know it.
-pub struct Arrival {
+pub struct IncomingRequest {
     pub class: usize,
     pub tenant: usize,
     pub key: Option<u64>,
@@ -85,15 +85,15 @@
 }
 
 /// The one final answer.
-pub enum Reply {
+pub enum EngineReply {
     Served(Response<Bytes>),
     Refused { retry_after: Span },
     Failed { late: bool },
 }
 
 /// The engine as clients' connections see it.
-pub struct Handle {
-    pub(super) notes: mpsc::UnboundedSender<Note>,
+pub struct EngineHandle {
+    pub(super) notes: mpsc::UnboundedSender<EngineEvent>,
     pub(super) next: Cell<u64>,
     pub(super) ready: Rc<Cell<bool>>,
     pub(super) work: Rc<RefCell<Work>>,
@@ -103,7 +103,7 @@
 /// How long upstreams were at requests for keys that they divide, by service and run of keys.
 pub(super) type Work = FxHashMap<(usize, u16), Duration>;
 
-impl Handle {
+impl EngineHandle {
     /// The work since this was asked last.
     pub fn work(&self) -> Work {
         std::mem::take(&mut *self.work.borrow_mut())
@@ -120,38 +120,52 @@
     }
 
     /// Tells the engine something.
-    pub fn tell(&self, note: Note) {
+    pub fn tell(&self, note: EngineEvent) {
         let _ = self.notes.send(note);
     }
 
     /// Another handle, for whoever brings the lists.
-    pub fn teller(&self) -> impl Fn(Note) + use<> {
+    pub fn teller(&self) -> impl Fn(EngineEvent) + use<> {
         let notes = self.notes.clone();
         move |note| drop(notes.send(note))
     }
 
     /// Hands in a request and waits for its answer. Dropped before that, it tells that the client left.
-    pub async fn ask(&self, service: usize, arrival: Arrival, forward: Forward) -> Reply {
+    pub async fn ask(
+        &self,
+        service: usize,
+        arrival: IncomingRequest,
+        forward: ForwardedRequest,
+    ) -> EngineReply {
         let id = RequestId(self.next.replace(self.next.get() + 1));
         let (reply, answer) = oneshot::channel();
-        let _ = self.notes.send(Note::Arrived { id, service, arrival, forward, reply });
-        let mut leaving = Leaving { id, notes: Some(&self.notes) };
+        let _ = self.notes.send(EngineEvent::Arrived {
+            id,
+            service,
+            arrival,
+            forward,
+            reply,
+        });
+        let mut leaving = Leaving {
+            id,
+            notes: Some(&self.notes),
+        };
         let answer = answer.await;
         leaving.notes = None;
-        answer.unwrap_or(Reply::Failed { late: false })
+        answer.unwrap_or(EngineReply::Failed { late: false })
     }
 }
 
 /// Tells of a client that went away before its answer.
 struct Leaving<'a> {
     id: RequestId,
-    notes: Option<&'a mpsc::UnboundedSender<Note>>,
+    notes: Option<&'a mpsc::UnboundedSender<EngineEvent>>,
 }
 
 impl Drop for Leaving<'_> {
     fn drop(&mut self) {
         if let Some(notes) = self.notes {
-            let _ = notes.send(Note::Left(self.id));
+            let _ = notes.send(EngineEvent::Left(self.id));
         }
     }
 }
--- a/crates/data-plane/src/engine/listed.rs
+++ b/crates/data-plane/src/engine/listed.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use hyper::header::HeaderValue;
-use load_balancing::interface::{self as d, ListKind, ServerId};
+use load_balancing::interface::{self as d, MembershipKind, ServerId};
 use load_balancing::settings::stable_hash;
 use rustc_hash::FxHashMap;
 use tokio::time::Instant;
 
-use super::Upstream;
+use super::ListedUpstream;
 use super::clock::Clock;
-use crate::upstreams::{Pool, Target};
+use crate::upstream_pool::{Target, UpstreamPool};
 
 /// The upstreams that the list has named, by the module's handle. Failure: none was ever forgotten, and every
 /// list walked all ids of the day.
@@ -30,7 +30,11 @@
 
 impl Upstreams {
     pub(super) fn new(grace: Duration) -> Self {
-        Self { ids: FxHashMap::default(), targets: FxHashMap::default(), grace }
+        Self {
+            ids: FxHashMap::default(),
+            targets: FxHashMap::default(),
+            grace,
+        }
     }
 
     pub(super) fn target(&self, server: ServerId) -> Option<Rc<Target>> {
@@ -38,21 +42,23 @@
     }
 
     pub(super) fn any_open(&self) -> bool {
-        self.targets.values().any(|k| k.target.closed_from.get().is_none())
+        self.targets
+            .values()
+            .any(|k| k.target.closed_from.get().is_none())
     }
 
     /// Takes in a list and puts it into the module's words.
     pub(super) fn update(
         &mut self,
-        list: &[Upstream],
-        kind: ListKind,
-        pool: &Pool,
+        list: &[ListedUpstream],
+        kind: MembershipKind,
+        pool: &UpstreamPool,
         next: &mut u32,
         clock: Clock,
-    ) -> Vec<d::Member> {
+    ) -> Vec<d::Endpoint> {
         let closed_from = Instant::now() + self.grace;
         let close = |t: &Target| t.closed_from.set(t.closed_from.get().or(Some(closed_from)));
-        if kind != ListKind::Update {
+        if kind != MembershipKind::Update {
             // What a whole list leaves out is gone.
             for known in self.targets.values_mut() {
                 known.gone = true;
@@ -71,7 +77,9 @@
                 continue;
             };
             let id = self.id(entry, address, next);
-            let Some(known) = self.targets.get_mut(&id) else { continue };
+            let Some(known) = self.targets.get_mut(&id) else {
+                continue;
+            };
             if known.target.address.replace(address) != address {
                 pool.close_idle(id);
             }
@@ -80,7 +88,7 @@
                 d::Status::Live => known.target.closed_from.set(None),
                 d::Status::Draining | d::Status::Gone => close(&known.target),
             }
-            members.push(d::Member {
+            members.push(d::Endpoint {
                 id,
                 identity: stable_hash(&entry.id),
                 zone: entry.zone,
@@ -92,12 +100,15 @@
                 started: entry.started.map(|at| clock.of(at)),
             });
         }
-        self.targets.values().filter(|k| k.gone).for_each(|k| close(&k.target));
+        self.targets
+            .values()
+            .filter(|k| k.gone)
+            .for_each(|k| close(&k.target));
         members
     }
 
     /// Drops what is gone and has no attempt left that looks at it.
-    pub(super) fn forget(&mut self, pool: &Pool) {
+    pub(super) fn forget(&mut self, pool: &UpstreamPool) {
         self.targets.retain(|id, known| {
             let keep = !known.gone || Rc::strong_count(&known.target) > 1;
             if !keep {
@@ -108,7 +119,7 @@
         self.ids.retain(|_, id| self.targets.contains_key(id));
     }
 
-    fn id(&mut self, entry: &Upstream, address: SocketAddr, next: &mut u32) -> ServerId {
+    fn id(&mut self, entry: &ListedUpstream, address: SocketAddr, next: &mut u32) -> ServerId {
         if let Some(id) = self.ids.get(&entry.id) {
             return *id;
         }
@@ -117,8 +128,18 @@
         self.ids.insert(entry.id.clone(), id);
         let (address, closed_from) = (Cell::new(address), Cell::new(None));
         let name = HeaderValue::from_str(&entry.id).ok();
-        let target = Rc::new(Target { address, name, closed_from });
-        self.targets.insert(id, Known { target, gone: false });
+        let target = Rc::new(Target {
+            address,
+            name,
+            closed_from,
+        });
+        self.targets.insert(
+            id,
+            Known {
+                target,
+                gone: false,
+            },
+        );
         id
     }
 }
--- a/crates/data-plane/src/engine/requests.rs
+++ b/crates/data-plane/src/engine/requests.rs
@@ -5,27 +5,27 @@
 
 use bytes::Bytes;
 use hyper::Response;
-use load_balancing::interface::{Outcome, ServerId};
+use load_balancing::interface::{AttemptOutcome, ServerId};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::Reply;
-use crate::upstreams::{AbortOnDrop, Forward};
+use super::EngineReply;
+use crate::upstream_pool::{AbortOnDrop, ForwardedRequest};
 
 /// A request that is owed an answer, or has attempts out.
 pub(super) struct Held {
     pub(super) service: usize,
     pub(super) shard: Option<u16>,
-    pub(super) forward: Rc<Forward>,
+    pub(super) forward: Rc<ForwardedRequest>,
     /// Taken by the final answer.
-    pub(super) reply: Option<oneshot::Sender<Reply>>,
+    pub(super) reply: Option<oneshot::Sender<EngineReply>>,
     /// Read by attempts right before they go on the wire.
     pub(super) live: Rc<Cell<bool>>,
     /// When its client left without an answer.
     pub(super) left: Option<Instant>,
     pub(super) until: Instant,
     pub(super) attempts: Vec<Try>,
-    pub(super) last: Option<Outcome>,
+    pub(super) last: Option<AttemptOutcome>,
     /// An upstream's own error, the answer if there is no better one.
     pub(super) error: Option<Response<Bytes>>,
 }
@@ -52,7 +52,10 @@
 impl Held {
     /// Attempts whose end the module has not been told.
     pub(super) fn out(&self) -> usize {
-        self.attempts.iter().filter(|a| !matches!(a.state, TryState::Ended)).count()
+        self.attempts
+            .iter()
+            .filter(|a| !matches!(a.state, TryState::Ended))
+            .count()
     }
 
     /// Whether an upstream may have run it, as far as its last attempt tells. What may run once is not held after
@@ -67,7 +70,9 @@
     pub(super) fn broken_off(&mut self, attempt: usize) -> Option<&mut Try> {
         let live = self.live.get();
         let tried = self.attempts.get_mut(attempt)?;
-        let TryState::Running(task) = &tried.state else { return None };
+        let TryState::Running(task) = &tried.state else {
+            return None;
+        };
         let at_work = !task.0.is_finished() && (live || tried.on_wire.get());
         at_work.then_some(tried)
     }
--- a/crates/data-plane/src/framing.rs
+++ b/crates/data-plane/src/framing.rs
@@ -9,8 +9,8 @@
 };
 use hyper::{Method, Response, StatusCode, Version};
 
-use crate::heads::HEAD_LINES;
-use crate::splice::status_lines;
+use crate::headers::MAX_HEADER_LINES;
+use crate::tunnel::status_lines;
 
 /// The head of an answer may have so many bytes, and so may each line of a chunked body's framing.
 pub const HEAD_LIMIT: usize = 16 << 10;
@@ -41,7 +41,7 @@
 
 /// The head at the start of `bytes` and its length, or `None` while more of it is to come.
 pub fn parse_head(bytes: &[u8]) -> Result<Option<(Response<()>, usize)>, Malformed> {
-    let mut lines = [httparse::EMPTY_HEADER; HEAD_LINES];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
     let mut answer = httparse::Response::new(&mut lines);
     let length = match answer.parse(bytes).map_err(|_| Malformed)? {
         httparse::Status::Partial => return Ok(None),
@@ -54,11 +54,17 @@
     if status_lines(&bytes[1..length]).next().is_some() {
         return Err(Malformed);
     }
-    let code = answer.code.filter(|code| (100..600).contains(code)).ok_or(Malformed)?;
+    let code = answer
+        .code
+        .filter(|code| (100..600).contains(code))
+        .ok_or(Malformed)?;
     let mut head = Response::new(());
     *head.status_mut() = StatusCode::from_u16(code).map_err(|_| Malformed)?;
-    *head.version_mut() =
-        if answer.version == Some(1) { Version::HTTP_11 } else { Version::HTTP_10 };
+    *head.version_mut() = if answer.version == Some(1) {
+        Version::HTTP_11
+    } else {
+        Version::HTTP_10
+    };
     for line in answer.headers {
         let name = HeaderName::from_bytes(line.name.as_bytes()).map_err(|_| Malformed)?;
         let value = HeaderValue::from_bytes(line.value).map_err(|_| Malformed)?;
@@ -70,7 +76,9 @@
 /// Whether a line ends without a carriage return. Looks at all pairs, so that the compiler can take many at once.
 fn has_bare_line_feed(bytes: &[u8]) -> bool {
     let pairs = bytes.iter().zip(bytes.iter().skip(1));
-    pairs.fold(false, |found, (before, byte)| found | ((*byte == b'\n') & (*before != b'\r')))
+    pairs.fold(false, |found, (before, byte)| {
+        found | ((*byte == b'\n') & (*before != b'\r'))
+    })
 }
 
 /// How the body that follows a head is framed (RFC 9112, 6.3).
@@ -87,7 +95,11 @@
     if status.is_informational() || status == StatusCode::NO_CONTENT {
         // Neither has a body. One that announces a body might send it all the same.
         let announced = coded || length.is_some_and(|length| length > 0);
-        return if announced { Err(Malformed) } else { Ok(Framing::Length(0)) };
+        return if announced {
+            Err(Malformed)
+        } else {
+            Ok(Framing::Length(0))
+        };
     }
     if status == StatusCode::NOT_MODIFIED || method == Method::HEAD {
         // What they announce is the body that they leave out.
@@ -102,7 +114,9 @@
 
 fn content_length(headers: &HeaderMap) -> Result<Option<usize>, Malformed> {
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
-    let Some(length) = lengths.next() else { return Ok(None) };
+    let Some(length) = lengths.next() else {
+        return Ok(None);
+    };
     // `parse` would take a sign.
     if lengths.next().is_some() || !length.as_bytes().iter().all(u8::is_ascii_digit) {
         return Err(Malformed);
@@ -114,13 +128,19 @@
 /// Whether the one coding is the chunked one, and the version knows it.
 fn is_chunked(head: &Response<()>) -> bool {
     let mut codings = head.headers().get_all(TRANSFER_ENCODING).iter();
-    let first = codings.next().is_some_and(|c| c.as_bytes().eq_ignore_ascii_case(b"chunked"));
+    let first = codings
+        .next()
+        .is_some_and(|c| c.as_bytes().eq_ignore_ascii_case(b"chunked"));
     first && codings.next().is_none() && head.version() == Version::HTTP_11
 }
 
 /// The size that a chunk's first line announces, whatever extensions follow it.
 pub fn chunk_size(line: &[u8]) -> Result<usize, Malformed> {
-    let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii_end();
+    let digits = line
+        .split(|byte| *byte == b';')
+        .next()
+        .unwrap_or_default()
+        .trim_ascii_end();
     // `from_str_radix` would take a sign.
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_hexdigit) {
         return Err(Malformed);
@@ -131,7 +151,10 @@
 
 /// Whether a line after the last chunk is a header. A second answer's first line is none.
 pub fn is_trailer(line: &[u8]) -> bool {
-    let name = line.iter().position(|byte| *byte == b':').map(|end| &line[..end]);
+    let name = line
+        .iter()
+        .position(|byte| *byte == b':')
+        .map(|end| &line[..end]);
     name.is_some_and(|name| HeaderName::from_bytes(name).is_ok())
 }
 
@@ -142,6 +165,11 @@
 
 /// Whether the `Connection` header names this.
 pub fn names_in_connection(headers: &HeaderMap, name: &str) -> bool {
-    let values = headers.get_all(CONNECTION).iter().filter_map(|v| v.to_str().ok());
-    values.flat_map(|v| v.split(',')).any(|n| n.trim().eq_ignore_ascii_case(name))
+    let values = headers
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|v| v.to_str().ok());
+    values
+        .flat_map(|v| v.split(','))
+        .any(|n| n.trim().eq_ignore_ascii_case(name))
 }
--- a/crates/data-plane/src/fetch.rs
+++ b/crates/data-plane/src/http_client.rs
@@ -13,15 +13,15 @@
 use socket2::SockRef;
 use tokio::time::{Instant, timeout_at};
 
-use crate::upstreams::AbortOnDrop;
-use crate::watch::dial;
+use crate::control_client::dial;
+use crate::upstream_pool::AbortOnDrop;
 
 /// No answer is longer.
 const LONGEST: usize = 8 << 20;
 
 /// Why a call brought nothing.
 #[derive(Debug, thiserror::Error)]
-pub enum FetchError {
+pub enum HttpClientError {
     #[error("connect: {0}")]
     Connect(std::io::Error),
     #[error("{0}")]
@@ -29,17 +29,17 @@
     #[error("answered {0}")]
     Status(StatusCode),
     #[error("silent for too long")]
-    Silent,
+    Timeout,
     #[error("an answer that is cut short or too long")]
-    Body,
+    BodyTooLong,
     #[error("an answer that makes no sense: {0}")]
     Malformed(serde_json::Error),
     #[error("pages without end")]
-    Endless,
+    TooManyPages,
 }
 
 /// The client.
-pub struct Client {
+pub struct HttpClient {
     address: SocketAddr,
     host: HeaderValue,
     /// A call that is given up leaves nothing on its way.
@@ -47,25 +47,35 @@
     kept: RefCell<Option<(SendRequest<Full<Bytes>>, AbortOnDrop)>>,
 }
 
-impl Client {
+impl HttpClient {
     pub fn new(address: SocketAddr) -> Self {
         let host = HeaderValue::from_str(&address.to_string());
         let host = host.unwrap_or(HeaderValue::from_static("upstream"));
-        Self { address, host, resets: false, kept: RefCell::new(None) }
+        Self {
+            address,
+            host,
+            resets: false,
+            kept: RefCell::new(None),
+        }
     }
 
     /// One whose calls have arrived by the time they are given up, or never do.
-    pub fn resetting(address: SocketAddr) -> Self {
-        Self { resets: true, ..Self::new(address) }
+    pub fn with_reset_on_drop(address: SocketAddr) -> Self {
+        Self {
+            resets: true,
+            ..Self::new(address)
+        }
     }
 
     /// The body of a 200; anything else is an error.
-    pub async fn get(&self, path: &str, within: Duration) -> Result<Bytes, FetchError> {
-        let request = Request::get(path).body(Full::default()).map_err(|_| FetchError::Body)?;
+    pub async fn get(&self, path: &str, within: Duration) -> Result<Bytes, HttpClientError> {
+        let request = Request::get(path)
+            .body(Full::default())
+            .map_err(|_| HttpClientError::BodyTooLong)?;
         let answer = self.call(request, Instant::now() + within).await?;
         match answer.status() {
             StatusCode::OK => Ok(answer.into_body()),
-            status => Err(FetchError::Status(status)),
+            status => Err(HttpClientError::Status(status)),
         }
     }
 
@@ -74,36 +84,49 @@
         &self,
         request: Request<Full<Bytes>>,
         until: Instant,
-    ) -> Result<Response<Bytes>, FetchError> {
-        timeout_at(until, self.exchange(request)).await.map_err(|_| FetchError::Silent)?
+    ) -> Result<Response<Bytes>, HttpClientError> {
+        timeout_at(until, self.exchange(request))
+            .await
+            .map_err(|_| HttpClientError::Timeout)?
     }
 
     async fn exchange(
         &self,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<Response<Bytes>, FetchError> {
-        let kept = self.kept.borrow_mut().take().filter(|(sender, _)| !sender.is_closed());
+    ) -> Result<Response<Bytes>, HttpClientError> {
+        let kept = self
+            .kept
+            .borrow_mut()
+            .take()
+            .filter(|(sender, _)| !sender.is_closed());
         let (mut sender, connection) = match kept {
             Some(kept) => kept,
             None => {
-                let stream = dial(self.address).await.map_err(FetchError::Connect)?;
+                let stream = dial(self.address).await.map_err(HttpClientError::Connect)?;
                 if self.resets {
                     // Without it what is on its way arrives all the same, later.
                     let linger = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
-                    linger.map_err(FetchError::Connect)?;
+                    linger.map_err(HttpClientError::Connect)?;
                 }
-                let (sender, connection) =
-                    handshake(TokioIo::new(stream)).await.map_err(FetchError::Http)?;
+                let (sender, connection) = handshake(TokioIo::new(stream))
+                    .await
+                    .map_err(HttpClientError::Http)?;
                 let task = tokio::task::spawn_local(async move { drop(connection.await) });
                 (sender, AbortOnDrop(task))
             }
         };
-        sender.ready().await.map_err(FetchError::Http)?;
-        request.headers_mut().entry(HOST).or_insert(self.host.clone());
-        let answer = sender.send_request(request).await.map_err(FetchError::Http)?;
+        sender.ready().await.map_err(HttpClientError::Http)?;
+        request
+            .headers_mut()
+            .entry(HOST)
+            .or_insert(self.host.clone());
+        let answer = sender
+            .send_request(request)
+            .await
+            .map_err(HttpClientError::Http)?;
         let (head, body) = answer.into_parts();
         let body = Limited::new(body, LONGEST).collect().await;
-        let body = body.map_err(|_| FetchError::Body)?.to_bytes();
+        let body = body.map_err(|_| HttpClientError::BodyTooLong)?.to_bytes();
         *self.kept.borrow_mut() = Some((sender, connection));
         Ok(Response::from_parts(head, body))
     }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,9 +1,9 @@
 //! The data plane: clients in front, upstreams behind, every decision in the decision module.
 //!
-//! Read it in the order in which a request meets it: [`front`] accepts connections and reads requests,
+//! Read it in the order in which a request meets it: [`listener`] accepts connections and reads requests,
 //! a gate (`routes`, or a program's own) finds what a request is and asks the [`engine`], which feeds the
-//! decision module and carries out its actions; [`upstreams`] makes the attempts, each an exchange on one
-//! connection ([`link`]). [`watch`] brings news from
+//! decision module and carries out its actions; [`upstream_pool`] makes the attempts, each an exchange on one
+//! connection ([`upstream_connection`]). [`control_client`] brings news from
 //! the control plane, [`metrics`] tells what was counted. Everything runs on one thread; only the engine touches the modules.
 //!
 //! **Promises.** Every request that was read whole gets one final answer; nothing is sent twice that may run
@@ -11,19 +11,19 @@
 //! with what it last knew, never with anything older.
 #![forbid(unsafe_code)]
 
-pub mod bodies;
-pub mod changes;
-pub mod connections;
+pub mod body;
+pub mod change_notifier;
+pub mod client_connections;
+pub mod control_client;
 pub mod engine;
-pub mod fetch;
 mod framing;
-pub mod front;
-pub mod heads;
-pub mod link;
+pub mod headers;
+pub mod http_client;
+pub mod listener;
 pub mod metrics;
-pub mod node;
 pub mod routes;
-mod splice;
+pub mod runtime;
 pub mod stream;
-pub mod upstreams;
-pub mod watch;
+mod tunnel;
+pub mod upstream_connection;
+pub mod upstream_pool;
--- a/crates/data-plane/src/front.rs
+++ b/crates/data-plane/src/listener.rs
@@ -20,8 +20,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::connections::{Connection, Connections, Seat, Times};
-use crate::heads::{Answer, HEAD_LINES};
+use crate::client_connections::{ClientTimeouts, Connection, ConnectionSlot, Connections};
+use crate::headers::{ClientResponse, MAX_HEADER_LINES};
 use crate::stream::{Shared, Tapped};
 
 /// After the last deadline, time for the answers to be written.
@@ -30,7 +30,7 @@
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// When a front closes, a connection that has nothing open still waits so long for a request that is on its way:
 /// as long as a link may hold packets.
-pub const LAST_WORD: Duration = Duration::from_millis(500);
+pub const FINAL_REQUEST_WAIT: Duration = Duration::from_millis(500);
 /// What a client still sends behind its last answer is read for so long, and up to so much.
 const LINGER_TIME: Duration = Duration::from_millis(500);
 const LINGER_BYTES: usize = 4 << 20;
@@ -39,28 +39,28 @@
 
 /// What a front is told to hold to.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct ListenerLimits {
     /// The most connections.
-    pub most: usize,
+    pub max_connections: usize,
     /// So many in use leave room for more; beyond, idle ones are closed.
-    pub at_ease: usize,
+    pub idle_eviction_threshold: usize,
     /// A head may have so many bytes.
-    pub head: usize,
+    pub max_header_bytes: usize,
     /// How long clients may take.
-    pub times: Times,
+    pub timeouts: ClientTimeouts,
     /// How long connections are still accepted after the word to stop: clients need a moment to hear of it.
-    pub linger: Duration,
+    pub accept_grace: Duration,
     /// How long what is open after that may take.
-    pub finish: Duration,
-    /// How much of that a connection with nothing open waits for a request: [`LAST_WORD`] in service.
-    pub last_word: Duration,
+    pub drain_timeout: Duration,
+    /// How much of that a connection with nothing open waits for a request: [`FINAL_REQUEST_WAIT`] in service.
+    pub final_request_wait: Duration,
 }
 
 /// What the end of a connection tells of the last answer on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Receipt {
+pub enum DeliveryStatus {
     /// The client closed in order: it has read it.
-    Read,
+    Delivered,
     /// The connection broke.
     Broken,
     /// It ended without a sign.
@@ -69,19 +69,22 @@
 
 /// Tells of the receipt of an answer: among the extensions of a request, where the gate wants them.
 #[derive(Clone)]
-pub struct Receipts(watch::Receiver<Option<Receipt>>);
+pub struct DeliveryReceipts(watch::Receiver<Option<DeliveryStatus>>);
 
-impl Receipts {
+impl DeliveryReceipts {
     /// Waits for the end of the connection.
-    pub async fn next(&mut self) -> Receipt {
+    pub async fn next(&mut self) -> DeliveryStatus {
         let receipt = self.0.wait_for(Option::is_some).await;
-        receipt.ok().and_then(|receipt| *receipt).unwrap_or(Receipt::Unknown)
+        receipt
+            .ok()
+            .and_then(|receipt| *receipt)
+            .unwrap_or(DeliveryStatus::Unknown)
     }
 }
 
 /// What answers the requests of a front.
-pub trait Gate: 'static {
-    /// Whether its requests carry [`Receipts`].
+pub trait RequestHandler: 'static {
+    /// Whether its requests carry [`DeliveryReceipts`].
     const WANTS_RECEIPTS: bool = false;
 
     /// The one answer to a request that arrived then.
@@ -90,30 +93,38 @@
         request: Request<Incoming>,
         arrived: Instant,
         stopping: bool,
-    ) -> impl Future<Output = Answer>;
+    ) -> impl Future<Output = ClientResponse>;
 }
 
 /// A server with its gate.
-pub struct Front<G> {
+pub struct Listener<G> {
     gate: Rc<G>,
     connections: Rc<Connections>,
-    bounds: Cell<Bounds>,
+    bounds: Cell<ListenerLimits>,
     stopping: Cell<bool>,
 }
 
-impl<G: Gate> Front<G> {
-    pub fn new(gate: Rc<G>, bounds: Bounds) -> Rc<Self> {
+impl<G: RequestHandler> Listener<G> {
+    pub fn new(gate: Rc<G>, bounds: ListenerLimits) -> Rc<Self> {
         Rc::new(Self {
             gate,
-            connections: Connections::new(bounds.most, bounds.at_ease, bounds.times),
+            connections: Connections::new(
+                bounds.max_connections,
+                bounds.idle_eviction_threshold,
+                bounds.timeouts,
+            ),
             bounds: Cell::new(bounds),
             stopping: Cell::new(false),
         })
     }
 
     /// Holds to other limits on heads and times from now on.
-    pub fn limit(&self, head: usize, times: Times) {
-        self.bounds.set(Bounds { head, times, ..self.bounds.get() });
+    pub fn set_limits(&self, head: usize, times: ClientTimeouts) {
+        self.bounds.set(ListenerLimits {
+            max_header_bytes: head,
+            timeouts: times,
+            ..self.bounds.get()
+        });
         self.connections.allow(times);
     }
 
@@ -130,7 +141,7 @@
             tracing::info!("stopping");
             // From here each answer asks its client to go elsewhere; new connections still find us.
             self.stopping.set(true);
-            let _ = timeout(self.bounds.get().linger, accepting).await;
+            let _ = timeout(self.bounds.get().accept_grace, accepting).await;
         }
         drop(listener);
         let _ = close.send(true);
@@ -140,7 +151,7 @@
             }
         };
         // Counted from the last accept, not from the signal: what came last has its whole deadline.
-        let _ = timeout(self.bounds.get().finish + FINISH, finished).await;
+        let _ = timeout(self.bounds.get().drain_timeout + FINISH, finished).await;
     }
 
     async fn accept(self: &Rc<Self>, listener: &TcpListener, closing: &watch::Receiver<bool>) {
@@ -174,22 +185,24 @@
         self: Rc<Self>,
         io: Tapped,
         stream: Shared,
-        seat: Seat,
+        seat: ConnectionSlot,
         mut closing: watch::Receiver<bool>,
     ) {
         let known = &*seat.connection;
         let receipts = G::WANTS_RECEIPTS.then(|| watch::channel(None));
         let service = service_fn(|mut request: Request<Incoming>| {
             if let Some((_, receipts)) = &receipts {
-                request.extensions_mut().insert(Receipts(receipts.clone()));
+                request
+                    .extensions_mut()
+                    .insert(DeliveryReceipts(receipts.clone()));
             }
             self.respond(request, &seat)
         });
         let (ended, silent) = {
             let connection = http1::Builder::new()
                 .header_read_timeout(None) // Each connection's own limits hold.
-                .max_buf_size(self.bounds.get().head.max(LEAST_BUFFER))
-                .max_headers(HEAD_LINES)
+                .max_buf_size(self.bounds.get().max_header_bytes.max(LEAST_BUFFER))
+                .max_headers(MAX_HEADER_LINES)
                 .serve_connection(TokioIo::new(io), service);
             tokio::pin!(connection);
             // Failure: a request that came in the moment of closing, on a connection just accepted, was read to its
@@ -204,7 +217,7 @@
                     () = known.outstays() => break None,
                     _ = closing.wait_for(|c| *c), if !stopping => {
                         stopping = true;
-                        last_word = Some(Instant::now() + self.bounds.get().last_word);
+                        last_word = Some(Instant::now() + self.bounds.get().final_request_wait);
                     }
                     () = until(last_word), if last_word.is_some() => {
                         last_word = None;
@@ -216,7 +229,7 @@
             (ended, silent)
         };
         // What is not read to its end is closed as unread: its client may send it elsewhere.
-        let mut receipt = Receipt::Unknown;
+        let mut receipt = DeliveryStatus::Unknown;
         if ended.is_some() && !silent {
             known.closing();
             receipt = tokio::select! {
@@ -226,17 +239,30 @@
         }
         if let Some((sender, _)) = &receipts {
             let broken = ended == Some(false);
-            sender.send_replace(Some(if broken { Receipt::Broken } else { receipt }));
+            sender.send_replace(Some(if broken {
+                DeliveryStatus::Broken
+            } else {
+                receipt
+            }));
         }
     }
 
-    async fn respond(&self, request: Request<Incoming>, seat: &Seat) -> Result<Answer, Infallible> {
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+        seat: &ConnectionSlot,
+    ) -> Result<ClientResponse, Infallible> {
         let arrived = Instant::now();
         seat.connection.asked();
-        let mut answer = self.gate.answer(request, arrived, self.stopping.get()).await;
+        let mut answer = self
+            .gate
+            .answer(request, arrived, self.stopping.get())
+            .await;
         // From the word to stop on, each answer asks its client to go elsewhere.
         if self.stopping.get() {
-            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            answer
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         seat.answered();
         Ok(answer)
@@ -253,14 +279,18 @@
 /// worked for to the end.
 async fn left(stream: &Shared, connection: &Connection) {
     poll_fn(|cx| {
-        if connection.is_asked() { stream.borrow_mut().poll_closed(cx) } else { Poll::Pending }
+        if connection.is_asked() {
+            stream.borrow_mut().poll_closed(cx)
+        } else {
+            Poll::Pending
+        }
     })
     .await;
 }
 
 /// Reads what still comes until the client closes too. Failure: closed with something unread, the kernel
 /// resets the connection, and the answer may be lost on its way.
-async fn read_out(stream: &Shared) -> Receipt {
+async fn read_out(stream: &Shared) -> DeliveryStatus {
     let mut scrap = vec![0; LEAST_BUFFER];
     let mut left = LINGER_BYTES;
     while left > 0 {
@@ -270,12 +300,12 @@
             read.map_ok(|()| buf.filled().len())
         });
         match read.await {
-            Ok(0) => return Receipt::Read,
-            Err(_) => return Receipt::Broken,
+            Ok(0) => return DeliveryStatus::Delivered,
+            Err(_) => return DeliveryStatus::Broken,
             Ok(n) => left = left.saturating_sub(n),
         }
     }
-    Receipt::Unknown
+    DeliveryStatus::Unknown
 }
 
 #[cfg(test)]
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::engine::Abandoned;
-use crate::heads::Answer;
+use crate::headers::ClientResponse;
 
 /// The form in which counts are told.
 const FORM: HeaderValue =
@@ -31,19 +31,21 @@
 }
 
 /// The answer that tells counts.
-pub fn answer(text: String) -> Answer {
-    let mut answer = Answer::new(text.into());
+pub fn metrics_response(text: String) -> ClientResponse {
+    let mut answer = ClientResponse::new(text.into());
     answer.headers_mut().insert(CONTENT_TYPE, FORM);
     answer
 }
 
 /// Bounds of the times, in seconds: aims lie between a fifth of a second and some seconds.
-const BOUNDS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 30.0];
+const BOUNDS: [f64; 12] = [
+    0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 30.0,
+];
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct Of {
     route: String,
-    outcome: Outcome,
+    outcome: RequestOutcome,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -53,7 +55,7 @@
 
 /// What became of a request.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, EncodeLabelValue)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// An upstream's answer was passed on.
     Served,
     /// It was told to come again; it has not run.
@@ -64,15 +66,19 @@
     Failed,
 }
 
-const OUTCOMES: [Outcome; 4] =
-    [Outcome::Served, Outcome::Refused, Outcome::Malformed, Outcome::Failed];
+const OUTCOMES: [RequestOutcome; 4] = [
+    RequestOutcome::Served,
+    RequestOutcome::Refused,
+    RequestOutcome::Malformed,
+    RequestOutcome::Failed,
+];
 
 /// All that is counted at one balancer.
 pub struct Metrics {
     registry: RefCell<Registry>,
     requests: Family<Of, Counter>,
     seconds: Family<OfRoute, Histogram, fn() -> Histogram>,
-    routes: RefCell<BTreeMap<String, Rc<Counts>>>,
+    routes: RefCell<BTreeMap<String, Rc<RouteMetrics>>>,
     /// Requests that no route is for.
     pub unrouted: Counter,
     pub version: Gauge,
@@ -81,14 +87,14 @@
 }
 
 /// What is counted of one route.
-pub struct Counts {
+pub struct RouteMetrics {
     outcomes: [Counter; OUTCOMES.len()],
     seconds: Histogram,
 }
 
-impl Counts {
+impl RouteMetrics {
     /// A request of this route has its answer.
-    pub fn answered(&self, outcome: Outcome, arrived: Instant) {
+    pub fn record_response(&self, outcome: RequestOutcome, arrived: Instant) {
         self.outcomes[outcome as usize].inc();
         self.seconds.observe(arrived.elapsed().as_secs_f64());
     }
@@ -106,37 +112,62 @@
         registry.register("requests", said, requests.clone());
         let said = "Time from the arrival of a request to its answer";
         registry.register_with_unit("request", said, Unit::Seconds, seconds.clone());
-        registry.register("unrouted_requests", "Requests that no route is for", unrouted.clone());
+        registry.register(
+            "unrouted_requests",
+            "Requests that no route is for",
+            unrouted.clone(),
+        );
         registry.register("configuration_version", "`rev` in force", version.clone());
-        registry.register("balancers", "Balancers in the bank, as told", balancers.clone());
+        registry.register(
+            "balancers",
+            "Balancers in the bank, as told",
+            balancers.clone(),
+        );
         registry.register("upstreams", "Upstreams known", upstreams.clone());
         abandoned.register(&mut registry);
         let (registry, routes) = (RefCell::new(registry), RefCell::default());
-        Self { registry, requests, seconds, routes, unrouted, version, balancers, upstreams }
+        Self {
+            registry,
+            requests,
+            seconds,
+            routes,
+            unrouted,
+            version,
+            balancers,
+            upstreams,
+        }
     }
 
     /// The counts of a route; what was counted of it before goes on.
-    pub fn route(&self, name: &str) -> Rc<Counts> {
+    pub fn route(&self, name: &str) -> Rc<RouteMetrics> {
         if let Some(known) = self.routes.borrow().get(name) {
             return known.clone();
         }
         let route = name.to_string();
-        let of = |outcome| Of { route: route.clone(), outcome };
+        let of = |outcome| Of {
+            route: route.clone(),
+            outcome,
+        };
         let outcomes = OUTCOMES.map(|o| self.requests.get_or_create_owned(&of(o)));
-        let seconds = self.seconds.get_or_create_owned(&OfRoute { route: route.clone() });
-        let counts = Rc::new(Counts { outcomes, seconds });
+        let seconds = self.seconds.get_or_create_owned(&OfRoute {
+            route: route.clone(),
+        });
+        let counts = Rc::new(RouteMetrics { outcomes, seconds });
         self.routes.borrow_mut().insert(route, counts.clone());
         counts
     }
 
     /// Only these routes are there by now.
-    pub fn keep<'a>(&self, names: impl Iterator<Item = &'a str>) {
+    pub fn retain_routes<'a>(&self, names: impl Iterator<Item = &'a str>) {
         let mut gone = self.routes.take();
         let kept = names.filter_map(|name| gone.remove_entry(name));
         self.routes.replace(kept.collect());
         for route in gone.into_keys() {
             for outcome in OUTCOMES {
-                self.requests.remove(&Of { route: route.clone(), outcome });
+                self.requests.remove(&Of {
+                    route: route.clone(),
+                    outcome,
+                });
             }
             self.seconds.remove(&OfRoute { route });
         }
@@ -157,9 +188,11 @@
         let metrics = Metrics::new(&Abandoned::default());
         let arrived = Instant::now();
         for outcome in OUTCOMES {
-            metrics.route("a").answered(outcome, arrived);
+            metrics.route("a").record_response(outcome, arrived);
         }
-        metrics.route("b").answered(Outcome::Served, arrived);
+        metrics
+            .route("b")
+            .record_response(RequestOutcome::Served, arrived);
         metrics.version.set(7);
         let text = metrics.text();
         for line in [
@@ -173,10 +206,12 @@
         ] {
             assert!(text.contains(line), "no {line} in {text}");
         }
-        metrics.keep(["a"].into_iter());
+        metrics.retain_routes(["a"].into_iter());
         let text = metrics.text();
         assert!(!text.contains("route=\"b\""), "{text}");
-        metrics.route("a").answered(Outcome::Served, arrived);
+        metrics
+            .route("a")
+            .record_response(RequestOutcome::Served, arrived);
         let line = "shorefront_requests_total{route=\"a\",outcome=\"Served\"} 2";
         assert!(metrics.text().contains(line), "counted on");
     }
--- a/crates/data-plane/src/routes.rs
+++ b/crates/data-plane/src/routes.rs
@@ -16,23 +16,26 @@
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HOST, HeaderName, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
-use load_balancing::interface::{self as d, ListKind, Span};
-use protocol::config::{Config, Kind, Limits, Route};
-use protocol::keys::{Counts, Held, SPENT_MS};
+use load_balancing::interface::{self as d, MembershipKind, Span};
+use protocol::config::{Config, Limits, RequestKind, Route};
+use protocol::key_ranges::{KeyRangeView, WORK_UNIT_MS, WorkCounts};
 use protocol::settings::{Bounds, Settings};
-use protocol::wire::{Ask, Bank, News};
-use protocol::zones::{Taken, Upstream, ZoneList};
+use protocol::upstream_list::{UpdateOutcome, Upstream, UpstreamList};
+use protocol::wire::{FleetView, WatchRequest, WatchUpdate};
 use rustc_hash::FxHashMap;
 use tokio::time::{Instant, timeout_at};
 
-use crate::bodies::Allowance;
-use crate::changes::{Changes, Watcher};
-use crate::engine::{self, Arrival, Handle, Note, Reply};
-use crate::front::Gate;
-use crate::heads::{Answer, bare, malformed, onward, passed_on, refusal};
-use crate::metrics::{Counts as Counted, Metrics, Outcome};
-use crate::upstreams::Forward;
-use crate::watch::Follower;
+use crate::body::BodyBudget;
+use crate::change_notifier::{ChangeNotifier, ChangeWatcher};
+use crate::control_client::UpdateHandler;
+use crate::engine::{self, EngineEvent, EngineHandle, EngineReply, IncomingRequest};
+use crate::headers::{
+    ClientResponse, bad_request, empty_response, forward_request_headers, forward_response,
+    retry_later,
+};
+use crate::listener::RequestHandler;
+use crate::metrics::{Metrics, RequestOutcome, RouteMetrics as Counted};
+use crate::upstream_pool::ForwardedRequest;
 
 /// Bodies that are read or held may take this part of the memory together.
 const BODIES_OF_MEMORY: usize = 4;
@@ -60,8 +63,10 @@
 /// Of services whose upstreams divide their keys: the request's.
 const SHARD: HeaderName = HeaderName::from_static("shard-key");
 /// What an upstream says to the balancer only.
-const INTERNAL: [HeaderName; 2] =
-    [HeaderName::from_static("upstream-load"), HeaderName::from_static("not-run")];
+const INTERNAL: [HeaderName; 2] = [
+    HeaderName::from_static("upstream-load"),
+    HeaderName::from_static("not-run"),
+];
 
 /// A route in force.
 struct Open {
@@ -85,10 +90,12 @@
 impl Longest {
     fn seen(&self, now: Instant, told: Duration) -> Duration {
         let (mut own, mut before, since) = self.seen.get();
-        let since = since.filter(|since| now < *since + MEMORY).unwrap_or_else(|| {
-            (own, before) = (Duration::ZERO, own);
-            now
-        });
+        let since = since
+            .filter(|since| now < *since + MEMORY)
+            .unwrap_or_else(|| {
+                (own, before) = (Duration::ZERO, own);
+                now
+            });
         own = own.max(told);
         self.seen.set((own, before, Some(since)));
         own.max(before)
@@ -98,7 +105,7 @@
 /// A service and the routes that are its classes; an index keeps its meaning for good.
 struct Service {
     name: String,
-    classes: Vec<d::Class>,
+    classes: Vec<d::RequestClass>,
     /// The class of each route that it ever had, by the route's name.
     class_of: FxHashMap<String, usize>,
     warmup: Duration,
@@ -109,13 +116,14 @@
 
 impl Service {
     /// The index of a route's class, which is this one from now on.
-    fn take_class(&mut self, route: &str, class: &d::Class) -> usize {
+    fn take_class(&mut self, route: &str, class: &d::RequestClass) -> usize {
         if let Some(&known) = self.class_of.get(route) {
             self.classes[known].clone_from(class);
             return known;
         }
         self.classes.push(class.clone());
-        self.class_of.insert(route.to_string(), self.classes.len() - 1);
+        self.class_of
+            .insert(route.to_string(), self.classes.len() - 1);
         self.classes.len() - 1
     }
 }
@@ -128,21 +136,21 @@
     evacuated: Vec<String>,
     keys_index: u64,
     /// Who holds which keys, by service.
-    keys: BTreeMap<String, Held>,
-    zones: BTreeMap<String, ZoneList>,
+    keys: BTreeMap<String, KeyRangeView>,
+    zones: BTreeMap<String, UpstreamList>,
     /// Zones of which something was told that builds on what is not here.
     wanted: BTreeSet<String>,
-    bank: Option<Bank>,
+    bank: Option<FleetView>,
 }
 
 /// The routes in force, and the gate of the clients' front.
 pub struct Routes {
-    engine: Handle,
+    engine: EngineHandle,
     zones: Vec<String>,
     regions: Vec<String>,
     zone: u32,
     region: String,
-    bodies: Allowance,
+    bodies: BodyBudget,
     told: RefCell<Told>,
     services: RefCell<Vec<Service>>,
     by_host: RefCell<FxHashMap<String, Vec<Rc<Open>>>>,
@@ -155,14 +163,18 @@
     start: Instant,
     turn: Cell<u32>,
     leaving: Cell<bool>,
-    version: Changes,
+    version: ChangeNotifier,
     metrics: Metrics,
     /// Holds the front to the limits that clients have.
     limited: Box<dyn Fn(&Limits)>,
 }
 
 impl Routes {
-    pub fn new(settings: &Settings, engine: Handle, limited: Box<dyn Fn(&Limits)>) -> Rc<Self> {
+    pub fn new(
+        settings: &Settings,
+        engine: EngineHandle,
+        limited: Box<dyn Fn(&Limits)>,
+    ) -> Rc<Self> {
         let zones: Vec<String> = settings.zone_map.keys().cloned().collect();
         let zone = zones.iter().position(|z| *z == settings.zone).unwrap_or(0) as u32;
         let metrics = Metrics::new(engine.abandoned());
@@ -172,7 +184,7 @@
             zones,
             zone,
             region: settings.region.clone(),
-            bodies: Allowance::new((settings.limits.mem_mb << 20) / BODIES_OF_MEMORY),
+            bodies: BodyBudget::new((settings.limits.mem_mb << 20) / BODIES_OF_MEMORY),
             told: RefCell::default(),
             services: RefCell::default(),
             by_host: RefCell::default(),
@@ -182,38 +194,44 @@
             start: Instant::now(),
             turn: Cell::new(0),
             leaving: Cell::new(false),
-            version: Changes::default(),
+            version: ChangeNotifier::default(),
             metrics,
             limited,
         })
     }
 
     /// Whether it can serve: it knows the configuration and somewhere to send to.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         !self.leaving.get() && self.told.borrow().config_index > 0 && self.engine.ready()
     }
 
     /// What was counted, as Prometheus reads it.
-    pub fn counted(&self) -> String {
-        self.metrics.upstreams.set(self.placed.borrow().len() as i64);
+    pub fn metrics_text(&self) -> String {
+        self.metrics
+            .upstreams
+            .set(self.placed.borrow().len() as i64);
         let bank = self.told.borrow().bank.map_or(0, |b| b.balancers);
         self.metrics.balancers.set(i64::from(bank));
         self.metrics.text()
     }
 
     /// It ends soon: clients are to be sent elsewhere.
-    pub fn leave(&self) {
+    pub fn start_draining(&self) {
         self.leaving.set(true);
         self.changed();
     }
 
     fn changed(&self) {
-        self.version.note();
+        self.version.notify();
     }
 
     fn route(&self, host: &str, path: &str) -> Option<Rc<Open>> {
         let host = host.rsplit_once(':').map_or(host, |(name, port)| {
-            if port.bytes().all(|b| b.is_ascii_digit()) { name } else { host }
+            if port.bytes().all(|b| b.is_ascii_digit()) {
+                name
+            } else {
+                host
+            }
         });
         let by_host = self.by_host.borrow();
         let routes = match by_host.get(host) {
@@ -241,21 +259,25 @@
         None
     }
 
-    async fn take(&self, request: Request<Incoming>, arrived: Instant) -> Answer {
+    async fn take(&self, request: Request<Incoming>, arrived: Instant) -> ClientResponse {
         let (head, body) = request.into_parts();
         if let Err(what) = framed(&head) {
-            return malformed(what);
+            return bad_request(what);
         }
         if self.told.borrow().config_index == 0 {
-            return refusal(StatusCode::SERVICE_UNAVAILABLE, COME_AGAIN);
+            return retry_later(StatusCode::SERVICE_UNAVAILABLE, COME_AGAIN);
         }
-        let host = head.headers.get(HOST).and_then(|v| v.to_str().ok()).unwrap_or_default();
+        let host = head
+            .headers
+            .get(HOST)
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or_default();
         let Some(route) = self.route(host, head.uri.path()) else {
             self.metrics.unrouted.inc();
-            return bare(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
         let (outcome, answer) = self.on_route(&route, head, body, arrived).await;
-        route.counted.answered(outcome, arrived);
+        route.counted.record_response(outcome, arrived);
         answer
     }
 
@@ -266,17 +288,30 @@
         head: Parts,
         body: Incoming,
         arrived: Instant,
-    ) -> (Outcome, Answer) {
-        let malformed = |what| (Outcome::Malformed, malformed(what));
-        let bad = |status| (Outcome::Malformed, bare(status));
-        let refused = |after| (Outcome::Refused, refusal(StatusCode::SERVICE_UNAVAILABLE, after));
+    ) -> (RequestOutcome, ClientResponse) {
+        let malformed = |what| (RequestOutcome::Malformed, bad_request(what));
+        let bad = |status| (RequestOutcome::Malformed, empty_response(status));
+        let refused = |after| {
+            (
+                RequestOutcome::Refused,
+                retry_later(StatusCode::SERVICE_UNAVAILABLE, after),
+            )
+        };
         let (deadline, resent) = match head.headers.get(DEADLINE) {
             None => (route.deadline, false),
             Some(told) => {
-                let ms = told.to_str().ok().and_then(|v| v.trim().parse::<u64>().ok());
-                let Some(ms) = ms.filter(|ms| *ms > 0) else { return malformed("Deadline-Ms") };
+                let ms = told
+                    .to_str()
+                    .ok()
+                    .and_then(|v| v.trim().parse::<u64>().ok());
+                let Some(ms) = ms.filter(|ms| *ms > 0) else {
+                    return malformed("Deadline-Ms");
+                };
                 let deadline = route.deadline.min(Duration::from_millis(ms));
-                (deadline, route.longest.seen(arrived, deadline) > deadline + route.lost)
+                (
+                    deadline,
+                    route.longest.seen(arrived, deadline) > deadline + route.lost,
+                )
             }
         };
         let until = arrived + deadline;
@@ -285,7 +320,7 @@
         if length.is_some_and(|l| l > most as u64) {
             return bad(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let Some(_room) = self.bodies.room(length.unwrap_or(0) as usize) else {
+        let Some(_room) = self.bodies.reserve(length.unwrap_or(0) as usize) else {
             return refused(COME_AGAIN);
         };
         let body = match timeout_at(until, Limited::new(body, most).collect()).await {
@@ -299,43 +334,71 @@
         let Some((service, class)) = self.part(route) else {
             return bad(StatusCode::NOT_FOUND);
         };
-        let shard = head.headers.get(SHARD).and_then(|v| v.to_str().ok()?.trim().parse().ok());
+        let shard = head
+            .headers
+            .get(SHARD)
+            .and_then(|v| v.to_str().ok()?.trim().parse().ok());
         let shard = shard.filter(|_| self.services.borrow()[service].sharded);
         let (key, cost_guess) = (None, None);
-        let arrival = Arrival { class, tenant: 0, key, shard, until, cost_guess, resent };
+        let arrival = IncomingRequest {
+            class,
+            tenant: 0,
+            key,
+            shard,
+            until,
+            cost_guess,
+            resent,
+        };
         let method = head.method.clone();
-        let forward = Forward {
+        let forward = ForwardedRequest {
             method: head.method,
             uri: head.uri,
-            headers: onward(head.headers, body.len()),
+            headers: forward_request_headers(head.headers, body.len()),
             body,
         };
         match self.engine.ask(service, arrival, forward).await {
-            Reply::Served(response) => (Outcome::Served, served(response, &method)),
-            Reply::Refused { retry_after } => refused(retry_after),
-            Reply::Failed { late: true } => (Outcome::Failed, bare(StatusCode::GATEWAY_TIMEOUT)),
-            Reply::Failed { late: false } => (Outcome::Failed, bare(StatusCode::BAD_GATEWAY)),
+            EngineReply::Served(response) => (RequestOutcome::Served, served(response, &method)),
+            EngineReply::Refused { retry_after } => refused(retry_after),
+            EngineReply::Failed { late: true } => (
+                RequestOutcome::Failed,
+                empty_response(StatusCode::GATEWAY_TIMEOUT),
+            ),
+            EngineReply::Failed { late: false } => (
+                RequestOutcome::Failed,
+                empty_response(StatusCode::BAD_GATEWAY),
+            ),
         }
     }
 }
 
-impl Gate for Routes {
-    async fn answer(&self, request: Request<Incoming>, arrived: Instant, _: bool) -> Answer {
+impl RequestHandler for Routes {
+    async fn answer(
+        &self,
+        request: Request<Incoming>,
+        arrived: Instant,
+        _: bool,
+    ) -> ClientResponse {
         // A length beside a coding is read by the coding; another reader may have gone by the length, and
         // what it took for the body must not be taken for a request here.
         let chunked = request.headers().contains_key(TRANSFER_ENCODING);
         let mut answer = self.take(request, arrived).await;
         if chunked || answer.status() == StatusCode::BAD_REQUEST {
-            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            answer
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer
     }
 }
 
 /// An upstream's answer as it goes to the client; one to HEAD keeps the length that it tells of.
-fn served(response: Response<Bytes>, method: &Method) -> Answer {
-    let length = response.headers().get(CONTENT_LENGTH).filter(|_| method == Method::HEAD).cloned();
-    let mut answer = passed_on(response, &INTERNAL);
+fn served(response: Response<Bytes>, method: &Method) -> ClientResponse {
+    let length = response
+        .headers()
+        .get(CONTENT_LENGTH)
+        .filter(|_| method == Method::HEAD)
+        .cloned();
+    let mut answer = forward_response(response, &INTERNAL);
     if let Some(length) = length {
         answer.headers_mut().insert(CONTENT_LENGTH, length);
     }
@@ -356,7 +419,11 @@
             return Err(name);
         }
     }
-    if head.headers.contains_key(HOST) { Ok(()) } else { Err("Host") }
+    if head.headers.contains_key(HOST) {
+        Ok(())
+    } else {
+        Err("Host")
+    }
 }
 
 #[cfg(test)]
--- a/crates/data-plane/src/routes/following.rs
+++ b/crates/data-plane/src/routes/following.rs
@@ -2,25 +2,29 @@
 
 use super::*;
 
-impl Follower for Routes {
-    fn ask(&self) -> Ask {
+impl UpdateHandler for Routes {
+    fn ask(&self) -> WatchRequest {
         let told = self.told.borrow();
-        let has = |(zone, list): (&String, &ZoneList)| {
-            let version = if told.wanted.contains(zone) { 0 } else { list.version() };
+        let has = |(zone, list): (&String, &UpstreamList)| {
+            let version = if told.wanted.contains(zone) {
+                0
+            } else {
+                list.version()
+            };
             (zone.clone(), version)
         };
-        Ask {
-            config: told.config_index,
-            evacuated: told.evacuated_index,
-            keys: told.keys_index,
-            zones: told.zones.iter().map(has).collect(),
+        WatchRequest {
+            config_index: told.config_index,
+            evacuations_index: told.evacuated_index,
+            keys_index: told.keys_index,
+            zone_versions: told.zones.iter().map(has).collect(),
             ready: told.config_index > 0 && self.engine.ready(),
-            leaving: self.leaving.get(),
-            ..Ask::default()
+            draining: self.leaving.get(),
+            ..WatchRequest::default()
         }
     }
 
-    fn take(&self, news: &News) -> bool {
+    fn take(&self, news: &WatchUpdate) -> bool {
         let (mut settings, mut lists, mut gap) = (false, false, false);
         let known = self.told.borrow().config_index;
         if let Some((index, told)) = news.config.as_ref().filter(|(index, _)| *index > known) {
@@ -28,17 +32,17 @@
             (settings, lists) = (true, true);
         }
         let mut changed = Vec::new();
-        for (zone, told) in &news.zones {
+        for (zone, told) in &news.zone_updates {
             let mut known = self.told.borrow_mut();
             let list = known.zones.entry(zone.clone()).or_default();
-            match list.take(told, self.now()) {
-                Taken::Old(ids) if ids.is_empty() => {}
-                Taken::Old(ids) | Taken::New(ids) => {
+            match list.apply_update(told, self.now()) {
+                UpdateOutcome::Stale(ids) if ids.is_empty() => {}
+                UpdateOutcome::Stale(ids) | UpdateOutcome::Applied(ids) => {
                     self.note_cold(list, &ids);
                     known.wanted.remove(zone);
                     changed.push((zone, ids));
                 }
-                Taken::Gap => {
+                UpdateOutcome::MissingBase => {
                     tracing::debug!(zone, "a difference that builds on something else");
                     known.wanted.insert(zone.clone());
                     gap = true;
@@ -46,13 +50,20 @@
             }
         }
         let known = self.told.borrow().evacuated_index;
-        if let Some((index, zones)) = news.evacuated.as_ref().filter(|(index, _)| *index > known) {
+        if let Some((index, zones)) = news
+            .evacuated_zones
+            .as_ref()
+            .filter(|(index, _)| *index > known)
+        {
             let before = {
                 let mut told = self.told.borrow_mut();
                 told.evacuated_index = *index;
                 std::mem::replace(&mut told.evacuated, zones.clone())
             };
-            before.iter().filter(|z| !zones.contains(z)).for_each(|z| self.returned(z));
+            before
+                .iter()
+                .filter(|z| !zones.contains(z))
+                .for_each(|z| self.returned(z));
             lists = true;
         }
         let known = self.told.borrow().keys_index;
@@ -61,7 +72,7 @@
             let mut told = self.told.borrow_mut();
             told.keys_index = *index;
             for (service, rows) in services {
-                told.keys.entry(service.clone()).or_default().take(rows);
+                told.keys.entry(service.clone()).or_default().apply(rows);
             }
         }
         let any = lists || !changed.is_empty() || keys.is_some();
@@ -71,7 +82,9 @@
         if lists {
             self.tell_lists();
         } else {
-            changed.into_iter().for_each(|(zone, ids)| self.tell_changes(zone, ids));
+            changed
+                .into_iter()
+                .for_each(|(zone, ids)| self.tell_changes(zone, ids));
         }
         if settings {
             let names: Vec<String> = self.told.borrow().keys.keys().cloned().collect();
@@ -85,24 +98,24 @@
         gap
     }
 
-    fn work(&self) -> Counts {
+    fn work(&self) -> WorkCounts {
         let services = self.services.borrow();
-        let mut counts = Counts::new();
+        let mut counts = WorkCounts::new();
         for ((service, run), took) in self.engine.work() {
-            let spent = (took.as_millis() / u128::from(SPENT_MS)).min(u128::from(u16::MAX));
+            let spent = (took.as_millis() / u128::from(WORK_UNIT_MS)).min(u128::from(u16::MAX));
             let of = counts.entry(services[service].name.clone()).or_default();
             of.push((run, spent as u16));
         }
         counts
     }
 
-    fn bank(&self, bank: Bank) {
+    fn bank(&self, bank: FleetView) {
         if self.told.borrow_mut().bank.replace(bank) != Some(bank) {
             self.tell_settings();
         }
     }
 
-    fn changes(&self) -> Watcher {
+    fn changes(&self) -> ChangeWatcher {
         self.version.watch()
     }
 
--- a/crates/data-plane/src/routes/listing.rs
+++ b/crates/data-plane/src/routes/listing.rs
@@ -5,7 +5,7 @@
 impl Routes {
     /// Tells the engine all upstreams of all services.
     pub(super) fn tell_lists(&self) {
-        let mut lists: Vec<Vec<engine::Upstream>> = Vec::new();
+        let mut lists: Vec<Vec<engine::ListedUpstream>> = Vec::new();
         lists.resize_with(self.services.borrow().len(), Vec::new);
         let mut placed = self.placed.borrow_mut();
         placed.clear();
@@ -13,39 +13,61 @@
         let told = self.told.borrow();
         for (zone, list) in &told.zones {
             for upstream in list.upstreams(now) {
-                let Some(service) = self.service(&upstream.svc) else { continue };
+                let Some(service) = self.service(&upstream.svc) else {
+                    continue;
+                };
                 placed.insert(upstream.id.clone(), service);
                 lists[service].push(self.upstream(&told, zone, upstream));
             }
         }
         for (service, list) in lists.into_iter().enumerate() {
-            self.engine.tell(Note::Members { service, kind: ListKind::Whole, list });
+            self.engine.tell(EngineEvent::Members {
+                service,
+                kind: MembershipKind::Complete,
+                list,
+            });
         }
     }
 
     /// Tells the engine of those of a zone's upstreams that are other than before.
     pub(super) fn tell_changes(&self, zone: &str, ids: BTreeSet<String>) {
-        let mut lists: BTreeMap<usize, Vec<engine::Upstream>> = BTreeMap::new();
+        let mut lists: BTreeMap<usize, Vec<engine::ListedUpstream>> = BTreeMap::new();
         let told = self.told.borrow();
-        let Some(list) = told.zones.get(zone) else { return };
+        let Some(list) = told.zones.get(zone) else {
+            return;
+        };
         let (mut placed, now) = (self.placed.borrow_mut(), self.now());
         for id in ids {
             let (service, entry) = match list.upstream(&id, now) {
                 Some(upstream) => {
-                    let Some(service) = self.service(&upstream.svc) else { continue };
+                    let Some(service) = self.service(&upstream.svc) else {
+                        continue;
+                    };
                     placed.insert(id, service);
                     (service, self.upstream(&told, zone, upstream))
                 }
                 None => {
                     self.started.borrow_mut().remove(&id);
-                    let Some(service) = placed.remove(&id) else { continue };
-                    (service, engine::Upstream { status: d::Status::Gone, ..named(id) })
+                    let Some(service) = placed.remove(&id) else {
+                        continue;
+                    };
+                    (
+                        service,
+                        engine::ListedUpstream {
+                            status: d::Status::Gone,
+                            ..named(id)
+                        },
+                    )
                 }
             };
             lists.entry(service).or_default().push(entry);
         }
         for (service, list) in lists {
-            self.engine.tell(Note::Members { service, kind: ListKind::Update, list });
+            self.engine.tell(EngineEvent::Members {
+                service,
+                kind: MembershipKind::Update,
+                list,
+            });
         }
     }
 
@@ -57,7 +79,7 @@
                 continue;
             };
             let rows = held.rows().cloned().collect();
-            self.engine.tell(Note::Holders { service, rows });
+            self.engine.tell(EngineEvent::Holders { service, rows });
         }
     }
 
@@ -69,13 +91,21 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    pub(super) fn upstream(&self, told: &Told, zone: &str, u: Upstream) -> engine::Upstream {
-        let number = self.zones.iter().position(|z| z == zone).unwrap_or(self.zones.len());
+    pub(super) fn upstream(&self, told: &Told, zone: &str, u: Upstream) -> engine::ListedUpstream {
+        let number = self
+            .zones
+            .iter()
+            .position(|z| z == zone)
+            .unwrap_or(self.zones.len());
         let closed = u.draining || told.evacuated.iter().any(|z| z == zone);
-        engine::Upstream {
+        engine::ListedUpstream {
             address: Some(u.addr),
             zone: number as u32,
-            status: if closed { d::Status::Draining } else { d::Status::Live },
+            status: if closed {
+                d::Status::Draining
+            } else {
+                d::Status::Live
+            },
             slots: u.slots,
             started: self.started.borrow().get(&u.id).copied(),
             ..named(u.id)
@@ -83,7 +113,7 @@
     }
 
     /// Notes which upstreams of a zone are cold, and since when.
-    pub(super) fn note_cold(&self, list: &ZoneList, ids: &BTreeSet<String>) {
+    pub(super) fn note_cold(&self, list: &UpstreamList, ids: &BTreeSet<String>) {
         let (clock, now) = (SystemTime::now(), self.now());
         let services = self.services.borrow();
         let mut started = self.started.borrow_mut();
@@ -94,7 +124,10 @@
             let passed = warmup.saturating_sub(Duration::from_millis(u.warm_left_ms));
             let at = clock.checked_sub(passed).unwrap_or(clock);
             let known = started.entry(u.id.clone()).or_insert(at);
-            if at.duration_since(*known).is_ok_and(|later| later > SAME_START) {
+            if at
+                .duration_since(*known)
+                .is_ok_and(|later| later > SAME_START)
+            {
                 *known = at;
             }
         }
@@ -103,7 +136,9 @@
     /// A zone is taken back: whatever is there may have turned cold.
     pub(super) fn returned(&self, zone: &str) {
         let told = self.told.borrow();
-        let Some(list) = told.zones.get(zone) else { return };
+        let Some(list) = told.zones.get(zone) else {
+            return;
+        };
         let mut started = self.started.borrow_mut();
         for u in list.upstreams(self.now()) {
             started.insert(u.id, SystemTime::now());
@@ -112,8 +147,8 @@
 }
 
 /// An upstream of which nothing but its id is known.
-fn named(id: String) -> engine::Upstream {
-    engine::Upstream {
+fn named(id: String) -> engine::ListedUpstream {
+    engine::ListedUpstream {
         id,
         address: None,
         zone: 0,
--- a/crates/data-plane/src/node.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -16,14 +16,16 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 
-use crate::connections::Times;
-use crate::engine::{self, Engine, Note};
-use crate::front::{Bounds, Front, Gate, LAST_WORD};
-use crate::heads::{Answer, bare};
+use crate::client_connections::ClientTimeouts;
+use crate::control_client::{CONNECT_TIMEOUT, ControlClient};
+use crate::engine::{self, Engine, EngineEvent};
+use crate::headers::{ClientResponse, empty_response};
+use crate::listener::{FINAL_REQUEST_WAIT, Listener, ListenerLimits, RequestHandler};
 use crate::metrics;
 use crate::routes::Routes;
-use crate::upstreams::{Dialect, Load, Pool, Terms, promises_not_run};
-use crate::watch::{CONNECT, Watch};
+use crate::upstream_pool::{
+    LoadReportFormat, PoolConfig, UpstreamPool, UpstreamProtocol, promises_not_run,
+};
 
 /// Descriptors that are neither a client's nor an upstream's.
 const RESERVED: usize = 264;
@@ -50,18 +52,21 @@
 const REFUSES_BEFORE: Duration = Duration::from_millis(300);
 
 /// What upstreams say, in the words of this protocol.
-pub fn dialect() -> Dialect {
-    Dialect {
+pub fn upstream_protocol() -> UpstreamProtocol {
+    UpstreamProtocol {
         deadline: HeaderName::from_static("deadline-ms"),
         target: Some(HeaderName::from_static("target-instance")),
         not_run: HeaderName::from_static("not-run"),
-        refusals: &[StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS],
+        refusals: &[
+            StatusCode::SERVICE_UNAVAILABLE,
+            StatusCode::TOO_MANY_REQUESTS,
+        ],
         echo: Some(HeaderName::from_static("attempt-id")),
         seal: Some(HeaderName::from_static("upstream-seal")),
         // Whatever else an upstream says is its answer; these would be promises that it did not make.
         served: |status| !status.is_server_error() && !promises_not_run(status),
         passes_errors: true,
-        load: Load::Slots(HeaderName::from_static("upstream-load")),
+        load: LoadReportFormat::Slots(HeaderName::from_static("upstream-load")),
     }
 }
 
@@ -70,42 +75,44 @@
     routes: Rc<Routes>,
 }
 
-impl Gate for Readiness {
-    async fn answer(&self, request: Request<Incoming>, _: Instant, _: bool) -> Answer {
+impl RequestHandler for Readiness {
+    async fn answer(&self, request: Request<Incoming>, _: Instant, _: bool) -> ClientResponse {
         match request.uri().path() {
-            "/-/ready" if self.routes.ready() => bare(StatusCode::OK),
-            "/-/ready" => bare(StatusCode::SERVICE_UNAVAILABLE),
-            "/-/metrics" => metrics::answer(self.routes.counted()),
-            _ => bare(StatusCode::NOT_FOUND),
+            "/-/ready" if self.routes.is_ready() => empty_response(StatusCode::OK),
+            "/-/ready" => empty_response(StatusCode::SERVICE_UNAVAILABLE),
+            "/-/metrics" => metrics::metrics_response(self.routes.metrics_text()),
+            _ => empty_response(StatusCode::NOT_FOUND),
         }
     }
 }
 
-fn times(limits: &Limits) -> Times {
-    Times {
+fn times(limits: &Limits) -> ClientTimeouts {
+    ClientTimeouts {
         head: Duration::from_millis(limits.header_timeout_ms.max(1)),
         idle: Duration::from_millis(limits.idle_timeout_ms.max(1)),
     }
 }
 
 /// What the clients' side holds to, with so many connections and so much time from SIGTERM to the end.
-fn client_bounds(connections: usize, grace: Duration) -> Bounds {
+fn client_bounds(connections: usize, grace: Duration) -> ListenerLimits {
     let limits = Limits::default();
-    let linger = grace.mul_f64(LINGER_OF_GRACE).min(TAKES - LAST_WORD);
-    Bounds {
-        most: connections,
-        at_ease: connections / 2,
-        head: limits.max_header_bytes,
-        times: times(&limits),
-        linger,
-        finish: grace.saturating_sub(linger).saturating_sub(SPARE),
-        last_word: LAST_WORD,
+    let linger = grace
+        .mul_f64(LINGER_OF_GRACE)
+        .min(TAKES - FINAL_REQUEST_WAIT);
+    ListenerLimits {
+        max_connections: connections,
+        idle_eviction_threshold: connections / 2,
+        max_header_bytes: limits.max_header_bytes,
+        timeouts: times(&limits),
+        accept_grace: linger,
+        drain_timeout: grace.saturating_sub(linger).saturating_sub(SPARE),
+        final_request_wait: FINAL_REQUEST_WAIT,
     }
 }
 
 /// When, after SIGTERM, what was not sent to an upstream is refused.
-fn refuses_after(bounds: &Bounds) -> Duration {
-    (bounds.linger + bounds.finish).saturating_sub(REFUSES_BEFORE)
+fn refuses_after(bounds: &ListenerLimits) -> Duration {
+    (bounds.accept_grace + bounds.drain_timeout).saturating_sub(REFUSES_BEFORE)
 }
 
 /// Serves until `stop`, then finishes what was taken.
@@ -116,7 +123,9 @@
 ) -> Result<(), String> {
     let http = settings.listen.http.ok_or("`listen.http` is not set")?;
     let bind = async |what: &str, at: SocketAddr| {
-        TcpListener::bind(at).await.map_err(|e| format!("{what} on {at}: {e}"))
+        TcpListener::bind(at)
+            .await
+            .map_err(|e| format!("{what} on {at}: {e}"))
     };
     let listener = bind("http", http).await?;
     let checks = match settings.listen.readiness {
@@ -124,14 +133,14 @@
         None => None,
     };
     let half = settings.limits.max_fds.saturating_sub(RESERVED).max(32) / 2;
-    let pool = Pool::new(Terms {
-        most: half,
+    let pool = UpstreamPool::new(PoolConfig {
+        max_connections: half,
         keepalive: KEEPALIVE,
-        connect_timeout: CONNECT,
-        answers: (settings.limits.mem_mb << 20) / ANSWERS_OF_MEMORY,
-        dialect: dialect(),
+        connect_timeout: CONNECT_TIMEOUT,
+        max_response_bytes: (settings.limits.mem_mb << 20) / ANSWERS_OF_MEMORY,
+        protocol: upstream_protocol(),
     });
-    let terms = engine::Terms {
+    let terms = engine::EngineConfig {
         seed: load_balancing::settings::stable_hash(&settings.node),
         headroom: HEADROOM,
         drain_grace: Duration::ZERO,
@@ -141,26 +150,32 @@
     let (engine, handle) = Engine::new(terms, pool);
     let engine = tokio::task::spawn_local(engine.run());
     let tell = handle.teller();
-    let bounds = client_bounds(half, settings.grace());
+    let bounds = client_bounds(half, settings.grace_period());
     let refuses_after = refuses_after(&bounds);
     // The routes hold the front to the configuration's limits, and the front asks the routes.
-    let slot: Rc<RefCell<Weak<Front<Routes>>>> = Rc::default();
+    let slot: Rc<RefCell<Weak<Listener<Routes>>>> = Rc::default();
     let limited = slot.clone();
     let routes = Routes::new(
         &settings,
         handle,
         Box::new(move |limits| {
             if let Some(front) = limited.borrow().upgrade() {
-                front.limit(limits.max_header_bytes, times(limits));
+                front.set_limits(limits.max_header_bytes, times(limits));
             }
         }),
     );
-    let clients = Front::new(routes.clone(), bounds);
+    let clients = Listener::new(routes.clone(), bounds);
     *slot.borrow_mut() = Rc::downgrade(&clients);
     if let Some(checks) = checks {
-        let gate = Rc::new(Readiness { routes: routes.clone() });
-        let bounds = Bounds { most: CHECKS, at_ease: CHECKS, ..bounds };
-        tokio::task::spawn_local(Front::new(gate, bounds).serve(checks, std::future::pending()));
+        let gate = Rc::new(Readiness {
+            routes: routes.clone(),
+        });
+        let bounds = ListenerLimits {
+            max_connections: CHECKS,
+            idle_eviction_threshold: CHECKS,
+            ..bounds
+        };
+        tokio::task::spawn_local(Listener::new(gate, bounds).serve(checks, std::future::pending()));
     }
     let me = Balancer {
         node: settings.node.clone(),
@@ -168,22 +183,22 @@
         region: settings.region.clone(),
         http,
     };
-    let watch = Watch::new(me, routes.clone());
-    watch.seeds(settings.inner_seeds());
+    let watch = ControlClient::new(me, routes.clone());
+    watch.add_seeds(settings.internal_seeds());
     tokio::task::spawn_local(watch.clone().run());
     tokio::task::spawn_local(async move {
         while let Some(settings) = reloads.recv().await {
-            watch.seeds(settings.inner_seeds());
+            watch.add_seeds(settings.internal_seeds());
         }
     });
     tracing::info!(node = settings.node, %http, "data plane");
     let leaves = routes.clone();
     let serve = clients.serve(listener, async move {
         stop.await;
-        leaves.leave();
+        leaves.start_draining();
         tokio::task::spawn_local(async move {
             sleep(refuses_after).await;
-            tell(Note::Ending);
+            tell(EngineEvent::Ending);
         });
     });
     tokio::select! {
--- a/crates/data-plane/src/stream.rs
+++ b/crates/data-plane/src/stream.rs
@@ -66,7 +66,11 @@
 
 impl Socket {
     fn new(stream: TcpStream) -> Self {
-        Self { stream, ahead: BytesMut::new(), end: None }
+        Self {
+            stream,
+            ahead: BytesMut::new(),
+            end: None,
+        }
     }
 
     /// Ready once the other side has closed, half closed or reset the connection. Reads ahead to see that: hyper does
@@ -123,8 +127,18 @@
 
 impl Tapped {
     pub fn new(stream: TcpStream) -> (Self, Shared, Traffic) {
-        let (inner, traffic) = (Rc::new(RefCell::new(Socket::new(stream))), Traffic::default());
-        (Self { inner: inner.clone(), traffic: traffic.clone() }, inner, traffic)
+        let (inner, traffic) = (
+            Rc::new(RefCell::new(Socket::new(stream))),
+            Traffic::default(),
+        );
+        (
+            Self {
+                inner: inner.clone(),
+                traffic: traffic.clone(),
+            },
+            inner,
+            traffic,
+        )
     }
 }
 
--- a/crates/data-plane/src/splice.rs
+++ b/crates/data-plane/src/tunnel.rs
@@ -17,7 +17,11 @@
 
 /// Whether the minor version and the status follow the beginning of a status line.
 fn is_status_line(bytes: &[u8]) -> bool {
-    let Some([minor, space, status @ ..]) = bytes.get(STATUS_LINE.len()..) else { return false };
-    let digits = status.get(..3).is_some_and(|status| status.iter().all(u8::is_ascii_digit));
+    let Some([minor, space, status @ ..]) = bytes.get(STATUS_LINE.len()..) else {
+        return false;
+    };
+    let digits = status
+        .get(..3)
+        .is_some_and(|status| status.iter().all(u8::is_ascii_digit));
     minor.is_ascii_digit() && *space == b' ' && digits
 }
