--- a/crates/data-plane/src/link.rs
+++ b/crates/data-plane/src/upstream_connection.rs
@@ -25,12 +25,12 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::bodies::{Allowance, Filling};
+use crate::body::{BodyBudget, BodyBuffer};
 use crate::framing::{
     Framing, HEAD_LIMIT, Malformed, chunk_size, closes, framing, is_trailer, parse_head,
 };
-use crate::heads::HEAD_LINES;
-use crate::splice::status_lines;
+use crate::headers::MAX_HEADER_LINES;
+use crate::tunnel::status_lines;
 
 /// The largest answer. Failure: a body is said to have 64 KiB at most, but in service some answers have
 /// 400 KB; taken for spoilt, each cost its request and its connection.
@@ -58,7 +58,7 @@
 
 /// How much of a request was handed to the kernel, and whether the upstream has begun to answer it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sent {
+pub struct SendProgress {
     pub bytes: usize,
     /// All of it, once it is known.
     pub of: usize,
@@ -66,7 +66,7 @@
     pub answered: bool,
 }
 
-impl Sent {
+impl SendProgress {
     pub fn untouched(self) -> bool {
         self.bytes == 0
     }
@@ -81,20 +81,29 @@
 }
 
 /// A request on its way.
-pub struct Outgoing<'a> {
+pub struct OutgoingRequest<'a> {
     pub head: &'a [u8],
     pub body: &'a [u8],
     /// Outlives the exchange: whoever gives it up must know how far it went.
-    pub sent: &'a mut Sent,
+    pub sent: &'a mut SendProgress,
     /// Nothing more is written: its answer has begun, or writing has failed. In the latter case there may be an
     /// answer to read all the same.
     stopped: bool,
 }
 
-impl<'a> Outgoing<'a> {
-    pub fn new(head: &'a [u8], body: &'a [u8], sent: &'a mut Sent) -> Self {
-        *sent = Sent { bytes: 0, of: head.len() + body.len(), answered: false };
-        Self { head, body, sent, stopped: false }
+impl<'a> OutgoingRequest<'a> {
+    pub fn new(head: &'a [u8], body: &'a [u8], sent: &'a mut SendProgress) -> Self {
+        *sent = SendProgress {
+            bytes: 0,
+            of: head.len() + body.len(),
+            answered: false,
+        };
+        Self {
+            head,
+            body,
+            sent,
+            stopped: false,
+        }
     }
 
     /// What is to be written yet.
@@ -103,7 +112,9 @@
         [
             IoSlice::new(self.head.get(written..).unwrap_or_default()),
             IoSlice::new(
-                self.body.get(written.saturating_sub(self.head.len())..).unwrap_or_default(),
+                self.body
+                    .get(written.saturating_sub(self.head.len())..)
+                    .unwrap_or_default(),
             ),
         ]
     }
@@ -111,13 +122,13 @@
 
 /// Whose answer is awaited.
 #[derive(Clone, Copy)]
-pub struct Awaited<'a> {
+pub struct AwaitedResponse<'a> {
     pub method: &'a Method,
     /// The header that upstreams echo, and what it was in the request.
     pub echo: Option<(&'a HeaderName, Option<&'a HeaderValue>)>,
 }
 
-impl<'a> Awaited<'a> {
+impl<'a> AwaitedResponse<'a> {
     fn id(&self) -> Option<&'a HeaderValue> {
         self.echo.and_then(|(_, id)| id)
     }
@@ -137,11 +148,11 @@
 
 /// Why there is no whole answer, and the head of one that was cut short.
 #[derive(Debug, Default)]
-pub struct Broken {
+pub struct IncompleteResponse {
     pub head: Option<HeaderMap>,
 }
 
-impl From<Malformed> for Broken {
+impl From<Malformed> for IncompleteResponse {
     fn from(_: Malformed) -> Self {
         Self::default()
     }
@@ -163,7 +174,9 @@
     /// Looks at all of them, so that the compiler can take many at once.
     fn contains(&self, id: &HeaderValue) -> bool {
         let hash = Self::hash(id);
-        self.0.iter().fold(false, |found, known| found | (*known == hash))
+        self.0
+            .iter()
+            .fold(false, |found, known| found | (*known == hash))
     }
 
     fn insert(&mut self, id: &HeaderValue) {
@@ -181,7 +194,7 @@
 
 /// A connection that no attempt is using, or that one attempt is.
 #[derive(Debug)]
-pub struct Link<S = TcpStream> {
+pub struct UpstreamConnection<S = TcpStream> {
     stream: S,
     /// What was read and belongs to nothing yet.
     unread: BytesMut,
@@ -199,7 +212,7 @@
     pub reusable: bool,
 }
 
-impl<S: Transport> Link<S> {
+impl<S: Transport> UpstreamConnection<S> {
     pub fn new(stream: S, address: SocketAddr, took: Duration, keepalive: Duration) -> Self {
         Self {
             stream,
@@ -216,7 +229,7 @@
 
     /// Whether a request may go out on it: it is open, nothing has come on it, and no surplus answer that may
     /// still come could be taken for the one that is awaited.
-    pub fn fits(&self, awaited: &Awaited<'_>) -> bool {
+    pub fn fits(&self, awaited: &AwaitedResponse<'_>) -> bool {
         let told_apart = self.carried.is_empty()
             || awaited.id().is_some_and(|id| !self.carried.contains(id))
                 && *awaited.method != Method::HEAD;
@@ -225,7 +238,7 @@
 
     /// Writes a request. Ends early where the upstream has something to say before all is written; `receive`
     /// then goes on with the writing.
-    pub async fn send(&mut self, request: &mut Outgoing<'_>) -> Result<()> {
+    pub async fn send(&mut self, request: &mut OutgoingRequest<'_>) -> Result<()> {
         poll_fn(|cx| {
             while request.sent.never_whole() {
                 match self.poll_write(cx, request) {
@@ -243,13 +256,16 @@
     /// of other requests meanwhile does not keep it from hearing the rest of this one.
     pub async fn receive(
         &mut self,
-        awaited: &Awaited<'_>,
-        request: &mut Outgoing<'_>,
-        allowance: &Allowance,
-    ) -> std::result::Result<Response<Bytes>, Broken> {
+        awaited: &AwaitedResponse<'_>,
+        request: &mut OutgoingRequest<'_>,
+        allowance: &BodyBudget,
+    ) -> std::result::Result<Response<Bytes>, IncompleteResponse> {
         self.reusable = false;
         let fresh = self.carried.is_empty();
-        awaited.id().into_iter().for_each(|id| self.carried.insert(id));
+        awaited
+            .id()
+            .into_iter()
+            .for_each(|id| self.carried.insert(id));
         let mut alone = true;
         for _ in 0..AHEAD {
             let (head, framing) = self.head(awaited.method, request).await?;
@@ -263,38 +279,47 @@
                 Owner::Another => {
                     (request.sent.answered, request.stopped) = (false, false);
                     tracing::debug!(address = %self.address, "an answer that nobody asked for");
-                    self.body(framing, request, Filling::discarded(ANSWER_LIMIT)).await?;
+                    self.body(framing, request, BodyBuffer::discarded(ANSWER_LIMIT))
+                        .await?;
                     alone = false;
                     continue;
                 }
-                Owner::Unclear => return Err(Broken::default()),
+                Owner::Unclear => return Err(IncompleteResponse::default()),
             }
-            let body = match Filling::new(allowance, framing.announced(), ANSWER_LIMIT) {
+            let body = match BodyBuffer::new(allowance, framing.announced(), ANSWER_LIMIT) {
                 Some(filling) => self.body(framing, request, filling).await,
-                None => Err(Broken::default()),
+                None => Err(IncompleteResponse::default()),
             };
-            let body = body.ok().filter(|body| !self.holds_another_answer(body, awaited));
+            let body = body
+                .ok()
+                .filter(|body| !self.holds_another_answer(body, awaited));
             let Some(body) = body else {
-                return Err(Broken { head: Some(head.into_parts().0.headers) });
+                return Err(IncompleteResponse {
+                    head: Some(head.into_parts().0.headers),
+                });
             };
             self.reusable = alone && !closes(&head) && self.may_follow(awaited, request);
             self.unread = BytesMut::new();
             return Ok(head.map(|()| body));
         }
-        Err(Broken::default())
+        Err(IncompleteResponse::default())
     }
 
     /// Whether an answer to a request that this connection has carried begins within a body: then the body was
     /// cut, and what made up its length belongs to nobody.
-    fn holds_another_answer(&self, body: &[u8], awaited: &Awaited<'_>) -> bool {
-        let Some((echo, _)) = awaited.echo else { return false };
+    fn holds_another_answer(&self, body: &[u8], awaited: &AwaitedResponse<'_>) -> bool {
+        let Some((echo, _)) = awaited.echo else {
+            return false;
+        };
         status_lines(body).any(|at| {
             let mut text = BytesMut::from(&body[at..body.len().min(at + HEAD_LIMIT)]);
             text.extend_from_slice(&self.unread[..self.unread.len().min(HEAD_LIMIT)]);
             match parse_head(&text) {
-                Ok(Some((head, _))) => {
-                    head.headers().get_all(echo).iter().any(|id| self.carried.contains(id))
-                }
+                Ok(Some((head, _))) => head
+                    .headers()
+                    .get_all(echo)
+                    .iter()
+                    .any(|id| self.carried.contains(id)),
                 // The body ends within that head.
                 Ok(None) => true,
                 Err(Malformed) => false,
@@ -303,7 +328,7 @@
     }
 
     /// Whether another request may follow this one, which has its answer.
-    fn may_follow(&self, awaited: &Awaited<'_>, request: &Outgoing<'_>) -> bool {
+    fn may_follow(&self, awaited: &AwaitedResponse<'_>, request: &OutgoingRequest<'_>) -> bool {
         // A surplus answer to this request must be told from the next one by its echo, and must end at the same
         // place whatever the next one's method is.
         let told_apart =
@@ -312,11 +337,19 @@
         told_apart && quiet && !request.sent.never_whole() && !self.carried.is_full()
     }
 
-    fn poll_write(&mut self, cx: &mut Context<'_>, request: &mut Outgoing<'_>) -> Poll<Result<()>> {
+    fn poll_write(
+        &mut self,
+        cx: &mut Context<'_>,
+        request: &mut OutgoingRequest<'_>,
+    ) -> Poll<Result<()>> {
         let rest = request.rest();
         let written = ready!(Pin::new(&mut self.stream).poll_write_vectored(cx, &rest))?;
         request.sent.bytes += written;
-        Poll::Ready(if written > 0 { Ok(()) } else { Err(ErrorKind::WriteZero.into()) })
+        Poll::Ready(if written > 0 {
+            Ok(())
+        } else {
+            Err(ErrorKind::WriteZero.into())
+        })
     }
 
     /// Reads what has come; false at the end of the connection.
@@ -331,7 +364,10 @@
     }
 
     /// Reads on, and writes what is left of the request meanwhile, unless its answer has begun.
-    async fn read(&mut self, request: &mut Outgoing<'_>) -> std::result::Result<(), Broken> {
+    async fn read(
+        &mut self,
+        request: &mut OutgoingRequest<'_>,
+    ) -> std::result::Result<(), IncompleteResponse> {
         let came = poll_fn(|cx| {
             if let Poll::Ready(came) = self.poll_fill(cx) {
                 return Poll::Ready(came);
@@ -346,15 +382,19 @@
             }
             Poll::Pending
         });
-        if came.await { Ok(()) } else { Err(Broken::default()) }
+        if came.await {
+            Ok(())
+        } else {
+            Err(IncompleteResponse::default())
+        }
     }
 
     /// The next head, and how its body is framed. Until it is known whose it is, it may be the request's own.
     async fn head(
         &mut self,
         method: &Method,
-        request: &mut Outgoing<'_>,
-    ) -> std::result::Result<(Response<()>, Framing), Broken> {
+        request: &mut OutgoingRequest<'_>,
+    ) -> std::result::Result<(Response<()>, Framing), IncompleteResponse> {
         loop {
             request.sent.answered |= !self.unread.is_empty();
             if let Some((head, length)) = parse_head(&self.unread)? {
@@ -363,7 +403,7 @@
                 return Ok((head, framing));
             }
             if self.unread.len() >= HEAD_LIMIT {
-                return Err(Broken::default());
+                return Err(IncompleteResponse::default());
             }
             self.read(request).await?;
         }
@@ -372,31 +412,32 @@
     async fn body(
         &mut self,
         framing: Framing,
-        request: &mut Outgoing<'_>,
-        mut body: Filling,
-    ) -> std::result::Result<Bytes, Broken> {
+        request: &mut OutgoingRequest<'_>,
+        mut body: BodyBuffer,
+    ) -> std::result::Result<Bytes, IncompleteResponse> {
         match framing {
             Framing::Length(length) => self.fill(&mut body, length, request).await?,
             Framing::Chunked => self.chunks(&mut body, request).await?,
             // An upstream that dies closes the connection just as one that is done.
-            Framing::Close => return Err(Broken::default()),
+            Framing::Close => return Err(IncompleteResponse::default()),
         }
-        Ok(body.done())
+        Ok(body.into_bytes())
     }
 
     /// Moves so many bytes into a body.
     async fn fill(
         &mut self,
-        body: &mut Filling,
+        body: &mut BodyBuffer,
         mut left: usize,
-        request: &mut Outgoing<'_>,
-    ) -> std::result::Result<(), Broken> {
+        request: &mut OutgoingRequest<'_>,
+    ) -> std::result::Result<(), IncompleteResponse> {
         while left > 0 {
             if self.unread.is_empty() {
                 self.read(request).await?;
             }
             let n = left.min(self.unread.len());
-            body.add(&self.unread[..n]).ok_or(Broken::default())?;
+            body.add(&self.unread[..n])
+                .ok_or(IncompleteResponse::default())?;
             self.unread.advance(n);
             left -= n;
         }
@@ -404,20 +445,23 @@
     }
 
     /// A line up to its end, without it.
-    async fn line(&mut self, request: &mut Outgoing<'_>) -> std::result::Result<BytesMut, Broken> {
+    async fn line(
+        &mut self,
+        request: &mut OutgoingRequest<'_>,
+    ) -> std::result::Result<BytesMut, IncompleteResponse> {
         loop {
             if let Some(end) = self.unread.iter().position(|b| *b == b'\n') {
                 let mut line = self.unread.split_to(end + 1);
                 // A carriage return stands before the line feed, and nowhere else.
-                let text_end = end.checked_sub(1).ok_or(Broken::default())?;
+                let text_end = end.checked_sub(1).ok_or(IncompleteResponse::default())?;
                 if line.iter().position(|b| *b == b'\r') != Some(text_end) {
-                    return Err(Broken::default());
+                    return Err(IncompleteResponse::default());
                 }
                 line.truncate(text_end);
                 return Ok(line);
             }
             if self.unread.len() >= HEAD_LIMIT {
-                return Err(Broken::default());
+                return Err(IncompleteResponse::default());
             }
             self.read(request).await?;
         }
@@ -425,9 +469,9 @@
 
     async fn chunks(
         &mut self,
-        body: &mut Filling,
-        request: &mut Outgoing<'_>,
-    ) -> std::result::Result<(), Broken> {
+        body: &mut BodyBuffer,
+        request: &mut OutgoingRequest<'_>,
+    ) -> std::result::Result<(), IncompleteResponse> {
         loop {
             let size = chunk_size(&self.line(request).await?)?;
             if size == 0 {
@@ -435,10 +479,10 @@
             }
             self.fill(body, size, request).await?;
             if !self.line(request).await?.is_empty() {
-                return Err(Broken::default());
+                return Err(IncompleteResponse::default());
             }
         }
-        for _ in 0..HEAD_LINES {
+        for _ in 0..MAX_HEADER_LINES {
             let line = self.line(request).await?;
             if line.is_empty() {
                 return Ok(());
@@ -447,13 +491,15 @@
                 break;
             }
         }
-        Err(Broken::default())
+        Err(IncompleteResponse::default())
     }
 }
 
 /// Whose an answer is, by its echo. On a fresh connection there was no other request.
-fn owner(head: &Response<()>, awaited: &Awaited<'_>, fresh: bool) -> Owner {
-    let Some((name, id)) = awaited.echo else { return Owner::Own };
+fn owner(head: &Response<()>, awaited: &AwaitedResponse<'_>, fresh: bool) -> Owner {
+    let Some((name, id)) = awaited.echo else {
+        return Owner::Own;
+    };
     let mut echoes = head.headers().get_all(name).iter();
     match (id, echoes.next(), echoes.next()) {
         (Some(id), Some(echo), None) if echo == id => Owner::Own,
--- a/crates/data-plane/src/upstreams.rs
+++ b/crates/data-plane/src/upstream_pool.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Response, StatusCode, Uri};
-use load_balancing::interface::{Outcome, Report, ServerId};
+use load_balancing::interface::{AttemptOutcome, LoadReport, ServerId};
 use load_balancing::settings::Field;
 use rustc_hash::FxHashMap;
 use socket2::SockRef;
@@ -16,9 +16,11 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-use crate::bodies::Allowance;
+use crate::body::BodyBudget;
 use crate::framing::names_in_connection;
-use crate::link::{Awaited, Link, Outgoing, Sent};
+use crate::upstream_connection::{
+    AwaitedResponse, OutgoingRequest, SendProgress, UpstreamConnection,
+};
 
 /// Idle connections are dropped at this share of the limit that upstreams are said to have, or so long before
 /// the one that an upstream tells itself, in whole seconds: a request that crosses with its close would end as a
@@ -54,7 +56,7 @@
 }
 
 /// How the upstreams of a deployment word what concerns the balancer.
-pub struct Dialect {
+pub struct UpstreamProtocol {
     /// Tells an upstream how many milliseconds are left.
     pub deadline: HeaderName,
     /// Names the one upstream that a request is meant for.
@@ -70,11 +72,11 @@
     pub served: fn(StatusCode) -> bool,
     /// An upstream's own error is the client's answer where there is no better one.
     pub passes_errors: bool,
-    pub load: Load,
+    pub load: LoadReportFormat,
 }
 
 /// The form of load reports.
-pub enum Load {
+pub enum LoadReportFormat {
     /// `X-Load: TEXT name=value, ...`, and what the names mean.
     Named(Vec<(String, Field)>),
     /// Requests running, requests waiting and slots, joined by commas, in this header.
@@ -82,19 +84,19 @@
 }
 
 /// What connections to upstreams are held to.
-pub struct Terms {
+pub struct PoolConfig {
     /// The most at once.
-    pub most: usize,
+    pub max_connections: usize,
     /// An upstream closes what idles for longer, unless it says so itself.
     pub keepalive: Duration,
     pub connect_timeout: Duration,
     /// Answers that are read, or not yet written to their clients, may take so many bytes together.
-    pub answers: usize,
-    pub dialect: Dialect,
+    pub max_response_bytes: usize,
+    pub protocol: UpstreamProtocol,
 }
 
 /// A client's request as it goes on, the same for each of its attempts.
-pub struct Forward {
+pub struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
@@ -114,16 +116,20 @@
 }
 
 /// How an attempt ended, and with what.
-pub struct Ended {
-    pub outcome: Outcome,
-    pub report: Report,
+pub struct AttemptResult {
+    pub outcome: AttemptOutcome,
+    pub report: LoadReport,
     /// The upstream's own answer, where it may be the client's: a success, or an error that promises nothing.
     pub response: Option<Response<Bytes>>,
 }
 
-impl Ended {
-    pub fn bare(outcome: Outcome) -> Self {
-        Self { outcome, report: Report::default(), response: None }
+impl AttemptResult {
+    pub fn bare(outcome: AttemptOutcome) -> Self {
+        Self {
+            outcome,
+            report: LoadReport::default(),
+            response: None,
+        }
     }
 }
 
@@ -155,23 +161,23 @@
 
 /// A connection and the descriptor that it counts for.
 struct Kept {
-    link: Link,
+    link: UpstreamConnection,
     _open: Open,
 }
 
 /// The connections to all upstreams, and how to use them.
-pub struct Pool {
+pub struct UpstreamPool {
     idle: RefCell<FxHashMap<ServerId, Vec<Kept>>>,
     /// How long a connection had idled that its upstream had forgotten, and when that showed.
     forgotten: Cell<Option<(Duration, Instant)>>,
     open: Rc<Cell<usize>>,
-    answers: Allowance,
-    terms: Terms,
+    answers: BodyBudget,
+    terms: PoolConfig,
 }
 
-impl Pool {
-    pub fn new(terms: Terms) -> Rc<Self> {
-        let answers = Allowance::new(terms.answers);
+impl UpstreamPool {
+    pub fn new(terms: PoolConfig) -> Rc<Self> {
+        let answers = BodyBudget::new(terms.max_response_bytes);
         let pool = Rc::new(Self {
             idle: RefCell::default(),
             open: Rc::default(),
@@ -200,13 +206,19 @@
 
     fn usable(&self, kept: &Kept) -> bool {
         let idled = kept.link.idle_since.elapsed();
-        let known = self.forgotten.get().filter(|(_, since)| since.elapsed() < WARY);
+        let known = self
+            .forgotten
+            .get()
+            .filter(|(_, since)| since.elapsed() < WARY);
         idled < kept.link.keepalive && known.is_none_or(|(forgotten, _)| idled < forgotten / 2)
     }
 
     /// A connection that had idled for so long was forgotten by its upstream.
     fn learn_forgotten(&self, idled: Duration) {
-        let known = self.forgotten.get().filter(|(_, since)| since.elapsed() < WARY);
+        let known = self
+            .forgotten
+            .get()
+            .filter(|(_, since)| since.elapsed() < WARY);
         let least = known.map_or(idled, |(known, _)| known.min(idled));
         self.forgotten.set(Some((least, Instant::now())));
     }
@@ -217,7 +229,12 @@
     }
 
     /// The connection used last: the rest can age out.
-    fn take(&self, server: ServerId, address: SocketAddr, awaited: &Awaited<'_>) -> Option<Kept> {
+    fn take(
+        &self,
+        server: ServerId,
+        address: SocketAddr,
+        awaited: &AwaitedResponse<'_>,
+    ) -> Option<Kept> {
         let mut idle = self.idle.borrow_mut();
         let all = idle.get_mut(&server)?;
         while let Some(kept) = all.pop() {
@@ -234,7 +251,7 @@
 
     /// Makes room for one more connection at the cost of the one that has idled longest.
     fn make_room(&self) -> bool {
-        if self.open.get() < self.terms.most {
+        if self.open.get() < self.terms.max_connections {
             return true;
         }
         let mut idle = self.idle.borrow_mut();
@@ -243,7 +260,9 @@
             .iter()
             .filter_map(|(server, all)| all.first().map(|k| (k.link.idle_since, *server)))
             .min_by_key(|(since, _)| *since);
-        let Some((_, server)) = oldest else { return false };
+        let Some((_, server)) = oldest else {
+            return false;
+        };
         if let Some(links) = idle.get_mut(&server) {
             drop(links.remove(0));
         }
@@ -262,7 +281,7 @@
         let _ = stream.set_nodelay(true);
         let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
         let keepalive = self.terms.keepalive.mul_f64(IDLE_OF_KEEPALIVE);
-        let link = Link::new(stream, address, from.elapsed(), keepalive);
+        let link = UpstreamConnection::new(stream, address, from.elapsed(), keepalive);
         Some(Kept { link, _open: open })
     }
 
@@ -271,18 +290,21 @@
         &self,
         server: ServerId,
         target: &Target,
-        forward: &Forward,
+        forward: &ForwardedRequest,
         until: Instant,
         live: impl Fn() -> bool,
-    ) -> Ended {
-        let mut sent = Sent::default();
-        match timeout_at(until, self.exchange(server, target, forward, until, live, &mut sent))
-            .await
+    ) -> AttemptResult {
+        let mut sent = SendProgress::default();
+        match timeout_at(
+            until,
+            self.exchange(server, target, forward, until, live, &mut sent),
+        )
+        .await
         {
             Ok(ended) => ended,
             // Time ran out before all of it was handed over: it cannot have run.
-            Err(_) if sent.never_ran() => Ended::bare(Outcome::ConnectFailed),
-            Err(_) => Ended::bare(Outcome::Timeout),
+            Err(_) if sent.never_ran() => AttemptResult::bare(AttemptOutcome::ConnectFailed),
+            Err(_) => AttemptResult::bare(AttemptOutcome::Timeout),
         }
     }
 
@@ -290,19 +312,25 @@
         &self,
         server: ServerId,
         target: &Target,
-        forward: &Forward,
+        forward: &ForwardedRequest,
         until: Instant,
         live: impl Fn() -> bool,
-        sent: &mut Sent,
-    ) -> Ended {
-        let dialect = &self.terms.dialect;
+        sent: &mut SendProgress,
+    ) -> AttemptResult {
+        let dialect = &self.terms.protocol;
         if dialect.target.is_some() && target.name.is_none() {
             // Whoever has its address by now would run it.
             tracing::warn!(?server, "an upstream that can't be named");
-            return Ended::bare(Outcome::ConnectFailed);
+            return AttemptResult::bare(AttemptOutcome::ConnectFailed);
         }
-        let echo = dialect.echo.as_ref().map(|name| (name, forward.headers.get(name)));
-        let awaited = Awaited { method: &forward.method, echo };
+        let echo = dialect
+            .echo
+            .as_ref()
+            .map(|name| (name, forward.headers.get(name)));
+        let awaited = AwaitedResponse {
+            method: &forward.method,
+            echo,
+        };
         loop {
             let address = target.address.get();
             let pooled = self.take(server, address, &awaited);
@@ -311,28 +339,35 @@
                 Some(kept) => Some(kept),
                 None => self.connect(address).await,
             };
-            let Some(mut kept) = kept else { return Ended::bare(Outcome::ConnectFailed) };
+            let Some(mut kept) = kept else {
+                return AttemptResult::bare(AttemptOutcome::ConnectFailed);
+            };
             // The wait for a connection may outlast the request, or the grace of a drain.
-            let closed = target.closed_from.get().is_some_and(|from| Instant::now() >= from);
+            let closed = target
+                .closed_from
+                .get()
+                .is_some_and(|from| Instant::now() >= from);
             if closed || !live() {
                 if !closed {
                     self.put(server, kept);
                 }
-                return Ended::bare(Outcome::Moot);
+                return AttemptResult::bare(AttemptOutcome::NotIssued);
             }
             let head = forward.head(dialect, target, until);
             let (link, from) = (&mut kept.link, Instant::now());
             let idled = from - link.idle_since;
-            let mut request = Outgoing::new(&head, &forward.body, sent);
+            let mut request = OutgoingRequest::new(&head, &forward.body, sent);
             match link.send(&mut request).await {
                 Ok(()) => {}
                 // A kept connection that closed before a byte went out is no attempt yet.
                 Err(_) if reused && sent.untouched() => continue,
-                Err(_) => return Ended::bare(Outcome::ConnectFailed),
+                Err(_) => return AttemptResult::bare(AttemptOutcome::ConnectFailed),
             }
             match link.receive(&awaited, &mut request, &self.answers).await {
                 Ok(answer) => return self.answer(server, target, kept, answer),
-                Err(_) if sent.never_ran() => return Ended::bare(Outcome::ConnectFailed),
+                Err(_) if sent.never_ran() => {
+                    return AttemptResult::bare(AttemptOutcome::ConnectFailed);
+                }
                 Err(broken) => {
                     if reused
                         && idled >= RESTED
@@ -342,8 +377,14 @@
                         self.learn_forgotten(idled);
                     }
                     // Cut short, or larger than any answer may be: it ran, and there is nothing to pass on.
-                    let report = broken.head.map(|h| dialect.load.report(&h)).unwrap_or_default();
-                    return Ended { report, ..Ended::bare(Outcome::Reset) };
+                    let report = broken
+                        .head
+                        .map(|h| dialect.load.report(&h))
+                        .unwrap_or_default();
+                    return AttemptResult {
+                        report,
+                        ..AttemptResult::bare(AttemptOutcome::Reset)
+                    };
                 }
             }
         }
@@ -356,47 +397,51 @@
         target: &Target,
         mut kept: Kept,
         answer: Response<Bytes>,
-    ) -> Ended {
-        let dialect = &self.terms.dialect;
+    ) -> AttemptResult {
+        let dialect = &self.terms.protocol;
         let report = dialect.load.report(answer.headers());
         if let Some(told) = keep_alive(answer.headers()) {
             kept.link.keepalive = told.saturating_sub(IDLE_BEFORE_TOLD).max(told / 2);
         }
         let outcome = dialect.outcome(&answer);
         // To one that drains or is gone nothing more will be sent.
-        let again = kept.link.reusable && outcome != Outcome::Reset;
+        let again = kept.link.reusable && outcome != AttemptOutcome::Reset;
         if again && target.closed_from.get().is_none() {
             kept.link.idle_since = Instant::now();
             self.put(server, kept);
         }
         let passes = match outcome {
-            Outcome::Ok => true,
-            Outcome::Error => dialect.passes_errors && !promises_not_run(answer.status()),
+            AttemptOutcome::Ok => true,
+            AttemptOutcome::Error => dialect.passes_errors && !promises_not_run(answer.status()),
             _ => false,
         };
-        Ended { outcome, report, response: passes.then_some(answer) }
+        AttemptResult {
+            outcome,
+            report,
+            response: passes.then_some(answer),
+        }
     }
 }
 
-impl Dialect {
+impl UpstreamProtocol {
     /// What a whole answer to a request says of it.
-    fn outcome(&self, answer: &Response<Bytes>) -> Outcome {
+    fn outcome(&self, answer: &Response<Bytes>) -> AttemptOutcome {
         let (status, headers) = (answer.status(), answer.headers());
         if status.is_success() && !self.is_sealed(headers) {
             // Something ran, and this is not what it gave.
-            return Outcome::Reset;
+            return AttemptOutcome::Reset;
         }
         let not_run = only(headers, &self.not_run).is_some_and(|v| v == "1");
         // Whoever is not the one that was meant has not run it, whatever else it says.
         let other = self.target.is_some() && status == StatusCode::MISDIRECTED_REQUEST;
         if (self.served)(status) {
-            Outcome::Ok
+            AttemptOutcome::Ok
         } else if other && not_run {
-            Outcome::NotHolder
+            AttemptOutcome::NotOwner
         } else if other || (not_run && self.refusals.contains(&status)) {
-            Outcome::Full
+            AttemptOutcome::Rejected
         } else {
-            Outcome::Error
+            AttemptOutcome::Error
         }
     }
 
@@ -417,28 +462,34 @@
 /// How long an upstream keeps idle connections, if it says so.
 fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
-    let told = text.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
+    let told = text
+        .split(',')
+        .find_map(|p| p.trim().strip_prefix("timeout="))?;
     told.parse().ok().map(Duration::from_secs)
 }
 
-impl Load {
+impl LoadReportFormat {
     /// What an answer's head tells; what is not understood is left out.
-    fn report(&self, headers: &HeaderMap) -> Report {
-        let mut report = Report::default();
+    fn report(&self, headers: &HeaderMap) -> LoadReport {
+        let mut report = LoadReport::default();
         let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok());
         match self {
-            Load::Named(fields) => {
+            LoadReportFormat::Named(fields) => {
                 let text = text("x-load").and_then(|t| t.trim().strip_prefix("TEXT"));
                 for pair in text.unwrap_or_default().split(',') {
-                    let Some((name, value)) = pair.split_once('=') else { continue };
-                    let Ok(value) = value.trim().parse::<f64>() else { continue };
+                    let Some((name, value)) = pair.split_once('=') else {
+                        continue;
+                    };
+                    let Ok(value) = value.trim().parse::<f64>() else {
+                        continue;
+                    };
                     let known = fields.iter().find(|(n, _)| n == name.trim());
                     if let Some((_, field)) = known.filter(|_| PLAUSIBLE.contains(&value)) {
                         field.set(&mut report, value);
                     }
                 }
             }
-            Load::Slots(header) => {
+            LoadReportFormat::Slots(header) => {
                 let mut values = text(header.as_str()).unwrap_or_default().split(',');
                 let mut next = || values.next()?.trim().parse().ok();
                 let value = |v: Option<f64>| v.filter(|v| PLAUSIBLE.contains(v));
@@ -449,20 +500,33 @@
     }
 }
 
-impl Forward {
+impl ForwardedRequest {
     /// The head as it goes to an upstream.
-    fn head(&self, dialect: &Dialect, target: &Target, until: Instant) -> Vec<u8> {
+    fn head(&self, dialect: &UpstreamProtocol, target: &Target, until: Instant) -> Vec<u8> {
         let mut head = Vec::with_capacity(512);
         let path = self.uri.path_and_query().map_or("/", |p| p.as_str());
         let mut line = |parts: [&[u8]; 4]| parts.iter().for_each(|p| head.extend_from_slice(p));
-        line([self.method.as_str().as_bytes(), b" ", path.as_bytes(), b" HTTP/1.1\r\n"]);
+        line([
+            self.method.as_str().as_bytes(),
+            b" ",
+            path.as_bytes(),
+            b" HTTP/1.1\r\n",
+        ]);
         let own =
             |name: &HeaderName| *name == dialect.deadline || Some(name) == dialect.target.as_ref();
         for (name, value) in self.headers.iter().filter(|(name, _)| !own(name)) {
             line([name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"]);
         }
-        let left = until.saturating_duration_since(Instant::now()).as_millis().to_string();
-        line([dialect.deadline.as_str().as_bytes(), b": ", left.as_bytes(), b"\r\n"]);
+        let left = until
+            .saturating_duration_since(Instant::now())
+            .as_millis()
+            .to_string();
+        line([
+            dialect.deadline.as_str().as_bytes(),
+            b": ",
+            left.as_bytes(),
+            b"\r\n",
+        ]);
         if let (Some(header), Some(name)) = (&dialect.target, &target.name) {
             line([header.as_str().as_bytes(), b": ", name.as_bytes(), b"\r\n"]);
         }
--- a/crates/load-balancing/src/interface.rs
+++ b/crates/load-balancing/src/interface.rs
@@ -24,11 +24,11 @@
 
 impl Span {
     /// Its length in microseconds, for arithmetic.
-    pub fn f(self) -> f64 {
+    pub fn as_micros(self) -> f64 {
         self.0 as f64
     }
     /// The span of so many microseconds, cut to whole ones.
-    pub fn of(us: f64) -> Span {
+    pub fn from_micros(us: f64) -> Span {
         Span(us as i64)
     }
 }
@@ -65,15 +65,15 @@
 
 /// A class of requests.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct RequestClass {
     /// An answer within this time earns the full worth.
-    pub aim: Span,
+    pub latency_target: Span,
     /// The longest a client waits.
     pub deadline: Span,
     /// Worth of one request.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth for an answer after the aim.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// What a repeat does.
     pub effect: Effect,
     /// Who drops repeats of a keyed request.
@@ -81,8 +81,8 @@
     /// For how long they do, from the send of the first attempt that may have run.
     pub window: Span,
     /// The aim grows by this multiple of a request's own work, up to the deadline.
-    pub aim_stretch: f64,
-    /// The answer is a stream: [`Event::Started`] tells that it has begun.
+    pub latency_target_stretch: f64,
+    /// The answer is a stream: [`Event::ResponseStarted`] tells that it has begun.
     pub streaming: bool,
     /// Requests of such classes that share a key take turns, in the order in which they came.
     pub in_order: bool,
@@ -111,7 +111,7 @@
     /// Most attempts of one request.
     pub max_attempts: usize,
     /// Two attempts of a request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Upstreams may be probed.
@@ -132,14 +132,14 @@
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// An upstream starts at this share of its capacity or more.
-    pub cold_from: f64,
+    pub slow_start_min_capacity: f64,
     /// And is warm no later than this.
-    pub cold: Span,
+    pub slow_start_duration: Span,
     /// Where it is told: requests a second that one upstream may get while it is cold, from all balancers
     /// together; 0 where it is not.
-    pub cold_per_s: f64,
+    pub slow_start_rate_per_s: f64,
     /// Where that is told: how long a send that was earned waits for a request before it is lost.
-    pub cold_wait: Span,
+    pub slow_start_credit_ttl: Span,
     /// It falls over when sent more than this many times its present capacity
     pub fall_multiple: f64,
     /// for this long.
@@ -149,7 +149,7 @@
     /// A final answer so long after the client's deadline still counts.
     pub answer_slack: Span,
     /// Where the list must be asked: the longest silence before news counts as told.
-    pub ask_every: Span,
+    pub membership_poll_interval: Span,
     /// Idle connections to a draining upstream must be closed within this; zero where no rule says so.
     pub drain_close: Span,
     /// How long a key rests after an attempt of an ordered class that may still be running.
@@ -193,7 +193,7 @@
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReportSource {
     /// Nowhere.
     #[default]
     None,
@@ -207,7 +207,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Request classes, by index.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
     /// Balancers in the bank, this one included.
@@ -224,7 +224,7 @@
     /// How often events are delivered at most.
     pub tick: Span,
     /// The list of upstreams comes only when asked for.
-    pub must_ask: bool,
+    pub membership_by_request: bool,
     /// What the site allows.
     pub limits: Limits,
     /// Figures of the rules.
@@ -232,29 +232,29 @@
     /// What things cost.
     pub prices: Prices,
     /// How the service is judged.
-    pub mix: ScoringMix,
+    pub scoring_mix: ScoringMix,
     /// Worth of a request beyond its tenant's share, over its class's.
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// Worth counts by unit of work, not by request.
     pub by_work: bool,
     /// Clients mark their repeats.
     pub marks_retry: bool,
     /// Where load reports come from.
-    pub reports: Reports,
+    pub reports: LoadReportSource,
 }
 
-impl Class {
+impl RequestClass {
     /// A class that may be repeated freely, of worth 1, with this aim and deadline.
     pub fn safe(aim: Span, deadline: Span) -> Self {
         Self {
-            aim,
+            latency_target: aim,
             deadline,
-            worth: 1.0,
-            late_worth: 0.0,
+            value: 1.0,
+            late_value: 0.0,
             effect: Effect::Safe,
             group: Group::All,
             window: Span(0),
-            aim_stretch: 0.0,
+            latency_target_stretch: 0.0,
             streaming: false,
             in_order: false,
             zones: None,
@@ -268,7 +268,7 @@
 impl Settings {
     /// One proxy with these classes, one zone, three attempts a request, and no further rules or
     /// prices: a start to fill in from.
-    pub fn basic(classes: Vec<Class>) -> Self {
+    pub fn basic(classes: Vec<RequestClass>) -> Self {
         Self {
             classes,
             tenants: Vec::new(),
@@ -278,10 +278,10 @@
             zone: 0,
             distance: Vec::new(),
             tick: Span(1000),
-            must_ask: false,
+            membership_by_request: false,
             limits: Limits {
                 max_attempts: 3,
-                second_copies: false,
+                hedging: false,
                 cancel: false,
                 probes: false,
                 retry_after: false,
@@ -291,15 +291,15 @@
                 streams_per_conn: 1,
             },
             rules: Rules {
-                cold_from: 1.0,
-                cold: Span(0),
-                cold_per_s: 0.0,
-                cold_wait: Span(500_000),
+                slow_start_min_capacity: 1.0,
+                slow_start_duration: Span(0),
+                slow_start_rate_per_s: 0.0,
+                slow_start_credit_ttl: Span(500_000),
                 fall_multiple: 1.0,
                 tip_after: Span(0),
                 drain_grace: Span(0),
                 answer_slack: Span(0),
-                ask_every: Span(0),
+                membership_poll_interval: Span(0),
                 drain_close: Span(0),
                 turn_gap: Span(0),
                 retry_window: Span(0),
@@ -307,11 +307,14 @@
                 retry_slack: 0.0,
             },
             prices: Prices::default(),
-            mix: ScoringMix { whole: 1.0, ..ScoringMix::default() },
-            over_share_worth: 1.0,
+            scoring_mix: ScoringMix {
+                whole: 1.0,
+                ..ScoringMix::default()
+            },
+            over_quota_value: 1.0,
             by_work: false,
             marks_retry: false,
-            reports: Reports::None,
+            reports: LoadReportSource::None,
         }
     }
 }
@@ -322,18 +325,30 @@
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        if let Some(i) = self.classes.iter().position(|c| c.aim.0 <= 0 || c.deadline.0 <= 0) {
-            return Err(SettingsError::BadAim(i));
+        if let Some(i) = self
+            .classes
+            .iter()
+            .position(|c| c.latency_target.0 <= 0 || c.deadline.0 <= 0)
+        {
+            return Err(SettingsError::InvalidLatencyTarget(i));
         }
         // Safe defaults: a zero tick or cold share would stop a clock or a cold server for ever.
         self.tick.0 = self.tick.0.max(100);
         self.balancers = self.balancers.max(1);
         self.limits.max_attempts = self.limits.max_attempts.max(1);
         // Where clients are given no advice, the longest that they heed is none.
-        let most = if self.limits.retry_after { self.limits.max_retry_after.0.max(0) } else { 0 };
+        let most = if self.limits.retry_after {
+            self.limits.max_retry_after.0.max(0)
+        } else {
+            0
+        };
         self.limits.max_retry_after = Span(most);
-        self.rules.cold_from = self.rules.cold_from.clamp(0.01, 1.0);
-        self.rules.ask_every.0 = self.rules.ask_every.0.max(self.tick.0.saturating_mul(10));
+        self.rules.slow_start_min_capacity = self.rules.slow_start_min_capacity.clamp(0.01, 1.0);
+        self.rules.membership_poll_interval.0 = self
+            .rules
+            .membership_poll_interval
+            .0
+            .max(self.tick.0.saturating_mul(10));
         Ok(self)
     }
 }
@@ -346,7 +361,7 @@
     NoClasses,
     /// An aim or deadline that no answer can meet.
     #[error("class {0} has an aim or deadline that is not above zero")]
-    BadAim(usize),
+    InvalidLatencyTarget(usize),
     /// Requests of a class may be open, and an index must not change its meaning under them.
     #[error("there were {0} classes before, and now fewer")]
     FewerClasses(usize),
@@ -365,7 +380,7 @@
 
 /// One entry of the list of upstreams.
 #[derive(Clone, Copy, Debug)]
-pub struct Member {
+pub struct Endpoint {
     /// The caller's handle.
     pub id: ServerId,
     /// A hash of its name that is the same at every balancer.
@@ -386,7 +401,7 @@
     pub started: Option<Time>,
 }
 
-impl Member {
+impl Endpoint {
     /// A live upstream of zone, kind and cell 0 and of size 1, started long ago.
     pub fn live(id: ServerId) -> Self {
         Self {
@@ -405,11 +420,11 @@
 
 /// What kind of list event came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum MembershipKind {
     /// Changed entries only.
     Update,
     /// The whole list.
-    Whole,
+    Complete,
     /// The whole list as last held, perhaps out of date.
     Restored,
     /// A list call failed or the subscription broke.
@@ -428,20 +443,20 @@
     /// Hash of its routing key, if it has one.
     pub key: Option<u64>,
     /// When the client gives up.
-    pub drop_dead: Time,
+    pub deadline: Time,
     /// Work to expect on a yardstick core, if anyone guessed.
-    pub cost_guess: Option<Span>,
+    pub estimated_work: Option<Span>,
     /// A client's repeat, as it is marked or as its host sees it.
-    pub resent: bool,
+    pub is_client_retry: bool,
     /// It changes something.
-    pub write: bool,
+    pub is_write: bool,
     /// Its key, where upstreams divide the keys: only the holder runs it.
     pub shard: Option<u16>,
 }
 
 /// A run of keys, both ends inside, and the upstream that holds them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Keys {
+pub struct OwnedKeyRange {
     /// The first.
     pub since: u16,
     /// The last.
@@ -458,10 +473,10 @@
             class,
             tenant: 0,
             key: None,
-            drop_dead,
-            cost_guess: None,
-            resent: false,
-            write: false,
+            deadline: drop_dead,
+            estimated_work: None,
+            is_client_retry: false,
+            is_write: false,
             shard: None,
         }
     }
@@ -469,15 +484,15 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// Served.
     Ok,
     /// Answered with an error; may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// Turned away unseen by one that does not hold its key.
-    NotHolder,
+    NotOwner,
     /// No answer in time; may have run.
     Timeout,
     /// No connection; never ran.
@@ -487,20 +502,20 @@
     /// Withdrawn by us; may have run.
     Cancelled,
     /// Never issued.
-    Moot,
+    NotIssued,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Whether it proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        use Outcome::*;
-        matches!(self, Full | NotHolder | ConnectFailed | Moot)
+        use AttemptOutcome::*;
+        matches!(self, Rejected | NotOwner | ConnectFailed | NotIssued)
     }
 }
 
 /// The end of an attempt as the caller saw it.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
+pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
     /// Which attempt, from 0.
@@ -508,32 +523,40 @@
     /// The upstream it went to.
     pub server: ServerId,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// How long it took.
     pub latency: Span,
     /// The request is over.
     pub last: bool,
     /// What the upstream reported of itself.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
-impl Answer {
+impl AttemptResult {
     /// An outcome without a load report.
     pub fn new(
         request: RequestId,
         attempt: usize,
         server: ServerId,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         latency: Span,
         last: bool,
     ) -> Self {
-        Self { request, attempt, server, outcome, latency, last, report: Report::default() }
+        Self {
+            request,
+            attempt,
+            server,
+            outcome,
+            latency,
+            last,
+            report: LoadReport::default(),
+        }
     }
 }
 
 /// An upstream's load report; what it does not tell is `None`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests in progress.
     pub inflight: Option<f64>,
     /// Requests waiting.
@@ -552,26 +575,26 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// The list of upstreams, or a change to it.
-    Members {
+    Membership {
         /// What kind of list event.
-        kind: ListKind,
+        kind: MembershipKind,
         /// Its entries.
-        list: &'a [Member],
+        list: &'a [Endpoint],
     },
     /// Who holds which keys, all of them.
-    Holders(&'a [Keys]),
+    KeyOwners(&'a [OwnedKeyRange]),
     /// A client's request has arrived: one final answer is owed.
     Request(Request),
     /// An attempt has ended.
-    Answered(Answer),
+    AttemptEnded(AttemptResult),
     /// The answer has begun to stream: the attempt is the client's now.
-    Started(RequestId),
+    ResponseStarted(RequestId),
     /// The client no longer waits; nothing is owed.
-    Left(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer is due.
-    Timer(u64),
+    TimerFired(u64),
     /// A probe has ended.
-    Probed {
+    ProbeEnded {
         /// The upstream.
         server: ServerId,
         /// It answered well.
@@ -579,7 +602,7 @@
         /// How long it took.
         latency: Span,
         /// What the upstream reported of itself.
-        report: Report,
+        report: LoadReport,
     },
 }
 
@@ -596,7 +619,7 @@
         timeout: Span,
     },
     /// End it unserved; it is harmless to come again.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// Advice on when; zero for none.
@@ -614,8 +637,8 @@
         /// Which attempt.
         attempt: usize,
     },
-    /// Tell [`Event::Timer`] at or after this time.
-    Arm {
+    /// Tell [`Event::TimerFired`] at or after this time.
+    SetTimer {
         /// To be returned.
         token: u64,
         /// When.
--- a/crates/load-balancing/src/policy/admission.rs
+++ b/crates/load-balancing/src/policy/admission.rs
@@ -6,20 +6,27 @@
     /// A client request has arrived; it is sent, held or refused.
     pub(super) fn request(&mut self, now: Time, r: Request, out: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(r.class) else {
-            return out.push(Action::Refuse { request: r.id, retry_after: Span(0) });
+            return out.push(Action::Reject {
+                request: r.id,
+                retry_after: Span(0),
+            });
         };
         if self.requests.contains_key(&r.id) {
             return;
         }
         // A held request is worth holding only while its aim can be met, also where a late answer keeps some
         // worth: else, in lasting overload, the whole queue is served late.
-        let aim_at = r.drop_dead.min(now.plus(class.aim));
-        let worth_until = if class.late_worth > 0.0 { r.drop_dead } else { aim_at };
+        let aim_at = r.deadline.min(now.plus(class.latency_target));
+        let worth_until = if class.late_value > 0.0 {
+            r.deadline
+        } else {
+            aim_at
+        };
         // Two sweeps early: a refusal must come while it is still harmless.
         let hold_until = aim_at.plus(Span(-2 * self.settings.sweep_every().0));
         let entry = Entry {
             class: r.class,
-            drop_dead: r.drop_dead,
+            drop_dead: r.deadline,
             worth_until,
             hold_until,
             held: false,
@@ -29,11 +36,14 @@
             shard: r.shard,
         };
         self.fleet.budget.requested(now, &self.settings.rules);
-        let ahead = entry.turn.and_then(|k| self.lines.get(&k)).map_or(0, |l| l.waiting.len());
+        let ahead = entry
+            .turn
+            .and_then(|k| self.lines.get(&k))
+            .map_or(0, |l| l.waiting.len());
         self.requests.insert(r.id, entry);
         let in_share = self.in_share(now, r.tenant);
-        let starts = now.plus(Span::of(ahead as f64 * self.fleet.mean[r.class]));
-        if !self.admits(r.class, in_share, r.resent) || starts >= hold_until {
+        let starts = now.plus(Span::from_micros(ahead as f64 * self.fleet.mean[r.class]));
+        if !self.admits(r.class, in_share, r.is_client_retry) || starts >= hold_until {
             self.refuse(r.id, out);
             return;
         }
@@ -64,40 +74,55 @@
     /// for as much. Failure: beside routes hardly asked for, the one with all the traffic had the least part.
     fn part_of(&self, class: usize) -> f64 {
         let f = &self.fleet;
-        let value = |c: usize| self.settings.classes[c].worth / f.mean[c].max(1.0);
+        let value = |c: usize| self.settings.classes[c].value / f.mean[c].max(1.0);
         let (own, least) = (value(class), f.share[class] * RIVAL);
         let rivals = (0..f.share.len()).filter(|&c| f.share[c] > least);
         let rivals: Vec<f64> = rivals.map(value).collect();
         let below = rivals.iter().filter(|&&rival| rival < own).count() as f64;
-        let rank = if rivals.len() <= 1 { 1.0 } else { below / (rivals.len() - 1) as f64 };
+        let rank = if rivals.len() <= 1 {
+            1.0
+        } else {
+            below / (rivals.len() - 1) as f64
+        };
         LEAST_PART + (1.0 - LEAST_PART) * rank.min(1.0)
     }
 
     pub(super) fn refresh_admission(&mut self) {
         let f = &mut self.fleet;
-        let known = self.settings.classes.iter().zip(&f.mean).filter(|(c, _)| !c.retired);
-        let bear = known.map(|(c, mean)| c.aim.f() * HOLD_OF_AIM - mean);
+        let known = self
+            .settings
+            .classes
+            .iter()
+            .zip(&f.mean)
+            .filter(|(c, _)| !c.retired);
+        let bear = known.map(|(c, mean)| c.latency_target.as_micros() * HOLD_OF_AIM - mean);
         f.bearable = bear.fold(f64::MAX, f64::min).max(0.0);
     }
 
     pub(super) fn refuse(&mut self, request: RequestId, out: &mut Vec<Action>) {
         // By then all that is queued now has ended: who comes sooner stands behind the same queue.
         let most = self.settings.limits.max_retry_after;
-        let retry_after = Span::of(self.fleet.ts + self.fleet.bearable).min(most);
-        out.push(Action::Refuse { request, retry_after });
+        let retry_after = Span::from_micros(self.fleet.ts + self.fleet.bearable).min(most);
+        out.push(Action::Reject {
+            request,
+            retry_after,
+        });
         self.end(request);
     }
 
     /// Nothing is owed to the client any more.
     pub(super) fn end(&mut self, id: RequestId) {
         self.unhold(id);
-        let Some(e) = self.requests.get_mut(&id) else { return };
+        let Some(e) = self.requests.get_mut(&id) else {
+            return;
+        };
         e.ended = true;
         if e.out() {
             return;
         }
         let line = e.turn.and_then(|k| self.lines.get_mut(&k));
-        line.into_iter().for_each(|line| line.waiting.retain(|w| *w != id));
+        line.into_iter()
+            .for_each(|line| line.waiting.retain(|w| *w != id));
         self.requests.remove(&id);
     }
 }
--- a/crates/load-balancing/src/policy/dispatch.rs
+++ b/crates/load-balancing/src/policy/dispatch.rs
@@ -6,7 +6,9 @@
 
 impl Balancer {
     pub(super) fn hold(&mut self, id: RequestId, at_head: bool) {
-        let Some(e) = self.requests.get_mut(&id) else { return };
+        let Some(e) = self.requests.get_mut(&id) else {
+            return;
+        };
         e.held = true;
         let class = e.class;
         self.count_queued(class, 1);
@@ -49,14 +51,25 @@
 
     /// An ordered request goes to the back of its key's line.
     pub(super) fn join_line(&mut self, now: Time, id: RequestId) {
-        let Some(key) = self.requests.get(&id).and_then(|e| e.turn) else { return };
-        let new = || Line { waiting: VecDeque::new(), rest_until: now };
-        self.lines.entry(key).or_insert_with(new).waiting.push_back(id);
+        let Some(key) = self.requests.get(&id).and_then(|e| e.turn) else {
+            return;
+        };
+        let new = || Line {
+            waiting: VecDeque::new(),
+            rest_until: now,
+        };
+        self.lines
+            .entry(key)
+            .or_insert_with(new)
+            .waiting
+            .push_back(id);
     }
 
     /// Whether it is at the head of its key's line and the key has rested; always, once it was sent.
     pub(super) fn has_turn(&self, now: Time, id: RequestId, e: &Entry) -> bool {
-        let Some(line) = e.turn.and_then(|k| self.lines.get(&k)) else { return true };
+        let Some(line) = e.turn.and_then(|k| self.lines.get(&k)) else {
+            return true;
+        };
         !e.attempts.is_empty() || (line.waiting.front() == Some(&id) && now >= line.rest_until)
     }
 
@@ -122,7 +135,11 @@
             let trial = if full { s.trial } else { s.trial.min(0) };
             let load = f64::from(s.in_flight) + self.others(now, s);
             // Failure: in overload all that found no slot elsewhere went to the upstreams of a lost zone.
-            let most = if s.silent >= SILENT { 1 } else { self.k(s, trial) };
+            let most = if s.silent >= SILENT {
+                1
+            } else {
+                self.k(s, trial)
+            };
             // Failure: a proxy at its limit sent on trial to upstreams that it had left idle as slow.
             let taken = load >= f64::from(most) || (full && s.in_flight < self.k(s, 0));
             let shut = now < s.by_class[e.class].until && !*panics;
@@ -132,7 +149,11 @@
             if s.slots == 0 && !tried {
                 return Some(i);
             }
-            let cost = if s.slots == 0 { 0.0 } else { self.told_cost(now, s) };
+            let cost = if s.slots == 0 {
+                0.0
+            } else {
+                self.told_cost(now, s)
+            };
             if last.is_none_or(|(t, c, _)| (tried, cost) < (t, c)) {
                 last = Some((tried, cost, i));
             }
@@ -142,19 +163,28 @@
 
     /// Others' requests at an upstream, as far as those that it told of have not ended by now.
     pub(super) fn others(&self, now: Time, s: &Server) -> f64 {
-        s.others * (-now.since(s.told).f() / self.ts(s)).exp()
+        s.others * (-now.since(s.told).as_micros() / self.ts(s)).exp()
     }
 
     /// The time to an answer of one that tells its load, in mean service times, with others' requests come
     /// since. One's own part comes first: its answers are known.
     fn told_cost(&self, now: Time, s: &Server) -> f64 {
         let (f, lanes) = (&self.fleet, self.lanes(s));
-        let load =
-            f64::from(s.in_flight) + f.others.by(now, lanes, (s.others, s.told), f.ts, self.ts(s));
+        let load = f64::from(s.in_flight)
+            + f.others
+                .by(now, lanes, (s.others, s.told), f.ts, self.ts(s));
         let away = |d: &Span| if d.0 > 0 { REGION_AWAY } else { ZONE_AWAY };
-        let far = self.settings.distance.get(s.zone as usize).map_or(0.0, away);
+        let far = self
+            .settings
+            .distance
+            .get(s.zone as usize)
+            .map_or(0.0, away);
         let own = s.zone == self.settings.zone;
-        let (far, ring) = if own { (0.0, s.reach) } else { (far, s.reach - FAR) };
+        let (far, ring) = if own {
+            (0.0, s.reach)
+        } else {
+            (far, s.reach - FAR)
+        };
         s.est.slow * (1.0 + load / lanes) + far + OUTSIDE * (ring - SHARED).clamp(0.0, 1.0)
     }
 
@@ -162,7 +192,9 @@
         self.count_send(now, server);
         self.count_level(now, server, None);
         self.unhold(id);
-        let Some(e) = self.requests.get_mut(&id) else { return };
+        let Some(e) = self.requests.get_mut(&id) else {
+            return;
+        };
         let first = e.attempts.is_empty();
         self.out.push((id, e.attempts.len()));
         e.attempts.push(Attempt::new(server, now));
@@ -173,6 +205,10 @@
         } else {
             self.fleet.budget.tried_again(now, &self.settings.rules);
         }
-        out.push(Action::Send { request: id, server: self.servers[server].id, timeout });
+        out.push(Action::Send {
+            request: id,
+            server: self.servers[server].id,
+            timeout,
+        });
     }
 }
--- a/crates/load-balancing/src/policy/estimates.rs
+++ b/crates/load-balancing/src/policy/estimates.rs
@@ -14,18 +14,23 @@
 
 impl Estimate {
     /// Before any answer: as fast as the fleet's mean.
-    pub(crate) const NONE: Self = Self { tp2: None, slow: 1.0 };
+    pub(crate) const NONE: Self = Self {
+        tp2: None,
+        slow: 1.0,
+    };
 
     /// Takes in an answer of this latency, where the fleet's mean for its class is `mean`.
-    pub(super) fn learn(&mut self, outcome: Outcome, latency: f64, mean: f64) {
-        if outcome == Outcome::Full {
+    pub(super) fn learn(&mut self, outcome: AttemptOutcome, latency: f64, mean: f64) {
+        if outcome == AttemptOutcome::Rejected {
             self.tp2 = Some(self.tp2.map_or(latency, |t| t.min(latency)));
         }
         let service = (latency - self.tp2.unwrap_or(0.0)).max(1.0) / mean;
         let service = match outcome {
-            Outcome::Ok => service,
+            AttemptOutcome::Ok => service,
             // A quick error must not look like a fast upstream (it would earn slots).
-            Outcome::Error | Outcome::Timeout | Outcome::Reset => service.max(FAULT_SLOWNESS),
+            AttemptOutcome::Error | AttemptOutcome::Timeout | AttemptOutcome::Reset => {
+                service.max(FAULT_SLOWNESS)
+            }
             _ => return,
         };
         self.slow += (service.min(SLOWNESS_MAX) - self.slow) * TS_GAIN;
@@ -45,7 +50,10 @@
 
 impl Lanes {
     pub(crate) fn new() -> Self {
-        Self { count: 1, level: vec![Level::default(); MOST_LANES + 1] }
+        Self {
+            count: 1,
+            level: vec![Level::default(); MOST_LANES + 1],
+        }
     }
 
     /// Ends a round, if enough was seen, and takes the fewest lanes that get enough done.
@@ -69,10 +77,14 @@
                 (top, best) = (n, gain[n].max(best));
             }
         }
-        let enough = (1..=top).find(|&n| gain[n] >= LANES_ENOUGH * best).unwrap_or(1);
+        let enough = (1..=top)
+            .find(|&n| gain[n] >= LANES_ENOUGH * best)
+            .unwrap_or(1);
         if enough != self.count {
             self.count = enough;
-            self.level.iter_mut().for_each(|l| l.expected *= gain[enough]);
+            self.level
+                .iter_mut()
+                .for_each(|l| l.expected *= gain[enough]);
         }
     }
 
@@ -120,7 +132,7 @@
     }
 
     pub(super) fn refresh_lanes(&mut self, now: Time) {
-        if now.since(self.fleet.tried).f() < self.fleet.ts * TRIAL_OF_TS {
+        if now.since(self.fleet.tried).as_micros() < self.fleet.ts * TRIAL_OF_TS {
             return;
         }
         self.fleet.tried = now;
@@ -167,7 +179,7 @@
     /// Books the time that an upstream had so many in flight, and the work of the answer that ends it.
     pub(super) fn count_level(&mut self, now: Time, server: usize, answered: Option<usize>) {
         let s = &self.servers[server];
-        let time = now.since(s.changed).f().min(self.ts(s) * LANE_GAP);
+        let time = now.since(s.changed).as_micros().min(self.ts(s) * LANE_GAP);
         let (kind, level) = (s.kind as usize, s.in_flight as usize);
         if self.fair(now, s) && (1..=MOST_LANES).contains(&level) {
             let l = &mut self.fleet.lanes[kind].level[level];
@@ -179,7 +191,10 @@
 
     pub(super) fn learn_means(&mut self, class: usize, latency: f64) {
         self.fleet.ts += (latency - self.fleet.ts) * MEAN_GAIN;
-        self.fleet.share.iter_mut().for_each(|s| *s -= *s * MEAN_GAIN);
+        self.fleet
+            .share
+            .iter_mut()
+            .for_each(|s| *s -= *s * MEAN_GAIN);
         self.fleet.share[class] += MEAN_GAIN;
         let (mean, dev) = (&mut self.fleet.mean[class], &mut self.fleet.dev[class]);
         let (off, new) = ((latency - *mean).abs(), *mean == 0.0);
@@ -190,7 +205,7 @@
     /// Requests out at an upstream, its K_i, and its N_i within the time `t`; for gauges.
     pub fn upstream(&self, id: ServerId, t: Span) -> Option<(u32, u32, f64)> {
         let s = &self.servers[*self.by_id.get(&id)?];
-        Some((s.in_flight, self.k(s, 0), self.n_rate(s) * t.f()))
+        Some((s.in_flight, self.k(s, 0), self.n_rate(s) * t.as_micros()))
     }
 
     pub(super) fn refresh_fleet(&mut self) {
@@ -208,10 +223,14 @@
             let live = |s: &&Server| s.status == Status::Live && self.counts(&self.rooms[r], s);
             let sum = |(k, n), s: &Server| (k + self.k_exact(s), n + self.n_rate(s));
             let (k, n) = self.servers.iter().filter(live).fold((0.0, 0.0), sum);
-            let (part, even) = bank::part(k, self.fleet.leeway, self.settings.balancers);
+            let (part, even) = fleet::part(k, self.fleet.leeway, self.settings.balancers);
             (self.rooms[r].slots, self.rooms[r].n_per_time) = (k * part, n * part);
             // Failure: where slots are learned, a bank that shrank refused repeats that it could serve.
-            self.rooms[r].even = if self.servers.iter().any(|s| s.slots > 0) { even } else { 1.0 };
+            self.rooms[r].even = if self.servers.iter().any(|s| s.slots > 0) {
+                even
+            } else {
+                1.0
+            };
         }
         self.count_rooms();
         let (order, servers) = (&mut self.order, &self.servers);
--- a/crates/load-balancing/src/policy/members.rs
+++ b/crates/load-balancing/src/policy/members.rs
@@ -6,29 +6,34 @@
     pub(super) fn members(
         &mut self,
         now: Time,
-        kind: ListKind,
-        list: &[Member],
+        kind: MembershipKind,
+        list: &[Endpoint],
         out: &mut Vec<Action>,
     ) {
-        if kind == ListKind::Unavailable {
+        if kind == MembershipKind::Unavailable {
             self.ask.subscribed = false;
             self.ask.failures = (self.ask.failures + 1).min(3);
             let wait = ASK_JITTER_OF_EVERY * f64::from(1 << self.ask.failures);
             self.ask.next = now.plus(self.jitter(wait));
             return;
         }
-        if kind != ListKind::Restored {
+        if kind != MembershipKind::Restored {
             (self.ask.subscribed, self.ask.failures) = (true, 0);
         }
         let before: Vec<Status> = self.servers.iter().map(|s| s.status).collect();
-        if kind != ListKind::Update {
-            self.servers.iter_mut().for_each(|s| s.status = Status::Gone);
+        if kind != MembershipKind::Update {
+            self.servers
+                .iter_mut()
+                .for_each(|s| s.status = Status::Gone);
         }
         for m in list {
             self.member(now, m);
         }
         for i in 0..self.servers.len() {
-            if before.get(i).is_none_or(|was| *was != self.servers[i].status) {
+            if before
+                .get(i)
+                .is_none_or(|was| *was != self.servers[i].status)
+            {
                 self.servers[i].close_until = now.plus(self.settings.rules.drain_close);
                 self.close_idle(now, i, out);
             }
@@ -42,7 +47,10 @@
 
     pub(super) fn count_rooms(&mut self) {
         for r in 0..self.rooms.len() {
-            let counted = self.servers.iter().filter(|s| self.counts(&self.rooms[r], s));
+            let counted = self
+                .servers
+                .iter()
+                .filter(|s| self.counts(&self.rooms[r], s));
             self.rooms[r].in_flight = counted.map(|s| s.in_flight as usize).sum();
         }
     }
@@ -69,7 +77,12 @@
         for a in self.requests.values_mut().flat_map(|e| &mut e.attempts) {
             a.server = places[&a.server];
         }
-        self.by_id = self.servers.iter().enumerate().map(|(i, s)| (s.id, i)).collect();
+        self.by_id = self
+            .servers
+            .iter()
+            .enumerate()
+            .map(|(i, s)| (s.id, i))
+            .collect();
     }
 
     /// Lays the upstreams of each zone on a ring, and this proxy at its own point of it. The points of any
@@ -80,16 +93,27 @@
         let priced = self.settings.prices.cross_zone > 0.0;
         let zone = |s: &Server| if priced { s.zone } else { 0 };
         live.sort_by_key(|&i| (zone(&self.servers[i]), self.servers[i].identity));
-        let own = bank::point(self.settings.position);
-        let zones = if priced { f64::from(self.settings.zones.max(1)) } else { 1.0 };
+        let own = fleet::point(self.settings.position);
+        let zones = if priced {
+            f64::from(self.settings.zones.max(1))
+        } else {
+            1.0
+        };
         let banks = f64::from(self.settings.balancers) / zones;
         let mut at = 0;
         while at < live.len() {
             let z = zone(&self.servers[live[at]]);
-            let n = live[at..].iter().take_while(|&&i| zone(&self.servers[i]) == z).count();
+            let n = live[at..]
+                .iter()
+                .take_while(|&&i| zone(&self.servers[i]) == z)
+                .count();
             for (j, &i) in live[at..at + n].iter().enumerate() {
                 let d = ((j as f64 + 0.5) / n as f64 - own).abs();
-                let far = if priced && z != self.settings.zone { FAR } else { 0.0 };
+                let far = if priced && z != self.settings.zone {
+                    FAR
+                } else {
+                    0.0
+                };
                 self.servers[i].reach = d.min(1.0 - d) * banks.max(1.0) + far;
             }
             at += n;
@@ -112,16 +136,20 @@
         }
     }
 
-    pub(super) fn member(&mut self, now: Time, m: &Member) {
+    pub(super) fn member(&mut self, now: Time, m: &Endpoint) {
         let fresh = self.servers.len();
         let i = *self.by_id.entry(m.id).or_insert(fresh);
         if i == fresh {
-            self.servers.push(Server::new(m, self.settings.classes.len(), now));
+            self.servers
+                .push(Server::new(m, self.settings.classes.len(), now));
         }
         // Spread over the bank: a part of the first send is already earned.
-        let turn = bank::turn(self.settings.position, m.identity);
-        let head_start =
-            if self.settings.rules.cold_per_s > 0.0 { turn } else { self.rng.rand_float() };
+        let turn = fleet::turn(self.settings.position, m.identity);
+        let head_start = if self.settings.rules.slow_start_rate_per_s > 0.0 {
+            turn
+        } else {
+            self.rng.rand_float()
+        };
         let kind = m.kind.min(255) as usize;
         let lanes = &mut self.fleet.lanes;
         lanes.resize_with(lanes.len().max(kind + 1), Lanes::new);
@@ -134,6 +162,10 @@
         }
         (s.zone, s.kind, s.cell) = (m.zone, m.kind.min(255), m.cell);
         (s.status, s.started, s.slots) = (m.status, m.started, m.slots);
-        s.weight = if m.weight > 0.0 && m.weight.is_finite() { m.weight } else { 1.0 };
+        s.weight = if m.weight > 0.0 && m.weight.is_finite() {
+            m.weight
+        } else {
+            1.0
+        };
     }
 }
--- a/crates/load-balancing/src/policy/mod.rs
+++ b/crates/load-balancing/src/policy/mod.rs
@@ -8,9 +8,9 @@
 use oorandom::Rand64;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::bank::{self, Pace};
-use crate::holders::Holders;
+use crate::fleet::{self, Pace};
 use crate::interface::*;
+use crate::key_owners::KeyOwners;
 use crate::state::*;
 
 mod admission;
@@ -134,7 +134,7 @@
     out: Vec<(RequestId, usize)>,
     extra: f64,
     fleet: Fleet,
-    holders: Holders,
+    holders: KeyOwners,
     /// What each tenant may still send within its share.
     quotas: Vec<Quota>,
     ask: Asking,
@@ -146,7 +146,7 @@
 
 impl Balancer {
     /// A balancer that knows its settings and nothing else yet. Its first event starts its timers: give it
-    /// what list there is right away, if only an empty [`ListKind::Restored`].
+    /// what list there is right away, if only an empty [`MembershipKind::Restored`].
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         let settings = settings.checked()?;
         let t_qos = settings.t_qos();
@@ -167,9 +167,20 @@
             out: Vec::new(),
             extra: 1.0,
             fleet: Fleet::new(classes, t_qos, t_qos * TS_PRIOR_OF_QOS, LEEWAY, now),
-            holders: Holders::default(),
-            quotas: settings.tenants.iter().map(|_| Quota { tokens: 1.0, counted: now }).collect(),
-            ask: Asking { subscribed: false, next: now, failures: 0 },
+            holders: KeyOwners::default(),
+            quotas: settings
+                .tenants
+                .iter()
+                .map(|_| Quota {
+                    tokens: 1.0,
+                    counted: now,
+                })
+                .collect(),
+            ask: Asking {
+                subscribed: false,
+                next: now,
+                failures: 0,
+            },
             settings,
         })
     }
@@ -185,10 +196,18 @@
         self.t_qos = settings.t_qos();
         (self.rooms, self.room_of) = settings.rooms();
         self.fleet.resize(classes);
-        self.servers.iter_mut().for_each(|s| s.by_class.resize(classes, Breaker::default()));
+        self.servers
+            .iter_mut()
+            .for_each(|s| s.by_class.resize(classes, Breaker::default()));
         self.settings = settings;
-        let held: Vec<_> = self.requests.values().filter(|e| e.held).map(|e| e.class).collect();
-        held.into_iter().for_each(|class| self.count_queued(class, 1));
+        let held: Vec<_> = self
+            .requests
+            .values()
+            .filter(|e| e.held)
+            .map(|e| e.class)
+            .collect();
+        held.into_iter()
+            .for_each(|class| self.count_queued(class, 1));
         self.draw_parts();
         self.refresh_fleet();
         Ok(())
@@ -202,26 +221,33 @@
             self.arm(now, out);
         }
         match event {
-            Event::Members { kind, list } => self.members(now, kind, list, out),
-            Event::Holders(list) => {
+            Event::Membership { kind, list } => self.members(now, kind, list, out),
+            Event::KeyOwners(list) => {
                 self.holders.told(now, list);
                 self.dispatch(now, out);
             }
             Event::Request(r) => self.request(now, r, out),
-            Event::Answered(a) => self.outcome(now, a, out),
-            Event::Started(id) => self.end(id),
-            Event::Left(id) => self.conclude(id, out),
-            Event::Timer(SWEEP) => self.sweep(now, out),
-            Event::Timer(_) | Event::Probed { .. } => {}
+            Event::AttemptEnded(a) => self.outcome(now, a, out),
+            Event::ResponseStarted(id) => self.end(id),
+            Event::ClientDisconnected(id) => self.conclude(id, out),
+            Event::TimerFired(SWEEP) => self.sweep(now, out),
+            Event::TimerFired(_) | Event::ProbeEnded { .. } => {}
         }
     }
 
     fn jitter(&mut self, of_every: f64) -> Span {
-        Span::of(self.rng.rand_float() * of_every * self.settings.rules.ask_every.f())
+        Span::from_micros(
+            self.rng.rand_float()
+                * of_every
+                * self.settings.rules.membership_poll_interval.as_micros(),
+        )
     }
 
     fn arm(&mut self, now: Time, out: &mut Vec<Action>) {
-        out.push(Action::Arm { token: SWEEP, at: now.plus(self.settings.sweep_every()) });
+        out.push(Action::SetTimer {
+            token: SWEEP,
+            at: now.plus(self.settings.sweep_every()),
+        });
     }
 
     fn sweep(&mut self, now: Time, out: &mut Vec<Action>) {
@@ -231,7 +257,8 @@
         self.refresh_fleet();
         self.expire(now, out);
         self.dispatch(now, out);
-        self.lines.retain(|_, l| !l.waiting.is_empty() || now < l.rest_until);
+        self.lines
+            .retain(|_, l| !l.waiting.is_empty() || now < l.rest_until);
         for i in 0..self.servers.len() {
             if now <= self.servers[i].close_until {
                 self.close_idle(now, i, out);
@@ -242,11 +269,13 @@
     }
 
     fn ask_for_list(&mut self, now: Time, out: &mut Vec<Action>) {
-        if !self.settings.must_ask || self.ask.subscribed || now < self.ask.next {
+        if !self.settings.membership_by_request || self.ask.subscribed || now < self.ask.next {
             return;
         }
         out.push(Action::Subscribe);
-        let again = Span::of(self.settings.rules.ask_every.f() * ASK_AGAIN_OF_EVERY);
+        let again = Span::from_micros(
+            self.settings.rules.membership_poll_interval.as_micros() * ASK_AGAIN_OF_EVERY,
+        );
         self.ask.next = now.plus(again).plus(self.jitter(ASK_JITTER_OF_EVERY));
     }
 }
--- a/crates/load-balancing/src/settings.rs
+++ b/crates/load-balancing/src/settings.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use crate::interface::{self as d, Report, Span};
+use crate::interface::{self as d, LoadReport, Span};
 
 /// Milliseconds in whole microseconds; whatever is not a number is 0.
 pub fn span(ms: f64) -> Span {
@@ -13,8 +13,9 @@
 
 /// FNV-1a: the same at every balancer and in every build.
 pub fn stable_hash(text: &str) -> u64 {
-    text.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// A routing key: hex digits as they are, whatever else by its hash.
@@ -48,7 +49,7 @@
         }
     }
 
-    pub fn set(self, report: &mut Report, value: f64) {
+    pub fn set(self, report: &mut LoadReport, value: f64) {
         match self {
             Field::InFlight => report.inflight = Some(value),
             Field::Queue => report.queue = Some(value),
@@ -67,7 +68,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Facts {
+pub struct SiteSettings {
     pub balancers: u32,
     #[serde(default)]
     pub position: u32,
@@ -251,15 +252,15 @@
     Silent,
 }
 
-impl Facts {
+impl SiteSettings {
     /// The module's settings: names become indexes, milliseconds microseconds.
     pub fn settings(&self) -> d::Settings {
         let facts = self;
-        let class = |s: &Service| d::Class {
-            aim: span(s.aim),
+        let class = |s: &Service| d::RequestClass {
+            latency_target: span(s.aim),
             deadline: span(s.deadline),
-            worth: s.importance,
-            late_worth: s.late_value,
+            value: s.importance,
+            late_value: s.late_value,
             effect: match s.effect {
                 Effect::Retryable => d::Effect::Safe,
                 Effect::Dedup => d::Effect::Keyed,
@@ -271,7 +272,7 @@
                 Group::Cell => d::Group::Cell,
             },
             window: span(s.window),
-            aim_stretch: s.aim_stretch,
+            latency_target_stretch: s.aim_stretch,
             streaming: s.streaming,
             in_order: s.by_arrival,
             zones: s.zones_allowed.clone(),
@@ -285,7 +286,10 @@
             tenants: facts
                 .tenants
                 .iter()
-                .map(|t| d::Tenant { quota_rps: t.quota_rps, share: t.share })
+                .map(|t| d::Tenant {
+                    quota_rps: t.quota_rps,
+                    share: t.share,
+                })
                 .collect(),
             balancers: facts.balancers,
             position: facts.position,
@@ -293,10 +297,10 @@
             zone: facts.zone,
             distance: Vec::new(),
             tick: span(facts.tick),
-            must_ask: facts.registry_mode == RegistryMode::Subscribe,
+            membership_by_request: facts.registry_mode == RegistryMode::Subscribe,
             limits: d::Limits {
                 max_attempts: limits.max_attempts,
-                second_copies: limits.second_copies,
+                hedging: limits.second_copies,
                 cancel: limits.cancelling,
                 probes: limits.probes,
                 retry_after: limits.retry_after,
@@ -306,15 +310,15 @@
                 streams_per_conn: limits.streams_per_conn,
             },
             rules: d::Rules {
-                cold_from: facts.safety.cold_from,
-                cold: span(facts.safety.cold),
-                cold_per_s: 0.0,
-                cold_wait: Span(0),
+                slow_start_min_capacity: facts.safety.cold_from,
+                slow_start_duration: span(facts.safety.cold),
+                slow_start_rate_per_s: 0.0,
+                slow_start_credit_ttl: Span(0),
                 fall_multiple: facts.safety.fall_multiple,
                 tip_after: span(facts.safety.tip_after),
                 drain_grace: span(facts.safety.drain_grace),
                 answer_slack: span(facts.safety.answer_slack),
-                ask_every: span(facts.safety.ask_every),
+                membership_poll_interval: span(facts.safety.ask_every),
                 drain_close: span(facts.safety.drain_close),
                 turn_gap: span(facts.safety.turn_gap),
                 retry_window: Span(0),
@@ -328,19 +332,19 @@
                 probe: facts.prices.probe,
                 late_fail: facts.prices.late_fail,
             },
-            mix: d::ScoringMix {
+            scoring_mix: d::ScoringMix {
                 whole: facts.scoring_mix.whole,
                 worst_window: facts.scoring_mix.worst_window,
                 worst_class: facts.scoring_mix.worst_class,
                 worst_tenant: facts.scoring_mix.worst_tenant,
             },
-            over_share_worth: facts.over_share_worth,
+            over_quota_value: facts.over_share_worth,
             by_work: facts.counted_by == CountedBy::Work,
             marks_retry: facts.client_habits.marks_retry,
             reports: match facts.stats.how {
-                How::Piggyback => d::Reports::Answers,
-                How::Pull => d::Reports::Probes,
-                How::Silent => d::Reports::None,
+                How::Piggyback => d::LoadReportSource::Answers,
+                How::Pull => d::LoadReportSource::Probes,
+                How::Silent => d::LoadReportSource::None,
             },
         }
     }
--- a/crates/load-balancing/src/state.rs
+++ b/crates/load-balancing/src/state.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use crate::bank::{Budget, Others, Pace};
+use crate::fleet::{Budget, Others, Pace};
 use crate::interface::*;
 use crate::policy::{Estimate, Lanes};
 
@@ -29,7 +29,14 @@
 
 impl Attempt {
     pub(crate) fn new(server: usize, sent: Time) -> Self {
-        Self { server, sent, fate: Fate::Out, overdue: false, asked: false, freed: false }
+        Self {
+            server,
+            sent,
+            fate: Fate::Out,
+            overdue: false,
+            asked: false,
+            freed: false,
+        }
     }
 }
 
@@ -111,7 +118,10 @@
 
 impl Default for Breaker {
     fn default() -> Self {
-        Self { until: Time(i64::MIN), faults: 0 }
+        Self {
+            until: Time(i64::MIN),
+            faults: 0,
+        }
     }
 }
 
@@ -122,7 +132,7 @@
         if now < self.until {
             return; // Sent before the pause began: the same trouble, already counted.
         }
-        self.until = now.plus(Span::of(pause * f64::from(1 << self.faults)));
+        self.until = now.plus(Span::from_micros(pause * f64::from(1 << self.faults)));
         self.faults = (self.faults + 1).min(doublings);
     }
 }
@@ -165,7 +175,7 @@
 
 impl Server {
     /// One of which only the list is known.
-    pub(crate) fn new(m: &Member, classes: usize, now: Time) -> Self {
+    pub(crate) fn new(m: &Endpoint, classes: usize, now: Time) -> Self {
         Self {
             id: m.id,
             zone: m.zone,
@@ -245,7 +255,12 @@
 
     /// Makes room for more classes, of which nothing is known.
     pub(crate) fn resize(&mut self, classes: usize) {
-        let known = [&mut self.mean, &mut self.dev, &mut self.share, &mut self.hopeless];
+        let known = [
+            &mut self.mean,
+            &mut self.dev,
+            &mut self.share,
+            &mut self.hopeless,
+        ];
         for per_class in known {
             per_class.resize(classes, 0.0);
         }
@@ -271,7 +286,10 @@
                 of.map(|o| (&o.zones, &o.kinds)).unwrap_or((&None, &None)) == (&c.zones, &c.kinds)
             };
             room_of.push(rooms.iter().position(like).unwrap_or_else(|| {
-                rooms.push(Room { class: Some(i), ..Room::default() });
+                rooms.push(Room {
+                    class: Some(i),
+                    ..Room::default()
+                });
                 rooms.len() - 1
             }));
         }
@@ -285,18 +303,29 @@
 impl Settings {
     /// The classes that new requests have. Failure: a route that was moved or dropped went on to bind those that
     /// were left at its former service by its target.
-    pub(crate) fn in_force(&self) -> impl Iterator<Item = &Class> {
+    pub(crate) fn in_force(&self) -> impl Iterator<Item = &RequestClass> {
         self.classes.iter().filter(|class| !class.retired)
     }
 
     /// T_QoS: one target for all, the mean of the class aims.
     pub(crate) fn t_qos(&self) -> f64 {
-        let (all, sum) = self.in_force().fold((0.0, 0.0), |(n, sum), c| (n + 1.0, sum + c.aim.f()));
-        if all > 0.0 { sum / all } else { self.classes[0].aim.f() }
+        let (all, sum) = self.in_force().fold((0.0, 0.0), |(n, sum), c| {
+            (n + 1.0, sum + c.latency_target.as_micros())
+        });
+        if all > 0.0 {
+            sum / all
+        } else {
+            self.classes[0].latency_target.as_micros()
+        }
     }
 
     pub(crate) fn sweep_every(&self) -> Span {
-        let aim = self.classes.iter().map(|c| c.aim.0).min().unwrap_or(0);
+        let aim = self
+            .classes
+            .iter()
+            .map(|c| c.latency_target.0)
+            .min()
+            .unwrap_or(0);
         Span(((aim as f64 * SWEEP_OF_AIM) as i64).max(self.tick.0))
     }
 }
