--- a/crates/mutation-testing/src/fault.rs
+++ b/crates/mutation-testing/src/fault.rs
@@ -17,7 +17,10 @@
 impl Fault {
     /// Those of a directory, by name.
     pub fn all(directory: &Path) -> Result<Vec<Self>, Error> {
-        let failed = |cause| Error::File { path: directory.to_path_buf(), cause };
+        let failed = |cause| Error::File {
+            path: directory.to_path_buf(),
+            cause,
+        };
         let mut paths = Vec::new();
         for entry in std::fs::read_dir(directory).map_err(failed)? {
             paths.push(entry.map_err(failed)?.path());
@@ -28,17 +31,34 @@
     }
 
     fn read(path: PathBuf) -> Result<Self, Error> {
-        let content = std::fs::read_to_string(&path)
-            .map_err(|cause| Error::File { path: path.clone(), cause })?;
+        let content = std::fs::read_to_string(&path).map_err(|cause| Error::File {
+            path: path.clone(),
+            cause,
+        })?;
         let header = || content.lines().take_while(|line| !line.starts_with("--- "));
         let values = |key: &'static str| header().filter_map(move |line| line.strip_prefix(key));
-        let missing = |line| Error::Header { path: path.clone(), line };
-        let text = values("Fault: ").next().ok_or_else(|| missing("Fault:"))?.to_string();
+        let missing = |line| Error::Header {
+            path: path.clone(),
+            line,
+        };
+        let text = values("Fault: ")
+            .next()
+            .ok_or_else(|| missing("Fault:"))?
+            .to_string();
         let tests: Vec<String> = values("Test: ").map(str::to_string).collect();
         if tests.is_empty() {
             return Err(missing("Test:"));
         }
-        let name = path.file_stem().unwrap_or_default().to_string_lossy().into_owned();
-        Ok(Self { name, path, text, tests })
+        let name = path
+            .file_stem()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
+        Ok(Self {
+            name,
+            path,
+            text,
+            tests,
+        })
     }
 }
--- a/crates/mutation-testing/src/main.rs
+++ b/crates/mutation-testing/src/main.rs
@@ -26,7 +26,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("{path}: {cause}")]
-    File { path: PathBuf, cause: std::io::Error },
+    File {
+        path: PathBuf,
+        cause: std::io::Error,
+    },
     #[error("{path}: no `{line}` line in its header")]
     Header { path: PathBuf, line: &'static str },
     #[error("{command}: {cause}")]
@@ -75,7 +78,9 @@
         report::write(&root.join("docs/mutations.md"), &area, &judged)?;
     }
     print!("{}", report::table(&judged));
-    Ok(judged.iter().all(|(_, verdict)| matches!(verdict, Verdict::CaughtBy { .. })))
+    Ok(judged
+        .iter()
+        .all(|(_, verdict)| matches!(verdict, Verdict::CaughtBy { .. })))
 }
 
 fn judge(fault: &Fault, scratch: &Scratch) -> Result<Verdict, Error> {
@@ -88,7 +93,10 @@
             TestRun::Passed => continue,
             TestRun::NotBuilt => verdict = Verdict::NotBuilt,
             TestRun::Failed(tests) => {
-                verdict = Verdict::CaughtBy { command: command.clone(), tests };
+                verdict = Verdict::CaughtBy {
+                    command: command.clone(),
+                    tests,
+                };
             }
         }
         break;
--- a/crates/mutation-testing/src/report.rs
+++ b/crates/mutation-testing/src/report.rs
@@ -28,9 +28,11 @@
     for (fault, verdict) in judged {
         let by = match verdict {
             Verdict::CaughtBy { command, tests } if tests.is_empty() => format!("`{command}`"),
-            Verdict::CaughtBy { tests, .. } => {
-                tests.iter().map(|t| format!("`{t}`")).collect::<Vec<_>>().join(", ")
-            }
+            Verdict::CaughtBy { tests, .. } => tests
+                .iter()
+                .map(|t| format!("`{t}`"))
+                .collect::<Vec<_>>()
+                .join(", "),
             _ => String::new(),
         };
         let _ = writeln!(text, "| {} | {} | {by} |", fault.text, in_short(verdict));
@@ -42,7 +44,10 @@
 pub fn write(page: &Path, area: &str, judged: &[(Fault, Verdict)]) -> Result<(), Error> {
     let old = fs::read_to_string(page).unwrap_or_else(|_| INTRODUCTION.to_string());
     let title = format!("## {area}\n");
-    let caught = judged.iter().filter(|(_, v)| matches!(v, Verdict::CaughtBy { .. })).count();
+    let caught = judged
+        .iter()
+        .filter(|(_, v)| matches!(v, Verdict::CaughtBy { .. }))
+        .count();
     let (all, rows) = (judged.len(), table(judged));
     let section = format!(
         "{title}\n```sh\ncargo run -p mutation-testing -- {area}\n```\n\n{caught} of {all} are caught.\n\n{rows}"
@@ -59,6 +64,8 @@
         None => sections.push(section),
     }
     let text: Vec<&str> = sections.iter().map(|s| s.trim_end()).collect();
-    fs::write(page, text.join("\n\n") + "\n")
-        .map_err(|cause| Error::File { path: page.to_path_buf(), cause })
+    fs::write(page, text.join("\n\n") + "\n").map_err(|cause| Error::File {
+        path: page.to_path_buf(),
+        cause,
+    })
 }
--- a/crates/mutation-testing/src/scratch.rs
+++ b/crates/mutation-testing/src/scratch.rs
@@ -26,9 +26,18 @@
         let directory =
             std::env::temp_dir().join(format!("shorefront-mutations-{}", std::process::id()));
         let mut list = Command::new("git");
-        list.args(["ls-files", "-z", "--cached", "--others", "--exclude-standard"]);
+        list.args([
+            "ls-files",
+            "-z",
+            "--cached",
+            "--others",
+            "--exclude-standard",
+        ]);
         let listed = output(list.current_dir(root))?;
-        let scratch = Self { directory, target: root.join("target/mutations") };
+        let scratch = Self {
+            directory,
+            target: root.join("target/mutations"),
+        };
         for name in String::from_utf8_lossy(&listed.stdout).split_terminator('\0') {
             let (from, to) = (root.join(name), scratch.directory.join(name));
             if from.is_file() {
@@ -48,12 +57,19 @@
         let done = output(&mut command)?;
         let cause = String::from_utf8_lossy(&done.stderr).into_owned();
         let command = format!("{command:?}");
-        if done.status.success() { Ok(()) } else { Err(Error::Command { command, cause }) }
+        if done.status.success() {
+            Ok(())
+        } else {
+            Err(Error::Command { command, cause })
+        }
     }
 
     fn patch(&self, fault: &Fault, options: &[&str]) -> Command {
         let mut command = Command::new("git");
-        command.args(["apply", "-C1", "--recount"]).args(options).arg(&fault.path);
+        command
+            .args(["apply", "-C1", "--recount"])
+            .args(options)
+            .arg(&fault.path);
         command.current_dir(&self.directory);
         command
     }
@@ -73,7 +89,10 @@
         }
         let text = String::from_utf8_lossy(&done.stdout);
         let failed = text.lines().filter_map(|line| {
-            let name = line.trim().strip_prefix("test ")?.strip_suffix(" ... FAILED")?;
+            let name = line
+                .trim()
+                .strip_prefix("test ")?
+                .strip_suffix(" ... FAILED")?;
             Some(name.to_string())
         });
         Ok(TestRun::Failed(failed.collect()))
@@ -95,13 +114,17 @@
 fn output<C: std::borrow::BorrowMut<Command>>(mut command: C) -> Result<Output, Error> {
     let command = command.borrow_mut();
     let cause = |e: std::io::Error| e.to_string();
-    command
-        .output()
-        .map_err(|e| Error::Command { command: format!("{command:?}"), cause: cause(e) })
+    command.output().map_err(|e| Error::Command {
+        command: format!("{command:?}"),
+        cause: cause(e),
+    })
 }
 
 fn copy(from: &Path, to: &Path) -> Result<(), Error> {
-    let failed = |cause| Error::File { path: from.to_path_buf(), cause };
+    let failed = |cause| Error::File {
+        path: from.to_path_buf(),
+        cause,
+    };
     if let Some(directory) = to.parent() {
         fs::create_dir_all(directory).map_err(failed)?;
     }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -10,12 +10,12 @@
 //! leader grants run out too; until then nothing changes.
 #![forbid(unsafe_code)]
 
-mod work;
+mod key_load;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use protocol::keys::{Change, Holder, Owned, Slice, Slices};
-pub use work::Work;
+pub use key_load::KeyLoad;
+use protocol::key_ranges::{KeyRange, KeyRangeChange, KeyRangeMap, LeaseHolder, Ownership};
 
 /// Slices for each upstream at the start: what a lost upstream held goes to as many others. Each costs a grant a
 /// third of its time.
@@ -49,58 +49,61 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Keys are granted for so long.
-    pub hold: u64,
+    pub lease_ms: u64,
     /// A call is given up after so long, and nothing of it arrives later.
-    pub call: u64,
+    pub call_timeout_ms: u64,
     /// Who leads may send grants for so long after it surely led.
-    pub stale: u64,
+    pub leader_staleness_ms: u64,
     /// Between two calls after one that failed.
-    pub again: u64,
+    pub retry_interval_ms: u64,
     /// The first division waits until no upstream has come or gone for so long.
-    pub settle: u64,
+    pub stabilization_ms: u64,
 }
 
 /// An upstream as the host lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
-    pub holder: Holder,
+pub struct Candidate {
+    pub holder: LeaseHolder,
     pub slots: u32,
     /// It is to be given up: it drains, or its zone is evacuated.
-    pub leaves: bool,
+    pub draining: bool,
     /// It may be given keys: not while it is cold.
-    pub takes: bool,
+    pub accepts_keys: bool,
 }
 
 /// What is asked of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
-    Grant { hold: u64, handoff: Option<String> },
+pub enum LeaseRequest {
+    Grant {
+        lease_ms: u64,
+        handoff: Option<String>,
+    },
     Release,
 }
 
 /// A call to an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Call {
-    pub holder: Holder,
-    pub since: u16,
-    pub to: u16,
-    pub fence: u64,
-    pub ask: Ask,
+pub struct LeaseCall {
+    pub holder: LeaseHolder,
+    pub first: u16,
+    pub last: u16,
+    pub fencing_token: u64,
+    pub request: LeaseRequest,
 }
 
 /// What came of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum LeaseCallOutcome {
     /// It was done; what a release hands over.
-    Done(Option<String>),
+    Completed(Option<String>),
     /// A higher fence was seen.
     Fenced,
     /// Another upstream has the address.
-    Gone,
+    AddressReused,
     /// It never left: no connection came up.
-    Unsent,
+    NotSent,
     /// No answer, or one that makes no sense.
-    Silent,
+    NoResponse,
 }
 
 /// What is known of whoever holds a slice, or has to let go of it.
@@ -159,7 +162,7 @@
 }
 
 /// Upstreams that may be given keys, and how much work each holds.
-struct Takers<'a>(Vec<(f64, &'a Listed)>);
+struct Takers<'a>(Vec<(f64, &'a Candidate)>);
 
 impl Takers<'_> {
     fn load(&self, i: usize) -> f64 {
@@ -170,14 +173,18 @@
     fn least(&self, since: u16) -> Option<usize> {
         let n = self.0.len();
         let turn = |i: usize| (i + n - usize::from(since) % n) % n;
-        (0..n).min_by(|&a, &b| self.load(a).total_cmp(&self.load(b)).then(turn(a).cmp(&turn(b))))
+        (0..n).min_by(|&a, &b| {
+            self.load(a)
+                .total_cmp(&self.load(b))
+                .then(turn(a).cmp(&turn(b)))
+        })
     }
 
     /// Gives a slice of this weight to the one that holds least.
-    fn give(&mut self, since: u16, weight: f64, handoff: Option<String>) -> Option<Owned> {
+    fn give(&mut self, since: u16, weight: f64, handoff: Option<String>) -> Option<Ownership> {
         let i = self.least(since)?;
         self.0[i].0 += weight;
-        Some(Owned::By(self.0[i].1.holder.clone(), handoff))
+        Some(Ownership::Assigned(self.0[i].1.holder.clone(), handoff))
     }
 }
 
@@ -198,12 +205,12 @@
 
     /// How long after its arrival a grant holds at most.
     fn held(&self) -> u64 {
-        (self.timing.hold as f64 * SLOW_CLOCK) as u64
+        (self.timing.lease_ms as f64 * SLOW_CLOCK) as u64
     }
 
     /// By when whatever a predecessor may have sent has run out.
     fn inherited(&self) -> u64 {
-        self.began + self.timing.stale + self.timing.call + self.held()
+        self.began + self.timing.leader_staleness_ms + self.timing.call_timeout_ms + self.held()
     }
 
     /// What is to be changed, and at most so many calls to be made, by now; none unless the host surely led less
@@ -212,57 +219,69 @@
         &mut self,
         now: u64,
         calls: usize,
-        slices: &Slices,
-        listed: &[Listed],
-        work: &Work,
-    ) -> (Vec<Change>, Vec<Call>) {
-        let by_id: BTreeMap<&str, &Listed> =
+        slices: &KeyRangeMap,
+        listed: &[Candidate],
+        work: &KeyLoad,
+    ) -> (Vec<KeyRangeChange>, Vec<LeaseCall>) {
+        let by_id: BTreeMap<&str, &Candidate> =
             listed.iter().map(|l| (l.holder.id.as_str(), l)).collect();
         let new = by_id.keys().filter(|id| !self.seen.contains(**id));
         let new: Vec<String> = new.map(|id| id.to_string()).collect();
         self.seen.extend(new);
-        let gone: Vec<String> =
-            self.seen.iter().filter(|id| !by_id.contains_key(id.as_str())).cloned().collect();
+        let gone: Vec<String> = self
+            .seen
+            .iter()
+            .filter(|id| !by_id.contains_key(id.as_str()))
+            .cloned()
+            .collect();
         for id in gone {
             self.seen.remove(&id);
             self.gone.insert(id);
         }
-        let holds =
-            |id: &String| slices.all().any(|(_, s)| s.owned.of().is_some_and(|h| h.id == *id));
+        let holds = |id: &String| {
+            slices
+                .iter()
+                .any(|(_, s)| s.ownership.holder().is_some_and(|h| h.id == *id))
+        };
         self.gone.retain(|id| holds(id));
         self.resting.retain(|_, until| now < *until);
         self.proposed.retain(|since, (fence, at)| {
-            now < *at + LOST && slices.get(*since).map_or(0, |s| s.fence) == *fence
+            now < *at + LOST && slices.get(*since).map_or(0, |s| s.fencing_token) == *fence
         });
-        let takes = |l: &&Listed| l.takes && !self.resting.contains_key(&l.holder.id);
+        let takes = |l: &&Candidate| l.accepts_keys && !self.resting.contains_key(&l.holder.id);
         let mut takers = Takers(listed.iter().filter(takes).map(|l| (0.0, l)).collect());
         if slices.is_empty() {
             return (self.divide(now, &mut takers), Vec::new());
         }
         let mut held: BTreeMap<&str, f64> = BTreeMap::new();
-        for (since, slice) in slices.all() {
-            if let Owned::By(holder, _) = &slice.owned {
-                *held.entry(holder.id.as_str()).or_default() += work.of(since, slice.to);
+        for (since, slice) in slices.iter() {
+            if let Ownership::Assigned(holder, _) = &slice.ownership {
+                *held.entry(holder.id.as_str()).or_default() += work.of_range(since, slice.last);
             }
         }
         for (n, l) in &mut takers.0 {
             *n = held.get(l.holder.id.as_str()).copied().unwrap_or(0.0);
         }
         let (mut changes, mut out, mut moving) = (Vec::new(), Vec::new(), 0);
-        for (since, slice) in slices.all() {
-            moving += usize::from(matches!(slice.owned, Owned::Leaving(_)));
+        for (since, slice) in slices.iter() {
+            moving += usize::from(matches!(slice.ownership, Ownership::Releasing(_)));
             let busy = self.proposed.contains_key(&since);
-            let weight = work.of(since, slice.to);
+            let weight = work.of_range(since, slice.last);
             let next = self.next(now, (since, weight), slice, &by_id, &mut takers, busy);
             if let Some(owned) = next.filter(|_| !busy) {
-                self.proposed.insert(since, (slice.fence, now));
-                changes.push(Change { since, to: slice.to, was: slice.fence, owned });
+                self.proposed.insert(since, (slice.fencing_token, now));
+                changes.push(KeyRangeChange {
+                    first: since,
+                    last: slice.last,
+                    expected_token: slice.fencing_token,
+                    ownership: owned,
+                });
             } else if out.len() < calls && !busy {
                 out.extend(self.call(now, since, slice));
             }
         }
         if changes.is_empty() {
-            let room = (slices.all().count() / EVENING + 1).saturating_sub(moving);
+            let room = (slices.iter().count() / EVENING + 1).saturating_sub(moving);
             changes = self.even_out(now, slices, &mut takers, work, room);
         }
         self.duties.retain(|since, _| slices.get(*since).is_some());
@@ -270,13 +289,13 @@
     }
 
     /// The first slices.
-    fn divide(&mut self, now: u64, takers: &mut Takers) -> Vec<Change> {
+    fn divide(&mut self, now: u64, takers: &mut Takers) -> Vec<KeyRangeChange> {
         // All in one change: half of one division and half of another would leave keys out.
         if self.settled.0 != takers.0.len() {
             // Nor over those alone that are listed so far.
             self.settled = (takers.0.len(), now);
         }
-        if !self.proposed.is_empty() || now < self.settled.1 + self.timing.settle {
+        if !self.proposed.is_empty() || now < self.settled.1 + self.timing.stabilization_ms {
             return Vec::new();
         }
         let n = (takers.0.len() * SLICES_PER_UPSTREAM) as u64;
@@ -284,9 +303,16 @@
         let mut changes = Vec::new();
         for i in 0..n {
             let (since, to) = (first(i) as u16, (first(i + 1) - 1) as u16);
-            let Some(owned) = takers.give(since, 1.0, None) else { continue };
+            let Some(owned) = takers.give(since, 1.0, None) else {
+                continue;
+            };
             self.proposed.insert(since, (0, now));
-            changes.push(Change { since, to, was: 0, owned });
+            changes.push(KeyRangeChange {
+                first: since,
+                last: to,
+                expected_token: 0,
+                ownership: owned,
+            });
         }
         changes
     }
@@ -296,42 +322,47 @@
         &mut self,
         now: u64,
         (since, weight): (u16, f64),
-        slice: &Slice,
-        listed: &BTreeMap<&str, &Listed>,
+        slice: &KeyRange,
+        listed: &BTreeMap<&str, &Candidate>,
         takers: &mut Takers,
         busy: bool,
-    ) -> Option<Owned> {
-        let holder = match &slice.owned {
-            Owned::Free if busy => return None,
-            Owned::Free => return takers.give(since, weight, None),
-            Owned::By(holder, _) | Owned::Leaving(holder) => holder,
+    ) -> Option<Ownership> {
+        let holder = match &slice.ownership {
+            Ownership::Unowned if busy => return None,
+            Ownership::Unowned => return takers.give(since, weight, None),
+            Ownership::Assigned(holder, _) | Ownership::Releasing(holder) => holder,
         };
         let gone = self.gone.contains(&holder.id);
         // It may have been cut from a slice whose holder was granted that a moment ago.
-        let until = self.inherited().max(now + self.timing.call + self.held());
-        let duty = self.duties.entry(since).or_insert_with(|| Duty::new(&holder.id, until, now));
+        let until = self
+            .inherited()
+            .max(now + self.timing.call_timeout_ms + self.held());
+        let duty = self
+            .duties
+            .entry(since)
+            .or_insert_with(|| Duty::new(&holder.id, until, now));
         if duty.id != holder.id {
             *duty = Duty::new(&holder.id, until, now);
         }
         if busy {
             return None;
         }
-        match &slice.owned {
-            Owned::By(..) => {
+        match &slice.ownership {
+            Ownership::Assigned(..) => {
                 if duty.let_go.take().is_some() {
                     duty.renew = now;
                 }
-                let leaves = listed.get(holder.id.as_str()).is_some_and(|l| l.leaves);
+                let leaves = listed.get(holder.id.as_str()).is_some_and(|l| l.draining);
                 if gone || duty.silent >= SILENT || (leaves && !takers.0.is_empty()) {
                     if duty.silent >= SILENT {
-                        let until = now + REST * self.timing.hold;
+                        let until = now + REST * self.timing.lease_ms;
                         self.resting.insert(holder.id.clone(), until);
                     }
                     duty.silent = 0;
-                    return Some(Owned::Leaving(holder.clone()));
+                    return Some(Ownership::Releasing(holder.clone()));
                 }
                 let fenced = std::mem::take(&mut duty.fenced);
-                fenced.then(|| Owned::By(holder.clone(), None))
+                fenced.then(|| Ownership::Assigned(holder.clone(), None))
             }
             _ => {
                 let handoff = match &duty.let_go {
@@ -345,54 +376,74 @@
     }
 
     /// The call that a slice needs by now.
-    fn call(&mut self, now: u64, since: u16, slice: &Slice) -> Option<Call> {
+    fn call(&mut self, now: u64, since: u16, slice: &KeyRange) -> Option<LeaseCall> {
         let (timing, held) = (self.timing, self.held());
         let duty = self.duties.get_mut(&since)?;
         if duty.out.is_some() || now < duty.again || duty.let_go.is_some() {
             return None;
         }
-        let (holder, ask) = match &slice.owned {
-            Owned::By(holder, handoff) if now >= duty.renew => {
+        let (holder, ask) = match &slice.ownership {
+            Ownership::Assigned(holder, handoff) if now >= duty.renew => {
                 duty.before = duty.until;
-                duty.until = duty.until.max(now + timing.call + held);
-                (holder, Ask::Grant { hold: timing.hold, handoff: handoff.clone() })
+                duty.until = duty.until.max(now + timing.call_timeout_ms + held);
+                (
+                    holder,
+                    LeaseRequest::Grant {
+                        lease_ms: timing.lease_ms,
+                        handoff: handoff.clone(),
+                    },
+                )
             }
-            Owned::Leaving(holder) => (holder, Ask::Release),
-            Owned::By(..) | Owned::Free => return None,
+            Ownership::Releasing(holder) => (holder, LeaseRequest::Release),
+            Ownership::Assigned(..) | Ownership::Unowned => return None,
         };
-        let (holder, to, fence) = (holder.clone(), slice.to, slice.fence);
+        let (holder, to, fence) = (holder.clone(), slice.last, slice.fencing_token);
         duty.out = Some(fence);
-        Some(Call { holder, since, to, fence, ask })
+        Some(LeaseCall {
+            holder,
+            first: since,
+            last: to,
+            fencing_token: fence,
+            request: ask,
+        })
     }
 
     /// A call has ended.
-    pub fn answered(&mut self, now: u64, call: &Call, answer: Answer) {
+    pub fn on_call_completed(&mut self, now: u64, call: &LeaseCall, answer: LeaseCallOutcome) {
         let (timing, held, inherited) = (self.timing, self.held(), self.inherited());
         // What was asked of an earlier holder, or of this one under an earlier fence, says nothing of what holds now.
-        let of = |d: &&mut Duty| d.id == call.holder.id && d.out == Some(call.fence);
-        let Some(duty) = self.duties.get_mut(&call.since).filter(of) else { return };
+        let of = |d: &&mut Duty| d.id == call.holder.id && d.out == Some(call.fencing_token);
+        let Some(duty) = self.duties.get_mut(&call.first).filter(of) else {
+            return;
+        };
         duty.out = None;
-        let silent = matches!(answer, Answer::Silent | Answer::Unsent);
+        let silent = matches!(
+            answer,
+            LeaseCallOutcome::NoResponse | LeaseCallOutcome::NotSent
+        );
         duty.silent = if silent { duty.silent + 1 } else { 0 };
-        let grant = matches!(call.ask, Ask::Grant { .. });
+        let grant = matches!(call.request, LeaseRequest::Grant { .. });
         match answer {
-            Answer::Done(_) if grant => {
+            LeaseCallOutcome::Completed(_) if grant => {
                 // It arrived by now, and so did all before it.
                 duty.until = inherited.max(now + held);
                 // Those of all slices are spread over the time between two.
-                let every = timing.hold / RENEWALS;
-                duty.renew = now + every - every / 4 * u64::from(call.since) / KEYS;
+                let every = timing.lease_ms / RENEWALS;
+                duty.renew = now + every - every / 4 * u64::from(call.first) / KEYS;
             }
-            Answer::Done(handoff) => duty.let_go = Some(handoff),
-            Answer::Gone => {
+            LeaseCallOutcome::Completed(handoff) => duty.let_go = Some(handoff),
+            LeaseCallOutcome::AddressReused => {
                 self.gone.insert(call.holder.id.clone());
-                self.resting.insert(call.holder.id.clone(), now + REST * timing.hold);
+                self.resting
+                    .insert(call.holder.id.clone(), now + REST * timing.lease_ms);
+            }
+            LeaseCallOutcome::Fenced if grant => (duty.fenced, duty.renew) = (true, now),
+            LeaseCallOutcome::NotSent if grant => {
+                (duty.until, duty.again) = (duty.before, now + timing.retry_interval_ms);
             }
-            Answer::Fenced if grant => (duty.fenced, duty.renew) = (true, now),
-            Answer::Unsent if grant => {
-                (duty.until, duty.again) = (duty.before, now + timing.again);
+            LeaseCallOutcome::NotSent | LeaseCallOutcome::NoResponse | LeaseCallOutcome::Fenced => {
+                duty.again = now + timing.retry_interval_ms
             }
-            Answer::Unsent | Answer::Silent | Answer::Fenced => duty.again = now + timing.again,
         }
     }
 
@@ -401,31 +452,40 @@
     fn even_out(
         &mut self,
         now: u64,
-        slices: &Slices,
+        slices: &KeyRangeMap,
         takers: &mut Takers,
-        work: &Work,
+        work: &KeyLoad,
         room: usize,
-    ) -> Vec<Change> {
+    ) -> Vec<KeyRangeChange> {
         let mut of: BTreeMap<&str, Vec<(u16, u16, u64)>> = BTreeMap::new();
-        for (since, s) in slices.all() {
-            match &s.owned {
-                Owned::By(holder, _) if !self.proposed.contains_key(&since) => {
-                    of.entry(holder.id.as_str()).or_default().push((since, s.to, s.fence));
+        for (since, s) in slices.iter() {
+            match &s.ownership {
+                Ownership::Assigned(holder, _) if !self.proposed.contains_key(&since) => {
+                    of.entry(holder.id.as_str()).or_default().push((
+                        since,
+                        s.last,
+                        s.fencing_token,
+                    ));
                 }
                 // What is on its way goes to those that hold least.
-                Owned::Leaving(_) => drop(takers.give(since, work.of(since, s.to), None)),
+                Ownership::Releasing(_) => {
+                    drop(takers.give(since, work.of_range(since, s.last), None))
+                }
                 _ => {}
             }
         }
         let n = takers.0.len();
         let mean = (0..n).map(|i| takers.load(i)).sum::<f64>() / n.max(1) as f64;
-        let may_cut = slices.all().count() < n * MOST_SLICES;
+        let may_cut = slices.iter().count() < n * MOST_SLICES;
         let mut changes = Vec::new();
         while changes.len() < room {
             let movable = |&i: &usize| of.contains_key(takers.0[i].1.holder.id.as_str());
-            let most =
-                (0..n).filter(movable).max_by(|&a, &b| takers.load(a).total_cmp(&takers.load(b)));
-            let Some((least, most)) = takers.least(0).zip(most) else { break };
+            let most = (0..n)
+                .filter(movable)
+                .max_by(|&a, &b| takers.load(a).total_cmp(&takers.load(b)));
+            let Some((least, most)) = takers.least(0).zip(most) else {
+                break;
+            };
             let (low, high) = (takers.load(least), takers.load(most));
             let even = high <= mean * TOO_MUCH && low >= mean * TOO_LITTLE;
             if even || high <= low || high < BUSY {
@@ -434,9 +494,11 @@
             let slots = f64::from(takers.0[most].1.slots.max(1));
             let wanted = (high - low) / 2.0 * slots;
             let holder = takers.0[most].1.holder.clone();
-            let Some(mut own) = of.remove(holder.id.as_str()) else { break };
+            let Some(mut own) = of.remove(holder.id.as_str()) else {
+                break;
+            };
             // The largest that is not too large; else a part of the largest.
-            let weight = |s: &(u16, u16, u64)| work.of(s.0, s.1);
+            let weight = |s: &(u16, u16, u64)| work.of_range(s.0, s.1);
             own.sort_by(|a, b| weight(a).total_cmp(&weight(b)));
             let whole = own.iter().rposition(|s| weight(s) <= wanted);
             // However many there are: what is more than one should have can't stay in one piece.
@@ -446,13 +508,15 @@
             let (since, to, was) = match whole {
                 Some(i) => own.remove(i),
                 None => {
-                    let Some((since, to, was)) = own.pop().filter(|_| may_cut) else { continue };
-                    let cut = work.cut(since, to, wanted);
+                    let Some((since, to, was)) = own.pop().filter(|_| may_cut) else {
+                        continue;
+                    };
+                    let cut = work.split_point(since, to, wanted);
                     let Some(cut) = cut else { continue };
                     (cut, to, was)
                 }
             };
-            let moved = work.of(since, to);
+            let moved = work.of_range(since, to);
             if moved > 2.0 * wanted {
                 // One key alone may be more than anyone should have; it has to be somewhere.
                 continue;
@@ -460,7 +524,12 @@
             takers.0[most].0 -= moved;
             takers.0[least].0 += moved;
             self.proposed.insert(since, (was, now));
-            changes.push(Change { since, to, was, owned: Owned::Leaving(holder.clone()) });
+            changes.push(KeyRangeChange {
+                first: since,
+                last: to,
+                expected_token: was,
+                ownership: Ownership::Releasing(holder.clone()),
+            });
         }
         changes
     }
--- a/crates/protocol/src/compact.rs
+++ b/crates/protocol/src/compact_config.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::config::{Config, Kind, Limits, Part, Route, Service};
+use crate::config::{Config, Limits, RequestKind, Route, Service, TrafficSplit};
 
 /// A configuration in rows.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -17,7 +17,18 @@
 /// Name, place of the host among all hosts, prefix, whether it may be repeated, deadline and target in milliseconds,
 /// priority, services by their places with their weights, tries, regions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct RouteRow(String, usize, String, bool, u64, u64, u32, Parts, u32, Vec<String>);
+struct RouteRow(
+    String,
+    usize,
+    String,
+    bool,
+    u64,
+    u64,
+    u32,
+    Parts,
+    u32,
+    Vec<String>,
+);
 
 /// A service, or those that share a route, by their places among all services.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -42,15 +53,18 @@
         let row = |r: &Route| {
             let parts = match (&r.split, &r.svc) {
                 (Some(parts), _) => {
-                    let known = |p: &Part| Some((service(&p.svc)?, p.weight));
+                    let known = |p: &TrafficSplit| Some((service(&p.svc)?, p.weight));
                     Parts::Split(parts.iter().filter_map(known).collect())
                 }
                 (None, svc) => Parts::One(service(svc.as_deref()?)?),
             };
             let host = hosts.binary_search(&r.host).ok()?;
-            let (name, prefix, regions) =
-                (r.name.clone(), r.path_prefix.clone(), r.home_regions.clone());
-            let repeatable = r.kind == Kind::Idempotent;
+            let (name, prefix, regions) = (
+                r.name.clone(),
+                r.path_prefix.clone(),
+                r.home_regions.clone(),
+            );
+            let repeatable = r.kind == RequestKind::Idempotent;
             Some(RouteRow(
                 name,
                 host,
@@ -60,14 +74,21 @@
                 r.target_ms,
                 r.prio,
                 parts,
-                r.tries,
+                r.max_attempts,
                 regions,
             ))
         };
         let routes = config.routes.iter().filter_map(row).collect();
         let row = |s: &Service| {
             let (name, path) = (s.name.clone(), s.health_path.clone());
-            ServiceRow(name, path, s.max_conns, s.warmup_s, s.warmup_per_s, s.sharded)
+            ServiceRow(
+                name,
+                path,
+                s.max_conns,
+                s.warmup_s,
+                s.warmup_per_s,
+                s.sharded,
+            )
         };
         let services = config.services.iter().map(row).collect();
         Self(config.rev, config.limits, services, hosts, routes)
@@ -94,7 +115,10 @@
                 Parts::One(place) => (Some(name(*place)?), None),
                 Parts::Split(parts) => {
                     let part = |(place, weight): &(usize, u32)| {
-                        Some(Part { svc: name(*place)?, weight: *weight })
+                        Some(TrafficSplit {
+                            svc: name(*place)?,
+                            weight: *weight,
+                        })
                     };
                     (None, Some(parts.iter().filter_map(part).collect()))
                 }
@@ -103,13 +127,17 @@
                 name: own.clone(),
                 host: hosts.get(*host)?.clone(),
                 path_prefix: prefix.clone(),
-                kind: if *repeatable { Kind::Idempotent } else { Kind::Mutating },
+                kind: if *repeatable {
+                    RequestKind::Idempotent
+                } else {
+                    RequestKind::Mutating
+                },
                 deadline_ms: *deadline,
                 target_ms: *target,
                 prio: *prio,
                 svc,
                 split,
-                tries: *tries,
+                max_attempts: *tries,
                 home_regions: homes.clone(),
             })
         };
--- a/crates/protocol/src/config.rs
+++ b/crates/protocol/src/config.rs
@@ -20,7 +20,7 @@
     pub host: String,
     pub path_prefix: String,
     #[serde(rename = "type")]
-    pub kind: Kind,
+    pub kind: RequestKind,
     pub deadline_ms: u64,
     pub target_ms: u64,
     #[serde(default)]
@@ -28,16 +28,17 @@
     #[serde(default)]
     pub svc: Option<String>,
     #[serde(default)]
-    pub split: Option<Vec<Part>>,
+    pub split: Option<Vec<TrafficSplit>>,
     #[serde(default = "one")]
-    pub tries: u32,
+    #[serde(rename = "tries")]
+    pub max_attempts: u32,
     #[serde(default)]
     pub home_regions: Vec<String>,
 }
 
 /// One of the services that share a route.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Part {
+pub struct TrafficSplit {
     pub svc: String,
     pub weight: u32,
 }
@@ -45,7 +46,7 @@
 /// What repeating a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum RequestKind {
     /// Nothing: it may run more than once.
     Idempotent,
     /// It may run once at most.
@@ -97,7 +98,7 @@
 
 impl Route {
     /// Its services with their weights.
-    pub fn parts(&self) -> Vec<(&str, u32)> {
+    pub fn weighted_services(&self) -> Vec<(&str, u32)> {
         match (&self.split, &self.svc) {
             (Some(parts), _) => parts.iter().map(|p| (p.svc.as_str(), p.weight)).collect(),
             (None, Some(service)) => vec![(service, 1)],
--- a/crates/raft/src/core.rs
+++ b/crates/raft/src/core.rs
@@ -38,7 +38,7 @@
     /// Asks for votes (`pre`: whether it would get them).
     Candidate {
         /// Only whether.
-        pre: bool,
+        pre_vote: bool,
     },
     /// Leads.
     Leader,
@@ -67,14 +67,14 @@
     /// Who leads, if it knows.
     pub leader: Option<NodeId>,
     /// The last committed entry.
-    pub commit: u64,
+    pub commit_index: u64,
     /// The last entry.
-    pub last: u64,
+    pub last_log_index: u64,
 }
 
 /// One member of the log.
 #[derive(Debug)]
-pub struct Core {
+pub struct RaftNode {
     id: NodeId,
     timing: Timing,
     rng: Rand64,
@@ -119,19 +119,31 @@
     policy: MembershipPolicy,
     /// It is about to end, and must not lead.
     leaving: bool,
-    out: Output,
+    out: Ready,
 }
 
-impl Core {
+impl RaftNode {
     /// A member as its disk has it. `founders` are the first members, the same at each of them; they count
     /// only where the disk holds nothing.
-    pub fn new(id: NodeId, timing: Timing, seed: u64, stored: Stored, founders: Members) -> Self {
-        let base = stored.snapshot.unwrap_or(Snapshot::of_founders(founders));
+    pub fn new(
+        id: NodeId,
+        timing: Timing,
+        seed: u64,
+        stored: PersistentState,
+        founders: Members,
+    ) -> Self {
+        let base = stored.snapshot.unwrap_or(Snapshot::initial(founders));
         let restored = (base.index > 0).then(|| base.clone());
-        let log: VecDeque<Entry> =
-            stored.entries.into_iter().filter(|e| e.index > base.index).collect();
+        let log: VecDeque<Entry> = stored
+            .entries
+            .into_iter()
+            .filter(|e| e.index > base.index)
+            .collect();
         let synced = base.index + log.len() as u64;
-        let members_entry = log.iter().rev().find(|e| matches!(e.payload, Payload::Members(_)));
+        let members_entry = log
+            .iter()
+            .rev()
+            .find(|e| matches!(e.payload, Payload::Members(_)));
         let members_entry = members_entry.map(|e| e.index);
         let mut core = Self {
             id,
@@ -139,7 +151,7 @@
             rng: Rand64::new(u128::from(seed)),
             now: 0,
             term: stored.term,
-            vote: stored.vote,
+            vote: stored.voted_for,
             role: Role::Follower,
             leader: None,
             commit: base.index,
@@ -169,14 +181,19 @@
             joining: BTreeMap::new(),
             policy: MembershipPolicy::new(timing, TOLERATED),
             leaving: false,
-            out: Output { restored, ..Output::default() },
+            out: Ready {
+                restored_snapshot: restored,
+                ..Ready::default()
+            },
         };
-        core.campaign = core.rng.rand_range(0..core.timing.heartbeat.max(1));
+        core.campaign = core
+            .rng
+            .rand_range(0..core.timing.heartbeat_interval_ms.max(1));
         core
     }
 
     /// What is to be done since the last call.
-    pub fn take(&mut self) -> Output {
+    pub fn take_ready(&mut self) -> Ready {
         std::mem::take(&mut self.out)
     }
 
@@ -187,15 +204,18 @@
             role: self.role,
             term: self.term,
             leader: self.leader,
-            commit: self.commit,
-            last: self.last(),
+            commit_index: self.commit,
+            last_log_index: self.last(),
         }
     }
 
     /// The members as of the last entry, committed or not.
     pub fn members(&self) -> &Members {
         match self.members_entry.and_then(|index| self.entry(index)) {
-            Some(Entry { payload: Payload::Members(members), .. }) => members,
+            Some(Entry {
+                payload: Payload::Members(members),
+                ..
+            }) => members,
             _ => &self.base.members,
         }
     }
@@ -205,8 +225,12 @@
         if self.members_entry.is_none_or(|entry| entry <= index) {
             return self.members();
         }
-        let in_log =
-            self.log.iter().rev().filter(|e| e.index <= index).find_map(|e| match &e.payload {
+        let in_log = self
+            .log
+            .iter()
+            .rev()
+            .filter(|e| e.index <= index)
+            .find_map(|e| match &e.payload {
                 Payload::Members(m) => Some(m),
                 _ => None,
             });
@@ -217,13 +241,13 @@
 
     /// Time has come to `now`, in milliseconds of a clock that never goes back.
     pub fn tick(&mut self, now: u64) {
-        self.set_time(now);
+        self.advance_clock(now);
         if self.role == Role::Leader {
             // Check-quorum: a leader that a majority no longer answers must not go on believing that it leads.
-            let since = now.saturating_sub(self.timing.election);
+            let since = now.saturating_sub(self.timing.election_timeout_ms);
             let heard =
                 |id| id == self.id || self.progress.get(&id).is_some_and(|p| p.heard >= since);
-            if !self.members().majority(heard) {
+            if !self.members().is_majority(heard) {
                 self.follow(self.term, None);
             } else if now >= self.beat {
                 self.broadcast(true);
@@ -240,20 +264,24 @@
 
     /// What happens next happens at `now`. A host that may have stood still since the last tick says so before
     /// anything else: what arrived meanwhile was not heard then.
-    pub fn set_time(&mut self, now: u64) {
+    pub fn advance_clock(&mut self, now: u64) {
         self.now = self.now.max(now);
     }
 
-    /// When [`Core::tick`] has something to do next.
-    pub fn due(&self) -> u64 {
-        if self.role == Role::Leader { self.beat } else { self.campaign }
+    /// When [`RaftNode::tick`] has something to do next.
+    pub fn next_tick_at(&self) -> u64 {
+        if self.role == Role::Leader {
+            self.beat
+        } else {
+            self.campaign
+        }
     }
 
     /// When to campaign if nothing is heard any more. Those who heard the same leader take turns, in the order of
     /// their ids after its own: the first is elected before the second would ask, and no votes are split. Without
     /// a leader it is anybody's guess.
     fn put_off(&mut self) {
-        let (election, stagger) = (self.timing.election.max(1), self.stagger());
+        let (election, stagger) = (self.timing.election_timeout_ms.max(1), self.stagger());
         let spread = match self.leader {
             Some(leader) => {
                 (self.turn_after(leader) + 1) * stagger + self.rng.rand_range(0..stagger) / 2
@@ -265,7 +293,7 @@
 
     /// Between two turns: longer than a round trip, so that whose turn is next has heard of the vote.
     fn stagger(&self) -> u64 {
-        (self.timing.heartbeat / STAGGERS).max(1)
+        (self.timing.heartbeat_interval_ms / STAGGERS).max(1)
     }
 
     /// How many voters come first when this leader is lost.
@@ -280,7 +308,7 @@
     /// answer. So a member that has just started, or was not heard, asks sooner than it would give a leader
     /// up, and a core that starts as a whole has a leader as soon as its members reach each other.
     fn ask_again(&mut self) {
-        let half = (self.timing.heartbeat / 2).max(1);
+        let half = (self.timing.heartbeat_interval_ms / 2).max(1);
         self.campaign = self.now + half + self.rng.rand_range(0..half);
     }
 
@@ -296,7 +324,7 @@
         if !self.members().voters.contains_key(&self.id) || self.leaving {
             return;
         }
-        self.role = Role::Candidate { pre };
+        self.role = Role::Candidate { pre_vote: pre };
         self.leader = None;
         self.fail_requests();
         self.votes = BTreeSet::from([self.id]);
@@ -306,20 +334,30 @@
             (self.term, self.vote) = (term, Some(self.id));
             after = Some(self.save(Vec::new(), None));
         }
-        let body = Body::Vote {
-            pre,
+        let body = MessageBody::RequestVote {
+            pre_vote: pre,
             transfer: election == Election::Transfer,
-            last_index: self.last(),
-            last_term: self.term_at(self.last()).unwrap_or(0),
+            last_log_index: self.last(),
+            last_log_term: self.term_at(self.last()).unwrap_or(0),
         };
-        let others: Vec<NodeId> =
-            self.members().voters.keys().copied().filter(|v| *v != self.id).collect();
+        let others: Vec<NodeId> = self
+            .members()
+            .voters
+            .keys()
+            .copied()
+            .filter(|v| *v != self.id)
+            .collect();
         for to in others {
-            let message = Message { from: self.id, to, term, body: body.clone() };
+            let message = Message {
+                from: self.id,
+                to,
+                term,
+                body: body.clone(),
+            };
             self.send_after(after, message);
         }
         // Alone, its own vote is a majority; a real one counts once it is synced.
-        if self.members().majority(|id| id == self.id) {
+        if self.members().is_majority(|id| id == self.id) {
             if pre {
                 self.start_election(Election::Real);
             } else {
@@ -367,7 +405,7 @@
             m.term == self.term && self.vote.is_none_or(|v| v == m.from)
         };
         let granted = current && free;
-        if granted && self.role == (Role::Candidate { pre: true }) && m.from > self.id {
+        if granted && self.role == (Role::Candidate { pre_vote: true }) && m.from > self.id {
             // Failure: two that would both get the votes split them, again and again for up to five seconds.
             self.role = Role::Follower;
         }
@@ -378,24 +416,41 @@
             self.put_off();
         }
         let term = if granted { m.term } else { self.term };
-        let body = Body::VoteReply { pre, granted };
-        self.send_after(after, Message { from: self.id, to: m.from, term, body });
+        let body = MessageBody::VoteResponse {
+            pre_vote: pre,
+            granted,
+        };
+        self.send_after(
+            after,
+            Message {
+                from: self.id,
+                to: m.from,
+                term,
+                body,
+            },
+        );
     }
 
     /// Whether a leader was heard so lately that nobody may unseat it.
     fn has_leader(&self) -> bool {
         self.role == Role::Leader
-            || (self.leader.is_some() && self.now < self.heard + self.timing.election)
+            || (self.leader.is_some() && self.now < self.heard + self.timing.election_timeout_ms)
     }
 
     // -------------------------------------------------------------- messages
 
     /// Another member said something.
-    pub fn receive(&mut self, m: Message) {
+    pub fn step(&mut self, m: Message) {
         if m.to != self.id {
             return;
         }
-        if let Body::Vote { pre, transfer, last_index, last_term } = m.body {
+        if let MessageBody::RequestVote {
+            pre_vote: pre,
+            transfer,
+            last_log_index: last_index,
+            last_log_term: last_term,
+        } = m.body
+        {
             if !transfer && self.has_leader() && m.from != self.leader.unwrap_or(self.id) {
                 return;
             }
@@ -404,55 +459,98 @@
             }
             return self.vote_asked(&m, pre, last_index, last_term);
         }
-        if let Body::Read { token } = m.body {
+        if let MessageBody::ReadIndex { token } = m.body {
             return self.read_for(m.from, token);
         }
-        if let Body::ReadReply { token, index } = m.body {
+        if let MessageBody::ReadIndexResponse { token, index } = m.body {
             return self.read_answered(token, index);
         }
-        if let Body::Contact { token } = m.body {
+        if let MessageBody::QuorumContact { token } = m.body {
             return self.contact_asked(m.from, token);
         }
-        if let Body::ContactReply { token, age, index } = m.body {
+        if let MessageBody::QuorumContactResponse {
+            token,
+            age_ms: age,
+            index,
+        } = m.body
+        {
             return self.contact_told(token, age, index);
         }
-        let pre_granted = matches!(m.body, Body::VoteReply { pre: true, granted: true });
+        let pre_granted = matches!(
+            m.body,
+            MessageBody::VoteResponse {
+                pre_vote: true,
+                granted: true
+            }
+        );
         if m.term > self.term && !pre_granted {
-            let leads = matches!(m.body, Body::Append { .. } | Body::Piece(_));
+            let leads = matches!(
+                m.body,
+                MessageBody::AppendEntries { .. } | MessageBody::Chunk(_)
+            );
             self.follow(m.term, leads.then_some(m.from));
         }
         if m.term < self.term {
             // A stale leader learns of the term from the answer.
-            if let Body::Append { round, .. } | Body::Piece(Piece { round, .. }) = m.body {
+            if let MessageBody::AppendEntries {
+                sequence: round, ..
+            }
+            | MessageBody::Chunk(Chunk {
+                sequence: round, ..
+            }) = m.body
+            {
                 self.reply(m.from, false, self.last(), round);
             }
             return;
         }
         match m.body {
-            Body::VoteReply { pre, granted } => self.voted(m.from, pre, granted, m.term),
-            Body::Append { prev_index, prev_term, entries, commit, round } => {
+            MessageBody::VoteResponse {
+                pre_vote: pre,
+                granted,
+            } => self.voted(m.from, pre, granted, m.term),
+            MessageBody::AppendEntries {
+                prev_log_index: prev_index,
+                prev_log_term: prev_term,
+                entries,
+                leader_commit: commit,
+                sequence: round,
+            } => {
                 self.heed(m.from);
-                let prev = LogPosition { index: prev_index, term: prev_term };
+                let prev = LogPosition {
+                    index: prev_index,
+                    term: prev_term,
+                };
                 self.append_received(m.from, prev, entries, commit, round);
             }
-            Body::Piece(piece) => {
+            MessageBody::Chunk(piece) => {
                 self.heed(m.from);
                 self.piece_received(m.from, piece);
             }
-            Body::AppendReply { ok, index, round } => self.answered(m.from, ok, index, round),
-            Body::TimeoutNow => self.timeout_now(m.from),
-            Body::Conflict { rejected, hint, round } => {
+            MessageBody::AppendResponse {
+                accepted: ok,
+                match_index: index,
+                sequence: round,
+            } => self.answered(m.from, ok, index, round),
+            MessageBody::TimeoutNow => self.timeout_now(m.from),
+            MessageBody::AppendConflict {
+                rejected_index: rejected,
+                hint,
+                sequence: round,
+            } => {
                 self.conflicted(m.from, rejected, hint, round);
             }
-            Body::PieceReply { transfer, received } => {
+            MessageBody::ChunkResponse {
+                transfer,
+                received_bytes: received,
+            } => {
                 self.piece_answered(m.from, transfer, received);
             }
             // Taken above, whatever their term.
-            Body::Vote { .. }
-            | Body::Read { .. }
-            | Body::ReadReply { .. }
-            | Body::Contact { .. }
-            | Body::ContactReply { .. } => {}
+            MessageBody::RequestVote { .. }
+            | MessageBody::ReadIndex { .. }
+            | MessageBody::ReadIndexResponse { .. }
+            | MessageBody::QuorumContact { .. }
+            | MessageBody::QuorumContactResponse { .. } => {}
         }
     }
 
@@ -464,7 +562,7 @@
 
     fn voted(&mut self, from: NodeId, pre: bool, granted: bool, term: u64) {
         let wanted = if pre { self.term + 1 } else { self.term };
-        if self.role != (Role::Candidate { pre }) || term != wanted {
+        if self.role != (Role::Candidate { pre_vote: pre }) || term != wanted {
             return;
         }
         if !granted {
@@ -475,7 +573,7 @@
             return;
         }
         self.votes.insert(from);
-        if self.members().majority(|id| self.votes.contains(&id)) {
+        if self.members().is_majority(|id| self.votes.contains(&id)) {
             if pre {
                 self.start_election(Election::Real);
             } else {
@@ -485,7 +583,16 @@
     }
 
     fn reply(&mut self, to: NodeId, ok: bool, index: u64, round: u64) {
-        let body = Body::AppendReply { ok, index, round };
-        self.out.send.push(Message { from: self.id, to, term: self.term, body });
+        let body = MessageBody::AppendResponse {
+            accepted: ok,
+            match_index: index,
+            sequence: round,
+        };
+        self.out.messages.push(Message {
+            from: self.id,
+            to,
+            term: self.term,
+            body,
+        });
     }
 }
--- a/crates/raft/src/core/leadership.rs
+++ b/crates/raft/src/core/leadership.rs
@@ -1,18 +1,18 @@
 //! Leadership handed over by a member that is about to end.
 
-use super::{Core, Role};
-use crate::{Body, Message, NodeId};
+use super::{RaftNode, Role};
+use crate::{Message, MessageBody, NodeId};
 
-impl Core {
+impl RaftNode {
     /// This member is about to end: it campaigns no more, and if it leads, it hands leadership over once a
     /// majority of the voters has all entries without counting its own disk.
-    pub fn leave(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         self.leaving = true;
         self.hand_over();
     }
 
     /// Whether another member leads, as far as this one knows.
-    pub fn is_led_by_another(&self) -> bool {
+    pub fn has_other_leader(&self) -> bool {
         self.leader.is_some_and(|leader| leader != self.id)
     }
 
@@ -23,19 +23,35 @@
             return;
         }
         let complete = self.complete_voters();
-        let needed = self.members().quorum().min(self.voters_in_contact().count());
-        let Some(successor) = complete.first().copied().filter(|_| complete.len() >= needed) else {
+        let needed = self
+            .members()
+            .quorum()
+            .min(self.voters_in_contact().count());
+        let Some(successor) = complete
+            .first()
+            .copied()
+            .filter(|_| complete.len() >= needed)
+        else {
             return;
         };
-        let message =
-            Message { from: self.id, to: successor, term: self.term, body: Body::TimeoutNow };
-        self.out.send.push(message);
+        let message = Message {
+            from: self.id,
+            to: successor,
+            term: self.term,
+            body: MessageBody::TimeoutNow,
+        };
+        self.out.messages.push(message);
         self.follow(self.term, None);
     }
 
     /// Other voters in contact.
     fn voters_in_contact(&self) -> impl Iterator<Item = NodeId> {
-        let others = self.members().voters.keys().copied().filter(|id| *id != self.id);
+        let others = self
+            .members()
+            .voters
+            .keys()
+            .copied()
+            .filter(|id| *id != self.id);
         others.filter(|id| self.observation(*id).in_contact(&self.policy))
     }
 
@@ -43,7 +59,7 @@
     fn complete_voters(&self) -> Vec<NodeId> {
         let has_all = |id: &NodeId| self.matched(*id) == self.last();
         let mut complete: Vec<NodeId> = self.voters_in_contact().filter(has_all).collect();
-        complete.sort_by_key(|id| self.observation(*id).silence);
+        complete.sort_by_key(|id| self.observation(*id).silence_ms);
         complete
     }
 
--- a/crates/raft/src/core/log.rs
+++ b/crates/raft/src/core/log.rs
@@ -22,7 +22,7 @@
     pub(super) bytes: usize,
 }
 
-impl Core {
+impl RaftNode {
     pub(super) fn last(&self) -> u64 {
         self.base.index + self.log.len() as u64
     }
@@ -31,7 +31,9 @@
         if index == self.base.index {
             return Some(self.base.term);
         }
-        self.entry(index).map(|e| e.term).or_else(|| self.retained.term_at(index))
+        self.entry(index)
+            .map(|e| e.term)
+            .or_else(|| self.retained.term_at(index))
     }
 
     /// The entry at that place, if it is kept still.
@@ -43,14 +45,18 @@
     }
 
     pub(super) fn push_entries(&mut self, entries: Vec<Entry>) {
-        let members = entries.iter().rev().find(|e| matches!(e.payload, Payload::Members(_)));
+        let members = entries
+            .iter()
+            .rev()
+            .find(|e| matches!(e.payload, Payload::Members(_)));
         self.members_entry = members.map(|e| e.index).or(self.members_entry);
         self.log.extend(entries);
     }
 
     /// Drops the entries after that one.
     pub(super) fn truncate(&mut self, last: u64) {
-        self.log.truncate(last.saturating_sub(self.base.index) as usize);
+        self.log
+            .truncate(last.saturating_sub(self.base.index) as usize);
         if self.members_entry.is_some_and(|index| index > last) {
             let members = |e: &&Entry| matches!(e.payload, Payload::Members(_));
             self.members_entry = self.log.iter().rev().find(members).map(|e| e.index);
@@ -80,10 +86,18 @@
         let term = self.term_at(index)?;
         let members = self.members_at(index).clone();
         let dropped = (index - self.base.index) as usize;
-        let before = LogPosition { index: self.base.index, term: self.base.term };
+        let before = LogPosition {
+            index: self.base.index,
+            term: self.base.term,
+        };
         self.retained.extend(before, self.log.drain(..dropped));
         self.members_entry = self.members_entry.filter(|entry| *entry > index);
-        self.base = Snapshot { index, term, members, data };
+        self.base = Snapshot {
+            index,
+            term,
+            members,
+            data,
+        };
         self.trim_retained();
         Some(self.base.clone())
     }
@@ -97,7 +111,11 @@
         let leads = self.role == Role::Leader;
         let all_have = self.progress.values().filter(|_| leads).map(has).min();
         let all_have = all_have.unwrap_or(self.base.index);
-        let most = self.base.data.len().clamp(RETAINED_AT_LEAST, RETAINED_AT_MOST);
+        let most = self
+            .base
+            .data
+            .len()
+            .clamp(RETAINED_AT_LEAST, RETAINED_AT_MOST);
         self.retained.trim(all_have, most);
     }
 
@@ -107,16 +125,29 @@
         self.seq += 1;
         let covered = snapshot.as_ref().map_or(0, |s| s.index);
         let last = entries.last().map_or(covered, |e| e.index);
-        let bytes: usize = entries.iter().map(|e| e.payload.len() + ENTRY_OVERHEAD).sum();
+        let bytes: usize = entries
+            .iter()
+            .map(|e| e.payload.len() + ENTRY_OVERHEAD)
+            .sum();
         self.unsynced += bytes;
-        self.saving.push_back(Saving { seq: self.seq, last, bytes });
+        self.saving.push_back(Saving {
+            seq: self.seq,
+            last,
+            bytes,
+        });
         let (seq, term, vote) = (self.seq, self.term, self.vote);
-        self.out.save.push(Save { seq, term, vote, entries, snapshot });
+        self.out.persist_requests.push(PersistRequest {
+            sequence: seq,
+            term,
+            voted_for: vote,
+            entries,
+            snapshot,
+        });
         seq
     }
 
     /// All saves up to this one are synced.
-    pub fn saved(&mut self, seq: u64) {
+    pub fn on_persisted(&mut self, seq: u64) {
         while let Some(saving) = self.saving.pop_front_if(|saving| saving.seq <= seq) {
             self.synced = self.synced.max(saving.last);
             self.unsynced -= saving.bytes;
@@ -125,7 +156,7 @@
             if let Some((_, message)) = self.held.pop_front() {
                 // A promise of an older term is no longer wanted.
                 if message.term >= self.term {
-                    self.out.send.push(message);
+                    self.out.messages.push(message);
                 }
             }
         }
@@ -135,7 +166,7 @@
     pub(super) fn send_after(&mut self, after: Option<u64>, message: Message) {
         match after {
             Some(seq) => self.held.push_back((seq, message)),
-            None => self.out.send.push(message),
+            None => self.out.messages.push(message),
         }
     }
 }
--- a/crates/raft/src/core/membership.rs
+++ b/crates/raft/src/core/membership.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Core, Role};
+use super::{RaftNode, Role};
 use crate::membership::{MembershipPolicy, MembershipView, Observation};
 use crate::{Members, NodeId, Payload};
 
@@ -23,11 +23,11 @@
     /// Whether it votes.
     pub voter: bool,
     /// The time since its last answer.
-    pub silence: u64,
+    pub silence_ms: u64,
     /// Whether it has answered within an election time-out.
     pub in_contact: bool,
     /// The number of entries that are not known to be on its disk.
-    pub behind: u64,
+    pub entries_behind: u64,
 }
 
 /// What the leader knows of the members.
@@ -36,10 +36,10 @@
     /// Each member, voters first.
     pub members: Vec<MemberReport>,
     /// The number of voters that can still be lost with a majority left.
-    pub margin: usize,
+    pub tolerable_losses: usize,
 }
 
-impl Core {
+impl RaftNode {
     /// Sets when members are given up.
     pub fn set_membership_policy(&mut self, policy: MembershipPolicy) {
         self.policy = policy;
@@ -52,13 +52,19 @@
     }
 
     /// A machine asks to take part. Heeded only by the leader, and asked again until it does.
-    pub fn join(&mut self, id: NodeId, address: String) {
+    pub fn handle_join_request(&mut self, id: NodeId, address: String) {
         if self.role != Role::Leader || self.members().voters.contains_key(&id) {
             return;
         }
         // One address has one machine, and it has one life at a time.
         self.joining.retain(|_, known| known.address != address);
-        self.joining.insert(id, Applicant { address, asked: self.now });
+        self.joining.insert(
+            id,
+            Applicant {
+                address,
+                asked: self.now,
+            },
+        );
         self.change_members();
     }
 
@@ -72,9 +78,12 @@
         if self.role != Role::Leader || self.leaving || pending || !current {
             return;
         }
-        let oldest = self.now.saturating_sub(self.policy.absence);
+        let oldest = self
+            .now
+            .saturating_sub(self.policy.voter_removal_timeout_ms);
         let voters = self.members().voters.clone();
-        self.joining.retain(|id, known| known.asked >= oldest && !voters.contains_key(id));
+        self.joining
+            .retain(|id, known| known.asked >= oldest && !voters.contains_key(id));
         let applicants = self.applicants();
         let next = self.view(self.members(), &applicants).next_change();
         if let Some(next) = next {
@@ -94,18 +103,21 @@
             id,
             address: address.to_string(),
             voter: view.members.voters.contains_key(&id),
-            silence: (view.observe)(id).silence,
+            silence_ms: (view.observe)(id).silence_ms,
             in_contact: view.in_contact(id),
-            behind: self.last() - self.matched(id),
+            entries_behind: self.last() - self.matched(id),
         };
         Some(MembershipReport {
             members: view.members.all().map(report).collect(),
-            margin: view.margin(),
+            tolerable_losses: view.margin(),
         })
     }
 
     fn applicants(&self) -> BTreeMap<NodeId, String> {
-        self.joining.iter().map(|(id, known)| (*id, known.address.clone())).collect()
+        self.joining
+            .iter()
+            .map(|(id, known)| (*id, known.address.clone()))
+            .collect()
     }
 
     fn view<'a>(
@@ -124,12 +136,20 @@
     pub(super) fn observation(&self, id: NodeId) -> Observation {
         let caught_up = self.matched(id) >= self.commit;
         if id == self.id {
-            return Observation { silence: 0, answered: true, caught_up };
+            return Observation {
+                silence_ms: 0,
+                has_responded: true,
+                caught_up,
+            };
         }
         let progress = self.progress.get(&id);
         let silence = progress.map_or(0, |p| self.now.saturating_sub(p.heard));
         let answered = progress.is_some_and(|p| p.round > 0);
-        Observation { silence, answered, caught_up }
+        Observation {
+            silence_ms: silence,
+            has_responded: answered,
+            caught_up,
+        }
     }
 
     /// The last entry known to be on a member's disk.
