--- a/crates/raft/src/core/pieces.rs
+++ b/crates/raft/src/core/pieces.rs
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub(super) struct Blob {
     id: TransferId,
-    content: Content,
+    content: TransferContent,
     bytes: Vec<u8>,
 }
 
@@ -55,13 +55,21 @@
     /// All up to the first gap.
     bytes: Vec<u8>,
     /// Pieces beyond it, by offset.
-    ahead: BTreeMap<u64, Piece>,
+    ahead: BTreeMap<u64, Chunk>,
 }
 
 impl Transfer {
     fn new(blob: Arc<Blob>, now: u64) -> Self {
         let (advanced, progressed) = (now, now);
-        Self { blob, received: 0, sent: 0, ended: false, advanced, progressed, patience: PATIENCE }
+        Self {
+            blob,
+            received: 0,
+            sent: 0,
+            ended: false,
+            advanced,
+            progressed,
+            patience: PATIENCE,
+        }
     }
 
     /// The entry up to which the member has the log once this is over.
@@ -87,7 +95,7 @@
     }
 
     /// The next piece, if there is one.
-    fn piece(&mut self) -> Option<(usize, Vec<u8>, Option<Content>)> {
+    fn piece(&mut self) -> Option<(usize, Vec<u8>, Option<TransferContent>)> {
         if self.ended {
             return None;
         }
@@ -115,17 +123,19 @@
     }
 }
 
-impl Core {
+impl RaftNode {
     /// Sends a member the snapshot, if it is there: one that is not is sent a newer one when it is back.
     pub(super) fn start_snapshot(&mut self, progress: &mut Progress) {
-        let gone = self.now.saturating_sub(self.timing.election);
+        let gone = self.now.saturating_sub(self.timing.election_timeout_ms);
         if progress.heard < gone {
             return;
         }
         let base = &self.base;
         let (index, term) = (base.index, base.term);
         let blob = self.shared_blob(index, term).unwrap_or_else(|| {
-            let content = Content::Snapshot { members: base.members.clone() };
+            let content = TransferContent::Snapshot {
+                members: base.members.clone(),
+            };
             Blob::new(index, term, content, base.data.clone())
         });
         self.start_transfer(progress, blob);
@@ -136,9 +146,18 @@
         let (Some(entry), Some(prev_term)) = (self.entry(index), self.term_at(index - 1)) else {
             return;
         };
-        let Payload::Data(data) = &entry.payload else { return };
+        let Payload::Data(data) = &entry.payload else {
+            return;
+        };
         let blob = self.shared_blob(index, entry.term).unwrap_or_else(|| {
-            Blob::new(index, entry.term, Content::Entry { prev_term }, data.clone())
+            Blob::new(
+                index,
+                entry.term,
+                TransferContent::Entry {
+                    prev_log_term: prev_term,
+                },
+                data.clone(),
+            )
         });
         self.start_transfer(progress, blob);
     }
@@ -150,18 +169,22 @@
 
     /// What another member is being sent already.
     fn shared_blob(&self, index: u64, term: u64) -> Option<Arc<Blob>> {
-        self.progress.values().find_map(|progress| match &progress.mode {
-            Mode::Transfer(t) if (t.blob.id.index, t.blob.id.term) == (index, term) => {
-                Some(t.blob.clone())
-            }
-            _ => None,
-        })
+        self.progress
+            .values()
+            .find_map(|progress| match &progress.mode {
+                Mode::Transfer(t) if (t.blob.id.index, t.blob.id.term) == (index, term) => {
+                    Some(t.blob.clone())
+                }
+                _ => None,
+            })
     }
 
     /// Sends the pieces that the window has room for.
     pub(super) fn send_pieces(&mut self, to: NodeId, progress: &mut Progress) {
         let gone = self.now >= progress.heard + ABANDONED;
-        let Mode::Transfer(transfer) = &mut progress.mode else { return };
+        let Mode::Transfer(transfer) = &mut progress.mode else {
+            return;
+        };
         if gone {
             let matched = progress.matched;
             return progress.reset(matched, false, self.round);
@@ -172,21 +195,28 @@
         {
             let end = (offset + bytes.len()) as u64;
             progress.window.sent(end, bytes.len(), self.now);
-            let body = Body::Piece(Piece {
+            let body = MessageBody::Chunk(Chunk {
                 transfer: transfer.blob.id,
                 offset: offset as u64,
                 bytes,
                 content,
-                commit: self.commit,
-                round: self.round,
+                leader_commit: self.commit,
+                sequence: self.round,
+            });
+            self.out.messages.push(Message {
+                from: self.id,
+                to,
+                term: self.term,
+                body,
             });
-            self.out.send.push(Message { from: self.id, to, term: self.term, body });
         }
     }
 
     /// A member tells how much it has of a transfer.
     pub(super) fn piece_answered(&mut self, from: NodeId, id: TransferId, received: u64) {
-        let Some(progress) = self.progress.get_mut(&from) else { return };
+        let Some(progress) = self.progress.get_mut(&from) else {
+            return;
+        };
         progress.heard = self.now;
         if let Mode::Transfer(transfer) = &mut progress.mode
             && transfer.blob.id == id
@@ -197,24 +227,24 @@
     }
 
     /// The leader sends a piece.
-    pub(super) fn piece_received(&mut self, from: NodeId, piece: Piece) {
+    pub(super) fn piece_received(&mut self, from: NodeId, piece: Chunk) {
         let id = piece.transfer;
         if id.index <= self.commit || self.term_at(id.index) == Some(id.term) {
-            return self.acknowledge(from, id.index, piece.round, None);
+            return self.acknowledge(from, id.index, piece.sequence, None);
         }
         let mut incoming = self
             .incoming
             .take()
             .filter(|known| known.id == id)
             .unwrap_or_else(|| Incoming::new(id));
-        let (commit, round) = (piece.commit, piece.round);
+        let (commit, round) = (piece.leader_commit, piece.sequence);
         let Some(content) = incoming.add(piece) else {
             self.reply_piece(from, id, incoming.bytes.len() as u64);
             self.incoming = Some(incoming);
             return;
         };
         let is_whole = crc32fast::hash(&incoming.bytes) == id.checksum;
-        self.reply_piece(from, id, if is_whole { id.total } else { 0 });
+        self.reply_piece(from, id, if is_whole { id.total_bytes } else { 0 });
         if is_whole {
             self.transfer_received(from, incoming, content, commit, round);
         }
@@ -224,47 +254,82 @@
         &mut self,
         from: NodeId,
         incoming: Incoming,
-        content: Content,
+        content: TransferContent,
         commit: u64,
         round: u64,
     ) {
         let TransferId { index, term, .. } = incoming.id;
         match content {
-            Content::Snapshot { members } => {
-                let snapshot = Snapshot { index, term, members, data: incoming.bytes };
+            TransferContent::Snapshot { members } => {
+                let snapshot = Snapshot {
+                    index,
+                    term,
+                    members,
+                    data: incoming.bytes,
+                };
                 self.install(from, snapshot, round);
             }
-            Content::Entry { prev_term } => {
-                let entry = Entry { term, index, payload: Payload::Data(incoming.bytes) };
-                let prev = LogPosition { index: index - 1, term: prev_term };
+            TransferContent::Entry {
+                prev_log_term: prev_term,
+            } => {
+                let entry = Entry {
+                    term,
+                    index,
+                    payload: Payload::Data(incoming.bytes),
+                };
+                let prev = LogPosition {
+                    index: index - 1,
+                    term: prev_term,
+                };
                 self.append_received(from, prev, vec![entry], commit, round);
             }
         }
     }
 
     fn reply_piece(&mut self, to: NodeId, transfer: TransferId, received: u64) {
-        let body = Body::PieceReply { transfer, received };
-        self.out.send.push(Message { from: self.id, to, term: self.term, body });
+        let body = MessageBody::ChunkResponse {
+            transfer,
+            received_bytes: received,
+        };
+        self.out.messages.push(Message {
+            from: self.id,
+            to,
+            term: self.term,
+            body,
+        });
     }
 }
 
 impl Blob {
-    fn new(index: u64, term: u64, content: Content, bytes: Vec<u8>) -> Arc<Self> {
+    fn new(index: u64, term: u64, content: TransferContent, bytes: Vec<u8>) -> Arc<Self> {
         let (total, checksum) = (bytes.len() as u64, crc32fast::hash(&bytes));
-        Arc::new(Self { id: TransferId { index, term, total, checksum }, content, bytes })
+        Arc::new(Self {
+            id: TransferId {
+                index,
+                term,
+                total_bytes: total,
+                checksum,
+            },
+            content,
+            bytes,
+        })
     }
 }
 
 impl Incoming {
     fn new(id: TransferId) -> Self {
-        Self { id, bytes: Vec::new(), ahead: BTreeMap::new() }
+        Self {
+            id,
+            bytes: Vec::new(),
+            ahead: BTreeMap::new(),
+        }
     }
 
     /// Takes a piece, and all that follow it and came sooner; what the transfer is once it is complete.
-    fn add(&mut self, piece: Piece) -> Option<Content> {
+    fn add(&mut self, piece: Chunk) -> Option<TransferContent> {
         let end = piece.offset.saturating_add(piece.bytes.len() as u64);
         let most_ahead = (self.bytes.len() + MOST_WINDOW) as u64;
-        if end <= self.id.total.min(LARGEST).min(most_ahead) {
+        if end <= self.id.total_bytes.min(LARGEST).min(most_ahead) {
             self.ahead.insert(piece.offset, piece);
         }
         while let Some(next) = self.ahead.first_entry() {
--- a/crates/raft/src/core/progress.rs
+++ b/crates/raft/src/core/progress.rs
@@ -103,7 +103,11 @@
 
     /// The logs meet at `index` (`known`) or not beyond it.
     pub(super) fn reset(&mut self, index: u64, known: bool, round: u64) {
-        self.mode = if known { Mode::Replicate } else { Mode::Probe { outstanding: false } };
+        self.mode = if known {
+            Mode::Replicate
+        } else {
+            Mode::Probe { outstanding: false }
+        };
         self.next = index + 1;
         // Only a disk that lost what it had synced brings it below what was acknowledged.
         self.matched = self.matched.min(index);
@@ -133,7 +137,12 @@
 
 impl Default for Window {
     fn default() -> Self {
-        Self { size: LEAST_WINDOW, bytes: 0, in_flight: VecDeque::new(), fastest: None }
+        Self {
+            size: LEAST_WINDOW,
+            bytes: 0,
+            in_flight: VecDeque::new(),
+            fastest: None,
+        }
     }
 }
 
@@ -148,7 +157,11 @@
 
     pub(super) fn sent(&mut self, upto: u64, bytes: usize, now: u64) {
         self.bytes += bytes;
-        self.in_flight.push_back(Flight { upto, bytes, sent: now });
+        self.in_flight.push_back(Flight {
+            upto,
+            bytes,
+            sent: now,
+        });
     }
 
     /// All up to there is answered.
--- a/crates/raft/src/core/reads.rs
+++ b/crates/raft/src/core/reads.rs
@@ -10,8 +10,8 @@
 
 use std::collections::VecDeque;
 
-use super::{Core, Role};
-use crate::{Body, Message, NodeId};
+use super::{RaftNode, Role};
+use crate::{Message, MessageBody, NodeId};
 
 /// Questions after the leader's contact that may be unanswered at a time; a slow link has more than one under way.
 const QUESTIONS: usize = 4;
@@ -46,11 +46,11 @@
     at: Option<u64>,
 }
 
-impl Core {
+impl RaftNode {
     /// Asks for an index that covers all that was acknowledged before this call; told in
-    /// [`Output::reads`](crate::Output::reads). Tokens are never used again, not by a later life of the member
+    /// [`Ready::read_states`](crate::Ready::read_states). Tokens are never used again, not by a later life of the member
     /// either: an answer to an earlier one must not pass for the answer to this.
-    pub fn read(&mut self, token: u64) {
+    pub fn request_read(&mut self, token: u64) {
         match self.leader {
             Some(leader) if leader != self.id => {
                 self.requests.waiting.push(token);
@@ -59,7 +59,7 @@
                 }
             }
             Some(_) => self.read_for(self.id, token),
-            None => self.out.reads.push((token, None)),
+            None => self.out.read_states.push((token, None)),
         }
     }
 
@@ -69,15 +69,22 @@
         requests.in_flight.append(&mut requests.waiting);
         requests.sent = self.now;
         if let Some(token) = requests.in_flight.last() {
-            let body = Body::Read { token: *token };
-            self.out.send.push(Message { from: self.id, to: leader, term: self.term, body });
+            let body = MessageBody::ReadIndex { token: *token };
+            self.out.messages.push(Message {
+                from: self.id,
+                to: leader,
+                term: self.term,
+                body,
+            });
         }
     }
 
     /// Asks again where an answer is overdue: it may be lost.
     pub(super) fn request_overdue_reads(&mut self) {
-        let overdue = self.now >= self.requests.sent + self.timing.heartbeat;
-        if let Some(leader) = self.leader.filter(|_| overdue && !self.requests.in_flight.is_empty())
+        let overdue = self.now >= self.requests.sent + self.timing.heartbeat_interval_ms;
+        if let Some(leader) = self
+            .leader
+            .filter(|_| overdue && !self.requests.in_flight.is_empty())
         {
             self.request_reads(leader);
         }
@@ -87,7 +94,9 @@
     pub(super) fn fail_requests(&mut self) {
         let requests = std::mem::take(&mut self.requests);
         let tokens = requests.in_flight.into_iter().chain(requests.waiting);
-        self.out.reads.extend(tokens.map(|token| (token, None)));
+        self.out
+            .read_states
+            .extend(tokens.map(|token| (token, None)));
     }
 
     pub(super) fn read_answered(&mut self, token: u64, index: Option<u64>) {
@@ -95,7 +104,9 @@
             return;
         }
         let answered = std::mem::take(&mut self.requests.in_flight);
-        self.out.reads.extend(answered.into_iter().map(|token| (token, index)));
+        self.out
+            .read_states
+            .extend(answered.into_iter().map(|token| (token, index)));
         if let Some(leader) = self.leader.filter(|_| !self.requests.waiting.is_empty()) {
             self.request_reads(leader);
         }
@@ -118,7 +129,12 @@
         let round = self.round + u64::from(under_way);
         // Whatever was acknowledged under leaders before comes before its own first entry.
         let index = self.commit.max(self.first_of_term);
-        self.reads.push(Pending { from, token, index, round });
+        self.reads.push(Pending {
+            from,
+            token,
+            index,
+            round,
+        });
         self.confirm_reads();
     }
 
@@ -130,7 +146,11 @@
             self.rounds.pop_front();
             self.confirmed = Some(began);
         }
-        let served = self.reads.iter().take_while(|p| self.answered_round(p.round)).count();
+        let served = self
+            .reads
+            .iter()
+            .take_while(|p| self.answered_round(p.round))
+            .count();
         for p in self.reads.drain(..served).collect::<Vec<_>>() {
             self.answer_read(p.from, p.token, Some(p.index));
         }
@@ -142,53 +162,83 @@
 
     fn answered_round(&self, round: u64) -> bool {
         let told = |id| id == self.id || self.progress.get(&id).is_some_and(|p| p.round >= round);
-        self.members().majority(told)
+        self.members().is_majority(told)
     }
 
     pub(super) fn answer_read(&mut self, from: NodeId, token: u64, index: Option<u64>) {
         if from == self.id {
-            self.out.reads.push((token, index));
+            self.out.read_states.push((token, index));
             return;
         }
-        let body = Body::ReadReply { token, index };
-        self.out.send.push(Message { from: self.id, to: from, term: self.term, body });
+        let body = MessageBody::ReadIndexResponse { token, index };
+        self.out.messages.push(Message {
+            from: self.id,
+            to: from,
+            term: self.term,
+            body,
+        });
     }
 
     // --------------------------------------------------------------- contact
 
-    /// When it surely led, by the clock of [`Core::tick`]: a majority has answered what it sent then, so whoever
+    /// When it surely led, by the clock of [`RaftNode::tick`]: a majority has answered what it sent then, so whoever
     /// is elected after it was elected later. `None` where it does not lead.
-    pub fn led_at(&self) -> Option<u64> {
+    pub fn leadership_confirmed_at(&self) -> Option<u64> {
         self.confirmed.filter(|_| self.role == Role::Leader)
     }
 
-    /// The moment, by the clock of [`Core::tick`], up to which what is applied here covers all that was
+    /// The moment, by the clock of [`RaftNode::tick`], up to which what is applied here covers all that was
     /// acknowledged anywhere. `None` where that is not known.
-    pub fn contact_at(&self) -> Option<u64> {
-        self.contact.at.max(self.confirmed.filter(|_| self.knows_commit()))
+    pub fn quorum_contact_at(&self) -> Option<u64> {
+        self.contact
+            .at
+            .max(self.confirmed.filter(|_| self.knows_commit()))
     }
 
-    /// Asks the leader how fresh what it knows is, so that [`Core::contact_at`] moves on. The leader answers at
-    /// once, by the last round that was answered: asking costs no round. For tokens see [`Core::read`].
-    pub fn ask_contact(&mut self, token: u64) {
-        let Some(leader) = self.leader.filter(|leader| *leader != self.id) else { return };
+    /// Asks the leader how fresh what it knows is, so that [`RaftNode::quorum_contact_at`] moves on. The leader answers at
+    /// once, by the last round that was answered: asking costs no round. For tokens see [`RaftNode::request_read`].
+    pub fn request_quorum_contact(&mut self, token: u64) {
+        let Some(leader) = self.leader.filter(|leader| *leader != self.id) else {
+            return;
+        };
         if self.contact.asked.len() == QUESTIONS {
             self.contact.asked.pop_front();
         }
         self.contact.asked.push_back((token, self.now));
-        let body = Body::Contact { token };
-        self.out.send.push(Message { from: self.id, to: leader, term: self.term, body });
+        let body = MessageBody::QuorumContact { token };
+        self.out.messages.push(Message {
+            from: self.id,
+            to: leader,
+            term: self.term,
+            body,
+        });
     }
 
     pub(super) fn contact_asked(&mut self, from: NodeId, token: u64) {
-        let Some(began) = self.contact_at().filter(|_| self.knows_commit()) else { return };
+        let Some(began) = self.quorum_contact_at().filter(|_| self.knows_commit()) else {
+            return;
+        };
         let (age, index) = (self.now.saturating_sub(began), self.commit);
-        let body = Body::ContactReply { token, age, index };
-        self.out.send.push(Message { from: self.id, to: from, term: self.term, body });
+        let body = MessageBody::QuorumContactResponse {
+            token,
+            age_ms: age,
+            index,
+        };
+        self.out.messages.push(Message {
+            from: self.id,
+            to: from,
+            term: self.term,
+            body,
+        });
     }
 
     pub(super) fn contact_told(&mut self, token: u64, age: u64, index: u64) {
-        let Some(place) = self.contact.asked.iter().position(|(asked, _)| *asked == token) else {
+        let Some(place) = self
+            .contact
+            .asked
+            .iter()
+            .position(|(asked, _)| *asked == token)
+        else {
             return;
         };
         let (_, asked) = self.contact.asked[place];
@@ -207,14 +257,18 @@
     /// Contact counts once what it covers is applied.
     pub(super) fn contact_applied(&mut self) {
         let applied = self.applied;
-        while let Some((at, _)) = self.contact.next.pop_front_if(|(_, index)| *index <= applied) {
+        while let Some((at, _)) = self
+            .contact
+            .next
+            .pop_front_if(|(_, index)| *index <= applied)
+        {
             self.contact.at = self.contact.at.max(Some(at));
         }
     }
 
     /// On stepping down: who waits for a read here has to ask again, and the contact that was had still holds.
     pub(super) fn leave_reads(&mut self) {
-        self.contact.at = self.contact_at();
+        self.contact.at = self.quorum_contact_at();
         for p in std::mem::take(&mut self.reads) {
             self.answer_read(p.from, p.token, None);
         }
--- a/crates/raft/src/core/replication.rs
+++ b/crates/raft/src/core/replication.rs
@@ -16,7 +16,7 @@
 /// A leader whose disk stalls goes on with the disks of others; but what waits for its own takes memory.
 const MOST_UNSYNCED: usize = 8 << 20;
 
-impl Core {
+impl RaftNode {
     // ---------------------------------------------------------------- leader
 
     /// Adds an entry to the log; the place it has if it is ever committed. `None` where this one does not
@@ -31,7 +31,11 @@
     }
 
     pub(super) fn append(&mut self, payload: Payload) -> u64 {
-        let entry = Entry { term: self.term, index: self.last() + 1, payload };
+        let entry = Entry {
+            term: self.term,
+            index: self.last() + 1,
+            payload,
+        };
         let index = entry.index;
         self.push_entries(vec![entry.clone()]);
         self.save(vec![entry], None);
@@ -41,25 +45,33 @@
     /// Sends each member what it lacks; with `beat`, at least a heartbeat.
     pub(super) fn broadcast(&mut self, beat: bool) {
         if beat {
-            self.beat = self.now + self.timing.heartbeat;
+            self.beat = self.now + self.timing.heartbeat_interval_ms;
             self.round += 1;
             self.rounds.push_back((self.round, self.now));
         }
-        let ids: Vec<NodeId> =
-            self.members().all().map(|(id, _)| id).filter(|id| *id != self.id).collect();
+        let ids: Vec<NodeId> = self
+            .members()
+            .all()
+            .map(|(id, _)| id)
+            .filter(|id| *id != self.id)
+            .collect();
         self.progress.retain(|id, _| ids.contains(id));
         // Most logs are the same up to the leader's newest entry, which goes with the first append.
         let (now, next) = (self.now, self.last().max(1));
         for id in ids {
             // A new member is given the time of an election to answer.
-            self.progress.entry(id).or_insert_with(|| Progress::new(next, now));
+            self.progress
+                .entry(id)
+                .or_insert_with(|| Progress::new(next, now));
             self.replicate(id, beat);
         }
     }
 
     /// Sends a member what it lacks and its window has room for; with `beat`, at least a heartbeat.
     pub(super) fn replicate(&mut self, to: NodeId, beat: bool) {
-        let Some(mut progress) = self.progress.remove(&to) else { return };
+        let Some(mut progress) = self.progress.remove(&to) else {
+            return;
+        };
         let transfers = matches!(progress.mode, Mode::Transfer(_));
         if !transfers && self.term_at(progress.next - 1).is_none() {
             self.start_snapshot(&mut progress);
@@ -78,8 +90,13 @@
 
     /// Sends the first append of which the answer shows where the logs meet.
     fn probe(&mut self, to: NodeId, progress: &mut Progress) -> bool {
-        let Some(prev_term) = self.term_at(progress.next - 1) else { return false };
-        let prev = LogPosition { index: progress.next - 1, term: prev_term };
+        let Some(prev_term) = self.term_at(progress.next - 1) else {
+            return false;
+        };
+        let prev = LogPosition {
+            index: progress.next - 1,
+            term: prev_term,
+        };
         let (entries, _) = self.batch(progress.next);
         progress.mode = Mode::Probe { outstanding: true };
         self.send_append(to, progress, prev, entries);
@@ -99,7 +116,10 @@
                 }
                 return any;
             };
-            let prev = LogPosition { index: progress.next - 1, term: prev_term };
+            let prev = LogPosition {
+                index: progress.next - 1,
+                term: prev_term,
+            };
             progress.next = last.index + 1;
             progress.window.sent(last.index, bytes, self.now);
             self.send_append(to, progress, prev, entries);
@@ -133,8 +153,19 @@
         let (commit, round) = (self.commit, self.round);
         progress.commit_told = commit.min(prev.index + entries.len() as u64);
         let (prev_index, prev_term) = (prev.index, prev.term);
-        let body = Body::Append { prev_index, prev_term, entries, commit, round };
-        self.out.send.push(Message { from: self.id, to, term: self.term, body });
+        let body = MessageBody::AppendEntries {
+            prev_log_index: prev_index,
+            prev_log_term: prev_term,
+            entries,
+            leader_commit: commit,
+            sequence: round,
+        };
+        self.out.messages.push(Message {
+            from: self.id,
+            to,
+            term: self.term,
+            body,
+        });
     }
 
     /// An append without entries: at the end of what was sent, where that shows whether it got there; beside a
@@ -155,7 +186,9 @@
             return;
         }
         let (now, last) = (self.now, self.last());
-        let Some(progress) = self.progress.get_mut(&from) else { return };
+        let Some(progress) = self.progress.get_mut(&from) else {
+            return;
+        };
         progress.heard = now;
         progress.round = progress.round.max(round);
         progress.accepted(index.min(last), round, now);
@@ -181,7 +214,9 @@
         let meets = self.last_not_newer(hint);
         let known = self.term_at(meets) == Some(hint.term) && meets == hint.index;
         let (now, current) = (self.now, self.round);
-        let Some(progress) = self.progress.get_mut(&from) else { return };
+        let Some(progress) = self.progress.get_mut(&from) else {
+            return;
+        };
         progress.heard = now;
         progress.round = progress.round.max(round);
         if !progress.stale_conflict(rejected, round) {
@@ -202,7 +237,9 @@
 
     /// A member that was not told of a commit, for want of the entries, is told once it has them.
     fn tell_commit(&mut self, to: NodeId) {
-        let Some(mut progress) = self.progress.remove(&to) else { return };
+        let Some(mut progress) = self.progress.remove(&to) else {
+            return;
+        };
         let replicates = matches!(progress.mode, Mode::Replicate);
         if replicates && progress.commit_told < self.commit.min(progress.matched) {
             self.send_heartbeat(to, &mut progress);
@@ -222,7 +259,7 @@
                 Some(p) => p.matched >= index,
                 None => false,
             };
-            if self.members().majority(has) {
+            if self.members().is_majority(has) {
                 self.commit_to(index);
                 self.broadcast(true);
                 self.change_members();
@@ -247,8 +284,14 @@
         if prev.index < self.base.index {
             // What the snapshot covers is committed: it is the leader's too.
             entries.retain(|entry| entry.index > self.base.index);
-            prev = LogPosition { index: self.base.index, term: self.base.term };
-            if entries.first().is_some_and(|first| first.index != prev.index + 1) {
+            prev = LogPosition {
+                index: self.base.index,
+                term: self.base.term,
+            };
+            if entries
+                .first()
+                .is_some_and(|first| first.index != prev.index + 1)
+            {
                 entries.clear();
             }
         }
@@ -256,7 +299,9 @@
             return self.reply_conflict(from, prev, round);
         }
         let matched = prev.index + entries.len() as u64;
-        let new = entries.iter().position(|e| self.term_at(e.index) != Some(e.term));
+        let new = entries
+            .iter()
+            .position(|e| self.term_at(e.index) != Some(e.term));
         let after = new.map(|first| self.replace_from(entries.split_off(first)));
         self.commit_to(commit.min(matched));
         self.acknowledge(from, matched, round, after);
@@ -268,7 +313,9 @@
         self.truncate(kept);
         // What is on its way to the disk beyond here is about to be replaced there too.
         self.synced = self.synced.min(kept);
-        self.saving.iter_mut().for_each(|saving| saving.last = saving.last.min(kept));
+        self.saving
+            .iter_mut()
+            .for_each(|saving| saving.last = saving.last.min(kept));
         self.push_entries(entries.clone());
         self.save(entries, None)
     }
@@ -283,8 +330,17 @@
         let index = index.max(self.commit);
         let term = self.term_at(index).unwrap_or(0);
         let hint = LogPosition { index, term };
-        let body = Body::Conflict { rejected: prev.index, hint, round };
-        self.out.send.push(Message { from: self.id, to, term: self.term, body });
+        let body = MessageBody::AppendConflict {
+            rejected_index: prev.index,
+            hint,
+            sequence: round,
+        };
+        self.out.messages.push(Message {
+            from: self.id,
+            to,
+            term: self.term,
+            body,
+        });
     }
 
     /// The log is the leader's up to `matched`, and up to what is committed: says so as far as it is synced.
@@ -295,12 +351,16 @@
             from: self.id,
             to,
             term: self.term,
-            body: Body::AppendReply { ok: true, index, round },
+            body: MessageBody::AppendResponse {
+                accepted: true,
+                match_index: index,
+                sequence: round,
+            },
         };
         if after.is_none() || matched <= self.synced {
             // Without waiting: the disk may stall, and this member is there all the same.
             let now = reply(matched.min(self.synced));
-            self.out.send.push(now);
+            self.out.messages.push(now);
         }
         if matched > self.synced && !self.will_acknowledge(to, matched) {
             let later = reply(matched);
@@ -316,7 +376,7 @@
     fn will_acknowledge(&self, leader: NodeId, matched: u64) -> bool {
         self.held.iter().any(|(_, message)| {
             let same = (message.to, message.term) == (leader, self.term);
-            same && matches!(message.body, Body::AppendReply { index, .. } if index >= matched)
+            same && matches!(message.body, MessageBody::AppendResponse { match_index, .. } if match_index >= matched)
         })
     }
 
@@ -333,11 +393,13 @@
         // Of the log that is on the disk, or on its way there, only what is committed is the leader's.
         let committed = self.commit;
         self.synced = self.synced.min(committed);
-        self.saving.iter_mut().for_each(|saving| saving.last = saving.last.min(committed));
+        self.saving
+            .iter_mut()
+            .for_each(|saving| saving.last = saving.last.min(committed));
         self.replace_log(snapshot.clone());
         (self.commit, self.applied) = (index, index);
-        self.out.committed.clear();
-        self.out.restored = Some(snapshot.clone());
+        self.out.committed_entries.clear();
+        self.out.restored_snapshot = Some(snapshot.clone());
         let after = self.save(Vec::new(), Some(snapshot));
         self.acknowledge(from, index, round, Some(after));
     }
@@ -347,9 +409,11 @@
         let commit = self.commit;
         self.incoming.take_if(|incoming| incoming.index() <= commit);
         while self.applied < self.commit {
-            let Some(entry) = self.entry(self.applied + 1).cloned() else { return };
+            let Some(entry) = self.entry(self.applied + 1).cloned() else {
+                return;
+            };
             self.applied += 1;
-            self.out.committed.push(entry);
+            self.out.committed_entries.push(entry);
         }
         self.contact_applied();
     }
--- a/crates/raft/src/core/retained.rs
+++ b/crates/raft/src/core/retained.rs
@@ -56,7 +56,10 @@
             && (first.index <= all_have || self.bytes > most)
         {
             self.bytes -= size(first);
-            self.before = LogPosition { index: first.index, term: first.term };
+            self.before = LogPosition {
+                index: first.index,
+                term: first.term,
+            };
             self.entries.pop_front();
         }
     }
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,9 +1,9 @@
 //! A replicated log in the manner of Raft: election with pre-vote and check-quorum, replication, membership
 //! changed one member at a time with learners first, snapshots, and reads confirmed by a majority.
 //!
-//! No sockets, no clock, no files. The host hands in what happened ([`Core::tick`], [`Core::receive`],
-//! [`Core::propose`], [`Core::read`], [`Core::saved`]) and carries out the [`Output`]: it writes every
-//! [`Save`] to disk, in order, and says when it is synced. Whatever a message promises (a vote, an
+//! No sockets, no clock, no files. The host hands in what happened ([`RaftNode::tick`], [`RaftNode::step`],
+//! [`RaftNode::propose`], [`RaftNode::request_read`], [`RaftNode::on_persisted`]) and carries out the [`Ready`]: it writes every
+//! [`PersistRequest`] to disk, in order, and says when it is synced. Whatever a message promises (a vote, an
 //! acknowledged entry) leaves the core only after the save that backs it is synced; the leader's appends do
 //! not wait for its own disk, and its own copy counts only once it is synced.
 //!
@@ -21,7 +21,7 @@
 mod members;
 mod membership;
 
-pub use crate::core::{Core, MemberReport, MembershipReport, Role, Status};
+pub use crate::core::{MemberReport, MembershipReport, RaftNode, Role, Status};
 pub use crate::members::Members;
 pub use crate::membership::{MembershipPolicy, MembershipView, Observation};
 
@@ -81,8 +81,13 @@
 
 impl Snapshot {
     /// Before any entry: nothing but the first members.
-    pub fn of_founders(members: Members) -> Self {
-        Self { index: 0, term: 0, members, data: Vec::new() }
+    pub fn initial(members: Members) -> Self {
+        Self {
+            index: 0,
+            term: 0,
+            members,
+            data: Vec::new(),
+        }
     }
 }
 
@@ -96,7 +101,7 @@
     /// The sender's term (the one it would campaign in, for a pre-vote).
     pub term: u64,
     /// What it says.
-    pub body: Body,
+    pub body: MessageBody,
 }
 
 /// A place in a log; an entry there with this term is the same in all logs, and all before it too.
@@ -116,14 +121,15 @@
     /// Its term.
     pub term: u64,
     /// All its bytes.
-    pub total: u64,
+    #[serde(rename = "total")]
+    pub total_bytes: u64,
     /// Their CRC-32: two leaders may write the same state differently.
     pub checksum: u32,
 }
 
 /// What the bytes of a transfer are.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Content {
+pub enum TransferContent {
     /// The data of a snapshot.
     Snapshot {
         /// The members as of it.
@@ -132,13 +138,14 @@
     /// The data of an entry.
     Entry {
         /// The term of the entry before it.
-        prev_term: u64,
+        #[serde(rename = "prev_term")]
+        prev_log_term: u64,
     },
 }
 
 /// A part of a snapshot, or of a large entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct Chunk {
     /// Of what.
     pub transfer: TransferId,
     /// Where it begins.
@@ -147,100 +154,128 @@
     #[serde(with = "bytes")]
     pub bytes: Vec<u8>,
     /// With the last piece, what the bytes are.
-    pub content: Option<Content>,
+    pub content: Option<TransferContent>,
     /// The leader's commit index.
-    pub commit: u64,
+    #[serde(rename = "commit")]
+    pub leader_commit: u64,
     /// As in an append.
-    pub round: u64,
+    #[serde(rename = "round")]
+    pub sequence: u64,
 }
 
 /// The kinds of messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+pub enum MessageBody {
     /// Asks for a vote, or (`pre`) whether one would be given.
-    Vote {
+    #[serde(rename = "Vote")]
+    RequestVote {
         /// Only whether.
-        pre: bool,
+        #[serde(rename = "pre")]
+        pre_vote: bool,
         /// The leader hands over: a vote is given although that leader was heard lately.
         #[serde(default)]
         transfer: bool,
         /// The candidate's last entry.
-        last_index: u64,
+        #[serde(rename = "last_index")]
+        last_log_index: u64,
         /// That entry's term.
-        last_term: u64,
+        #[serde(rename = "last_term")]
+        last_log_term: u64,
     },
     /// The answer to that.
-    VoteReply {
+    #[serde(rename = "VoteReply")]
+    VoteResponse {
         /// To a pre-vote.
-        pre: bool,
+        #[serde(rename = "pre")]
+        pre_vote: bool,
         /// The vote.
         granted: bool,
     },
     /// Entries that follow `prev`, and how far the log is committed; a heartbeat where there are none.
-    Append {
+    #[serde(rename = "Append")]
+    AppendEntries {
         /// The entry before them.
-        prev_index: u64,
+        #[serde(rename = "prev_index")]
+        prev_log_index: u64,
         /// Its term.
-        prev_term: u64,
+        #[serde(rename = "prev_term")]
+        prev_log_term: u64,
         /// The entries.
         entries: Vec<Entry>,
         /// The leader's commit index.
-        commit: u64,
+        #[serde(rename = "commit")]
+        leader_commit: u64,
         /// Counts the leader's rounds, to confirm reads.
-        round: u64,
+        #[serde(rename = "round")]
+        sequence: u64,
     },
     /// A piece of a snapshot, or of an entry that is too large for an append.
-    Piece(Piece),
+    #[serde(rename = "Piece")]
+    Chunk(Chunk),
     /// The answer to a piece: how many bytes of it the member has, from the first on.
-    PieceReply {
+    #[serde(rename = "PieceReply")]
+    ChunkResponse {
         /// Of what.
         transfer: TransferId,
         /// So many.
-        received: u64,
+        #[serde(rename = "received")]
+        received_bytes: u64,
     },
     /// The answer to an append, or to a transfer that is whole.
-    AppendReply {
+    #[serde(rename = "AppendReply")]
+    AppendResponse {
         /// Whether the sender takes the other for the leader; not so where it knows of a newer term.
-        ok: bool,
+        #[serde(rename = "ok")]
+        accepted: bool,
         /// With `ok`, the last entry that is known to match and that its disk has synced.
-        index: u64,
+        #[serde(rename = "index")]
+        match_index: u64,
         /// The round it answers.
-        round: u64,
+        #[serde(rename = "round")]
+        sequence: u64,
     },
     /// The answer to an append whose entries don't follow what the member has.
-    Conflict {
+    #[serde(rename = "Conflict")]
+    AppendConflict {
         /// The entry before them, which the member does not have.
-        rejected: u64,
+        #[serde(rename = "rejected")]
+        rejected_index: u64,
         /// The last entry of the member at which the logs may still be the same.
         hint: LogPosition,
         /// The round it answers.
-        round: u64,
+        #[serde(rename = "round")]
+        sequence: u64,
     },
     /// The leader hands over to this member, which has all entries: it campaigns at once.
     TimeoutNow,
     /// A member asks the leader for a confirmed commit index.
-    Read {
+    #[serde(rename = "Read")]
+    ReadIndex {
         /// The member's own mark.
         token: u64,
     },
     /// The answer: the index, or nothing where the asked one does not lead.
-    ReadReply {
+    #[serde(rename = "ReadReply")]
+    ReadIndexResponse {
         /// The mark.
         token: u64,
         /// What must be applied before the read.
         index: Option<u64>,
     },
     /// A member asks the leader how fresh what it knows is.
-    Contact {
+    #[serde(rename = "Contact")]
+    QuorumContact {
         /// The member's own mark.
         token: u64,
     },
     /// The answer; none comes from who does not lead.
-    ContactReply {
+    #[serde(rename = "ContactReply")]
+    QuorumContactResponse {
         /// The mark.
         token: u64,
         /// Milliseconds since the start of the last round that a majority has answered.
-        age: u64,
+        #[serde(rename = "age")]
+        age_ms: u64,
         /// What covers all that was acknowledged before that round.
         index: u64,
     },
@@ -248,13 +283,13 @@
 
 /// Something to be written and synced, in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Save {
-    /// To be handed back to [`Core::saved`].
-    pub seq: u64,
+pub struct PersistRequest {
+    /// To be handed back to [`RaftNode::on_persisted`].
+    pub sequence: u64,
     /// The term and the vote in it.
     pub term: u64,
     /// The vote.
-    pub vote: Option<NodeId>,
+    pub voted_for: Option<NodeId>,
     /// Entries that replace whatever the log had from the first of them on.
     pub entries: Vec<Entry>,
     /// A snapshot that replaces the whole log (it was received, not made here).
@@ -263,21 +298,21 @@
 
 /// What a disk holds, as read at a start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct PersistentState {
     /// The term.
     pub term: u64,
     /// The vote in it.
-    pub vote: Option<NodeId>,
+    pub voted_for: Option<NodeId>,
     /// The latest snapshot.
     pub snapshot: Option<Snapshot>,
     /// The entries after it, in order.
     pub entries: Vec<Entry>,
 }
 
-impl Stored {
+impl PersistentState {
     /// What a disk holds once a save is on it.
-    pub fn save(&mut self, save: Save) {
-        (self.term, self.vote) = (save.term, save.vote);
+    pub fn apply(&mut self, save: PersistRequest) {
+        (self.term, self.voted_for) = (save.term, save.voted_for);
         if let Some(snapshot) = save.snapshot {
             self.entries.clear();
             self.snapshot = Some(snapshot);
@@ -297,26 +332,26 @@
 
 /// What the host is to do.
 #[derive(Debug, Default)]
-pub struct Output {
+pub struct Ready {
     /// To write, in order.
-    pub save: Vec<Save>,
+    pub persist_requests: Vec<PersistRequest>,
     /// To send; may be lost.
-    pub send: Vec<Message>,
+    pub messages: Vec<Message>,
     /// A snapshot that replaces the host's state; comes before `committed`.
-    pub restored: Option<Snapshot>,
+    pub restored_snapshot: Option<Snapshot>,
     /// Entries to apply, in order.
-    pub committed: Vec<Entry>,
+    pub committed_entries: Vec<Entry>,
     /// Reads that ended: the token, and the index to be applied first (`None`: ask again).
-    pub reads: Vec<(u64, Option<u64>)>,
+    pub read_states: Vec<(u64, Option<u64>)>,
 }
 
 /// How the core keeps time, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// A leader says something to each member this often.
-    pub heartbeat: u64,
+    pub heartbeat_interval_ms: u64,
     /// Without a word from a leader for this long, up to twice as long, a member campaigns.
-    pub election: u64,
+    pub election_timeout_ms: u64,
 }
 
 mod bytes {
--- a/crates/raft/src/members.rs
+++ b/crates/raft/src/members.rs
@@ -18,11 +18,14 @@
 impl Members {
     /// All of them.
     pub fn all(&self) -> impl Iterator<Item = (NodeId, &str)> {
-        self.voters.iter().chain(&self.learners).map(|(id, at)| (*id, at.as_str()))
+        self.voters
+            .iter()
+            .chain(&self.learners)
+            .map(|(id, at)| (*id, at.as_str()))
     }
 
     /// Whether it is one of them.
-    pub fn has(&self, id: NodeId) -> bool {
+    pub fn contains(&self, id: NodeId) -> bool {
         self.voters.contains_key(&id) || self.learners.contains_key(&id)
     }
 
@@ -32,7 +35,7 @@
     }
 
     /// Whether those for which `yes` holds are a majority of the voters.
-    pub fn majority(&self, yes: impl Fn(NodeId) -> bool) -> bool {
+    pub fn is_majority(&self, yes: impl Fn(NodeId) -> bool) -> bool {
         self.voters.keys().filter(|id| yes(**id)).count() * 2 > self.voters.len()
     }
 
@@ -52,7 +55,7 @@
     }
 
     /// The members with a learner made a voter.
-    pub fn promoted(&self, id: NodeId) -> Self {
+    pub fn with_promoted(&self, id: NodeId) -> Self {
         let mut next = self.clone();
         if let Some(address) = next.learners.remove(&id) {
             next.voters.insert(id, address);
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -24,28 +24,28 @@
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipPolicy {
     /// A member that has answered within this time is in contact.
-    pub contact: u64,
+    pub contact_timeout_ms: u64,
     /// A voter silent for so long is removed where that makes a majority smaller or a learner is ready to
     /// replace it.
-    pub absence: u64,
+    pub voter_removal_timeout_ms: u64,
     /// A voter silent for so long is removed in any case.
-    pub long_absence: u64,
+    pub unconditional_removal_timeout_ms: u64,
     /// A learner silent for so long is removed.
-    pub learner_absence: u64,
+    pub learner_removal_timeout_ms: u64,
     /// No silent voter is removed below this number of voters, but for one whose replacement is ready or whose
     /// disk is known to be lost.
-    pub fewest_voters: usize,
+    pub min_voters: usize,
 }
 
 impl MembershipPolicy {
     /// The policy for a cluster that is to bear the loss of `tolerated` voters.
     pub fn new(timing: Timing, tolerated: usize) -> Self {
         Self {
-            contact: timing.election,
-            absence: ABSENCE * timing.election,
-            long_absence: LONG_ABSENCE * timing.election,
-            learner_absence: LEARNER_ABSENCE * timing.election,
-            fewest_voters: 2 * tolerated + 1,
+            contact_timeout_ms: timing.election_timeout_ms,
+            voter_removal_timeout_ms: ABSENCE * timing.election_timeout_ms,
+            unconditional_removal_timeout_ms: LONG_ABSENCE * timing.election_timeout_ms,
+            learner_removal_timeout_ms: LEARNER_ABSENCE * timing.election_timeout_ms,
+            min_voters: 2 * tolerated + 1,
         }
     }
 }
@@ -54,9 +54,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// The time since its last answer; since this leader first wrote to it, where it has not answered yet.
-    pub silence: u64,
+    pub silence_ms: u64,
     /// It has answered this leader.
-    pub answered: bool,
+    pub has_responded: bool,
     /// Its disk has what is committed.
     pub caught_up: bool,
 }
@@ -64,7 +64,7 @@
 impl Observation {
     /// Whether it has answered within an election time-out.
     pub fn in_contact(&self, policy: &MembershipPolicy) -> bool {
-        self.answered && self.silence <= policy.contact
+        self.has_responded && self.silence_ms <= policy.contact_timeout_ms
     }
 }
 
@@ -83,20 +83,28 @@
 impl<F: Fn(NodeId) -> Observation> MembershipView<'_, F> {
     /// The next single change, if any is due. None on the word of a minority.
     pub fn next_change(&self) -> Option<Members> {
-        if !self.members.majority(|id| self.in_contact(id)) {
+        if !self.members.is_majority(|id| self.in_contact(id)) {
             return None;
         }
         let absent = || self.superseded().or_else(|| self.absent_voter());
         let removed = absent().map(|id| self.members.without(id));
-        let promoted = || self.promotable().map(|id| self.members.promoted(id));
-        let admitted = || self.admissible().map(|(id, at)| self.members.with_learner(id, at));
+        let promoted = || self.promotable().map(|id| self.members.with_promoted(id));
+        let admitted = || {
+            self.admissible()
+                .map(|(id, at)| self.members.with_learner(id, at))
+        };
         let dropped = || self.absent_learner().map(|id| self.members.without(id));
         removed.or_else(promoted).or_else(admitted).or_else(dropped)
     }
 
     /// Voters in contact beyond a majority.
     pub fn margin(&self) -> usize {
-        let in_contact = self.members.voters.keys().filter(|id| self.in_contact(**id)).count();
+        let in_contact = self
+            .members
+            .voters
+            .keys()
+            .filter(|id| self.in_contact(**id))
+            .count();
         in_contact.saturating_sub(self.members.quorum())
     }
 
@@ -108,20 +116,25 @@
     /// A member at whose address another one has come up: its disk is lost, and it never comes back.
     fn superseded(&self) -> Option<NodeId> {
         let replaced = |(id, at): &(NodeId, &str)| {
-            self.applicants.iter().any(|(other, address)| other != id && address == at)
+            self.applicants
+                .iter()
+                .any(|(other, address)| other != id && address == at)
         };
-        let silent = |id| (self.observe)(id).silence > self.policy.contact;
-        self.members.all().find(|member| replaced(member) && silent(member.0)).map(|m| m.0)
+        let silent = |id| (self.observe)(id).silence_ms > self.policy.contact_timeout_ms;
+        self.members
+            .all()
+            .find(|member| replaced(member) && silent(member.0))
+            .map(|m| m.0)
     }
 
     /// The voter to remove for its silence: the one that has been silent for longest.
     fn absent_voter(&self) -> Option<NodeId> {
-        let silence = |id: &NodeId| (self.observe)(*id).silence;
-        let absent = |id: &&NodeId| silence(id) >= self.policy.absence;
+        let silence = |id: &NodeId| (self.observe)(*id).silence_ms;
+        let absent = |id: &&NodeId| silence(id) >= self.policy.voter_removal_timeout_ms;
         let voters = &self.members.voters;
         let absentees = voters.keys().filter(absent).count();
         let longest = voters.keys().copied().max_by_key(silence)?;
-        let may_lose = |n: usize| voters.len() >= self.policy.fewest_voters + n;
+        let may_lose = |n: usize| voters.len() >= self.policy.min_voters + n;
         let removable = if self.even() {
             // A majority of those left is one less.
             absentees >= 1 && may_lose(1)
@@ -129,7 +142,8 @@
             let replaced = absentees >= 1 && self.ready_learners().next().is_some();
             // Two removed one after the other make a majority one less.
             let two = absentees >= 2 && may_lose(2);
-            let for_good = silence(&longest) >= self.policy.long_absence && may_lose(1);
+            let for_good =
+                silence(&longest) >= self.policy.unconditional_removal_timeout_ms && may_lose(1);
             replaced || two || for_good
         };
         removable.then_some(longest)
@@ -139,7 +153,11 @@
     /// Beside an odd number it makes it larger: not while a voter is silent, which may be removed soon.
     fn promotable(&self) -> Option<NodeId> {
         let all_in_contact = || self.members.voters.keys().all(|id| self.in_contact(*id));
-        if self.even() || all_in_contact() { self.ready_learners().next() } else { None }
+        if self.even() || all_in_contact() {
+            self.ready_learners().next()
+        } else {
+            None
+        }
     }
 
     fn ready_learners(&self) -> impl Iterator<Item = NodeId> {
@@ -150,13 +168,18 @@
     /// The machine to admit as a learner.
     fn admissible(&self) -> Option<(NodeId, &str)> {
         let new = |(id, at): &(&NodeId, &String)| {
-            !self.members.has(**id) && self.members.all().all(|(_, known)| known != at.as_str())
+            !self.members.contains(**id)
+                && self.members.all().all(|(_, known)| known != at.as_str())
         };
-        self.applicants.iter().find(new).map(|(id, at)| (*id, at.as_str()))
+        self.applicants
+            .iter()
+            .find(new)
+            .map(|(id, at)| (*id, at.as_str()))
     }
 
     fn absent_learner(&self) -> Option<NodeId> {
-        let absent = |id: &NodeId| (self.observe)(*id).silence >= self.policy.learner_absence;
+        let absent =
+            |id: &NodeId| (self.observe)(*id).silence_ms >= self.policy.learner_removal_timeout_ms;
         self.members.learners.keys().copied().find(absent)
     }
 
--- a/crates/shorefront/src/main.rs
+++ b/crates/shorefront/src/main.rs
@@ -63,8 +63,12 @@
 /// Log lines go to standard error.
 fn log(form: LogForm) -> Result<(), String> {
     let levels = std::env::var(LEVELS).unwrap_or_else(|_| "info".into());
-    let levels: Targets = levels.parse().map_err(|e| format!("{LEVELS}={levels}: {e}"))?;
-    let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false);
+    let levels: Targets = levels
+        .parse()
+        .map_err(|e| format!("{LEVELS}={levels}: {e}"))?;
+    let lines = tracing_subscriber::fmt::layer()
+        .with_writer(std::io::stderr)
+        .with_ansi(false);
     let all = tracing_subscriber::registry().with(levels);
     match form {
         LogForm::Text => all.with(lines).init(),
@@ -112,7 +116,9 @@
 }
 
 fn on_this_thread<T>(work: impl Future<Output = T>) -> Result<T, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     Ok(LocalSet::new().block_on(&runtime, work))
 }
@@ -128,7 +134,7 @@
         term.recv().await;
     };
     match role {
-        Role::DataPlane => data_plane::node::run(settings, reloads, stop).await,
-        Role::Control => control_plane::run::run(settings, reloads, stop).await,
+        Role::DataPlane => data_plane::runtime::run(settings, reloads, stop).await,
+        Role::Control => control_plane::runtime::run(settings, reloads, stop).await,
     }
 }
--- a/crates/shorefront/src/operate.rs
+++ b/crates/shorefront/src/operate.rs
@@ -12,7 +12,9 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 use control_plane::configuration::validate;
-use control_plane::operator::{Bytes, Operator, Order, Response, StatusCode};
+use control_plane::operator_client::{
+    Bytes, OperatorClient, OperatorRequest, Response, StatusCode,
+};
 use protocol::config::Config;
 use protocol::settings::Settings;
 use serde_json::Value;
@@ -133,7 +135,9 @@
             let config = valid(file)?.1;
             let (routes, services) = (config.routes.len(), config.services.len());
             let (file, rev) = (file.display(), config.rev);
-            Ok(format!("{file}: good (rev {rev}, {routes} routes, {services} services)"))
+            Ok(format!(
+                "{file}: good (rev {rev}, {routes} routes, {services} services)"
+            ))
         }
         ConfigCommand::Get => {
             let (_, current) = newest(&whom.operator()?).await?;
@@ -160,14 +164,22 @@
         let settings = Settings::path().and_then(|path| Settings::read(&path));
         let settings = settings.map_err(|e| format!("{e}; or name a balancer with --at"))?;
         let mut all: Vec<SocketAddr> = settings.listen.ctl.into_iter().collect();
-        all.extend(settings.seeds.iter().filter(|seed| Some(**seed) != settings.listen.ctl));
+        all.extend(
+            settings
+                .seeds
+                .iter()
+                .filter(|seed| Some(**seed) != settings.listen.ctl),
+        );
         Ok(all)
     }
 
-    fn operator(&self) -> Result<Operator, Ended> {
+    fn operator(&self) -> Result<OperatorClient, Ended> {
         let patience = Duration::try_from_secs_f64(self.patience);
         let patience = patience.map_err(|e| format!("--patience {}: {e}", self.patience))?;
-        Ok(Operator { at: self.addresses()?, patience })
+        Ok(OperatorClient {
+            addresses: self.addresses()?,
+            timeout: patience,
+        })
     }
 
     fn shown(&self, value: &Value) -> String {
@@ -198,12 +210,18 @@
 }
 
 /// The JSON that answers an order, or why there is none.
-async fn asked(operator: &Operator, order: &Order) -> Result<Value, Ended> {
+async fn asked(operator: &OperatorClient, order: &OperatorRequest) -> Result<Value, Ended> {
     told(&answered(operator, order).await?)
 }
 
-async fn answered(operator: &Operator, order: &Order) -> Result<Response<Bytes>, Ended> {
-    operator.call(order).await.map_err(|e| Ended(UNCLEAR, e.to_string()))
+async fn answered(
+    operator: &OperatorClient,
+    order: &OperatorRequest,
+) -> Result<Response<Bytes>, Ended> {
+    operator
+        .call(order)
+        .await
+        .map_err(|e| Ended(UNCLEAR, e.to_string()))
 }
 
 fn told(answer: &Response<Bytes>) -> Result<Value, Ended> {
@@ -212,13 +230,19 @@
         return serde_json::from_str(&said).map_err(|e| Ended(UNCLEAR, format!("{said}: {e}")));
     }
     let why = serde_json::from_str::<Value>(&said).ok();
-    let why = why.as_ref().and_then(|v| v["err"].as_str()).unwrap_or(&said);
-    Err(Ended(REFUSED, format!("refused ({}): {why}", answer.status().as_u16())))
+    let why = why
+        .as_ref()
+        .and_then(|v| v["err"].as_str())
+        .unwrap_or(&said);
+    Err(Ended(
+        REFUSED,
+        format!("refused ({}): {why}", answer.status().as_u16()),
+    ))
 }
 
 /// The current version and configuration; version 0 while there is none.
-async fn newest(operator: &Operator) -> Result<(u64, Option<Value>), Ended> {
-    let answer = answered(operator, &Order::get("/-/Config.Read")).await?;
+async fn newest(operator: &OperatorClient) -> Result<(u64, Option<Value>), Ended> {
+    let answer = answered(operator, &OperatorRequest::get("/-/Config.Read")).await?;
     if answer.status() == StatusCode::NOT_FOUND {
         return Ok((0, None));
     }
@@ -234,7 +258,11 @@
         Some(base) => base,
         None => newest(&operator).await?.0,
     };
-    let taken = asked(&operator, &Order::post(path, Some(base), body.into())).await?;
+    let taken = asked(
+        &operator,
+        &OperatorRequest::post(path, Some(base), body.into()),
+    )
+    .await?;
     Ok(match whom.output {
         Form::Table => format!("version {} is in force, on top of {base}", taken["rev"]),
         Form::Json => taken.to_string(),
@@ -246,12 +274,15 @@
         DrainCommand::Begin { zone } => ("Begin", zone),
         DrainCommand::Finish { zone } => ("Finish", zone),
     };
-    let order = Order::post(&format!("/-/Drain.{call}/{zone}"), None, Default::default());
+    let order = OperatorRequest::post(&format!("/-/Drain.{call}/{zone}"), None, Default::default());
     let taken = asked(&whom.operator()?, &order).await?;
     Ok(match whom.output {
         Form::Table => match taken["evacuations"].as_u64() {
             Some(0) => format!("zone {zone} is not evacuated"),
-            holds => format!("zone {zone} is evacuated ({} times)", holds.unwrap_or_default()),
+            holds => format!(
+                "zone {zone} is evacuated ({} times)",
+                holds.unwrap_or_default()
+            ),
         },
         Form::Json => taken.to_string(),
     })
@@ -302,7 +333,10 @@
         }
     }
     if current["limits"] != next["limits"] {
-        lines.push(format!("~ limits: {}", fields(&current["limits"], &next["limits"])));
+        lines.push(format!(
+            "~ limits: {}",
+            fields(&current["limits"], &next["limits"])
+        ));
     }
     lines
 }
@@ -310,7 +344,9 @@
 /// The fields in which two items differ.
 fn fields(old: &Value, new: &Value) -> String {
     let names = |v: &Value| -> Vec<String> {
-        v.as_object().map(|o| o.keys().cloned().collect()).unwrap_or_default()
+        v.as_object()
+            .map(|o| o.keys().cloned().collect())
+            .unwrap_or_default()
     };
     let mut all = names(old);
     all.extend(names(new).into_iter().filter(|n| old.get(n).is_none()));
--- a/crates/shorefront/src/operate/status.rs
+++ b/crates/shorefront/src/operate/status.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use control_plane::operator::{Operator, Order};
+use control_plane::operator_client::{OperatorClient, OperatorRequest};
 use serde_json::Value;
 
 use super::{Ended, Form, UNCLEAR, Whom, asked, table, word};
@@ -12,7 +12,10 @@
 /// What one control balancer each says; balancers and zones as the first that answers sees them.
 pub(super) async fn run(whom: &Whom) -> Result<String, Ended> {
     let (mut all, mut silent) = (Vec::new(), Vec::new());
-    let Operator { at: addresses, patience } = whom.operator()?;
+    let OperatorClient {
+        addresses,
+        timeout: patience,
+    } = whom.operator()?;
     for at in &addresses {
         match status_of(*at, patience).await {
             Ok(said) => all.push(said),
@@ -25,13 +28,20 @@
         all.push(said);
     }
     let Some(first) = all.first() else {
-        let why: Vec<_> = silent.iter().map(|(at, why)| format!("{at}: {why}")).collect();
+        let why: Vec<_> = silent
+            .iter()
+            .map(|(at, why)| format!("{at}: {why}"))
+            .collect();
         return Err(Ended(UNCLEAR, why.join("; ")));
     };
     if matches!(whom.output, Form::Json) {
         return Ok(Value::Array(all).to_string());
     }
-    let newest = all.iter().filter_map(|s| s["commit"].as_u64()).max().unwrap_or(0);
+    let newest = all
+        .iter()
+        .filter_map(|s| s["commit"].as_u64())
+        .max()
+        .unwrap_or(0);
     let mut rows = vec![["CONTROL", "ROLE", "TERM", "COMMIT", "BEHIND", "REV"].map(String::from)];
     for s in &all {
         let behind = newest - s["commit"].as_u64().unwrap_or(0);
@@ -69,13 +79,25 @@
             (_, Some(true)) => "ready",
             _ => "not ready",
         };
-        rows.push([word(&b["node"]), word(&b["zone"]), word(&b["http"]), state.into()]);
+        rows.push([
+            word(&b["node"]),
+            word(&b["zone"]),
+            word(&b["http"]),
+            state.into(),
+        ]);
     }
     Ok(shown + "\n" + &table(&rows))
 }
 
 async fn status_of(at: SocketAddr, patience: Duration) -> Result<Value, Ended> {
-    asked(&Operator { at: vec![at], patience }, &Order::get("/-/Status")).await
+    asked(
+        &OperatorClient {
+            addresses: vec![at],
+            timeout: patience,
+        },
+        &OperatorRequest::get("/-/Status"),
+    )
+    .await
 }
 
 /// The `ctl` address of the leader that was named, where no leader has answered: only it knows how each member
@@ -84,7 +106,9 @@
     if answers.iter().any(|s| !s["members"].is_null()) {
         return None;
     }
-    let leader = answers.iter().find_map(|s| s["leader"].as_str()?.parse::<SocketAddr>().ok())?;
+    let leader = answers
+        .iter()
+        .find_map(|s| s["leader"].as_str()?.parse::<SocketAddr>().ok())?;
     Some(SocketAddr::new(leader.ip(), asked.first()?.port()))
 }
 
@@ -92,8 +116,10 @@
 fn log_members(status: &Value) -> String {
     let mut shown = String::new();
     let Some(members) = status["members"].as_array() else {
-        let list =
-            |v: &Value| v.as_array().map(|l| l.iter().map(word).collect::<Vec<_>>().join(" "));
+        let list = |v: &Value| {
+            v.as_array()
+                .map(|l| l.iter().map(word).collect::<Vec<_>>().join(" "))
+        };
         let _ = writeln!(
             shown,
             "leader {}; voters {}; learners {}; the leader was not asked: how they stand is not known",
@@ -107,7 +133,11 @@
     let _ = writeln!(shown, "leader {leader}; {borne} more voters can be lost");
     let mut rows = vec![["MEMBER", "KIND", "CONTACT", "SILENT MS", "BEHIND"].map(String::from)];
     for m in members {
-        let kind = if m["voter"] == true { "voter" } else { "learner" };
+        let kind = if m["voter"] == true {
+            "voter"
+        } else {
+            "learner"
+        };
         let contact = if m["in_contact"] == true { "yes" } else { "NO" };
         rows.push([
             word(&m["address"]),
@@ -142,7 +172,10 @@
             json!({"address": address, "voter": voter, "in_contact": in_contact,
                 "silence_ms": silence_ms, "behind": 3})
         };
-        let members = [member("a:1", true, true, 20), member("b:1", false, false, 7000)];
+        let members = [
+            member("a:1", true, true, 20),
+            member("b:1", false, false, 7000),
+        ];
         let leading = json!({"leader": "a:1", "losses_borne": 1, "members": members});
         let shown = log_members(&leading);
         assert_eq!(
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -5,9 +5,9 @@
 //! the same run, event by event, so a failure replays from its seed, and [`shrink`] drops faults from it for
 //! as long as it still fails and prints what is left as a test.
 //!
-//! What is real: [`raft::Core`], the replicated state of orders
-//! ([`control_plane::configuration::Agreed`]) and the orders of the store
-//! ([`control_plane::store::Order`]). What is modelled: the clock, the network, the disk with its
+//! What is real: [`raft::RaftNode`], the replicated state of orders
+//! ([`control_plane::configuration::ReplicatedState`]) and the orders of the store
+//! ([`control_plane::store::OperatorRequest`]). What is modelled: the clock, the network, the disk with its
 //! transactions, and the host between them. The test `cells` drives the real host on paused time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use oorandom::Rand64;
-use raft::{Body, Message, Payload};
+use raft::{Message, MessageBody, Payload};
 
 /// A message takes at least and at most so long.
 const FASTEST: u64 = 1;
@@ -56,7 +56,14 @@
 
     /// Makes a machine's links narrow.
     pub fn narrow(&mut self, machine: usize, bytes_per_second: u64, until: u64) {
-        self.narrow.insert(machine, Narrow { bytes_per_second, until, free_at: 0 });
+        self.narrow.insert(
+            machine,
+            Narrow {
+                bytes_per_second,
+                until,
+                free_at: 0,
+            },
+        );
     }
 
     /// Loses and doubles so many of a hundred.
@@ -124,8 +131,10 @@
     };
     FRAME
         + match &message.body {
-            Body::Append { entries, .. } => entries.iter().map(|e| data(&e.payload)).sum(),
-            Body::Piece(piece) => piece.bytes.len() as u64,
+            MessageBody::AppendEntries { entries, .. } => {
+                entries.iter().map(|e| data(&e.payload)).sum()
+            }
+            MessageBody::Chunk(piece) => piece.bytes.len() as u64,
             _ => 0,
         }
 }
