--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,6 +1,6 @@
 //! One balancer of the bank and the names its handles stand for.
 
-use load_balancing::interface::{self as d, Action, Event, Report, RequestId, ServerId, Time};
+use load_balancing::interface::{self as d, Action, Event, LoadReport, RequestId, ServerId, Time};
 use load_balancing::policy::Balancer;
 use load_balancing::settings::{Field, key_hash, span, stable_hash};
 use rustc_hash::FxHashMap;
@@ -33,7 +33,7 @@
     jobs: FxHashMap<u64, Job>,
     next_job: u64,
     actions: Vec<Action>,
-    members: Vec<d::Member>,
+    members: Vec<d::Endpoint>,
 }
 
 impl Instance {
@@ -43,7 +43,12 @@
             who: init.who,
             balancer: Balancer::new(facts.settings(), init.entropy, now)?,
             classes: facts.services.len(),
-            fields: facts.stats.names.iter().map(|name| Field::named(name)).collect(),
+            fields: facts
+                .stats
+                .names
+                .iter()
+                .map(|name| Field::named(name))
+                .collect(),
             servers: FxHashMap::default(),
             server_names: Vec::new(),
             by_name: FxHashMap::default(),
@@ -62,14 +67,21 @@
         let request = d::Request {
             tenant: m.party,
             key: key.map(key_hash),
-            cost_guess: m.cost_guess.map(span),
-            resent: m.resent,
-            write: m.write,
+            estimated_work: m.cost_guess.map(span),
+            is_client_retry: m.resent,
+            is_write: m.write,
             ..d::Request::new(RequestId(self.next_job), m.tier_class, time(m.drop_dead))
         };
         let name: Box<str> = m.job.as_ref().into();
         self.by_name.insert(name.clone(), self.next_job);
-        self.jobs.insert(self.next_job, Job { name, out: 0, over: false });
+        self.jobs.insert(
+            self.next_job,
+            Job {
+                name,
+                out: 0,
+                over: false,
+            },
+        );
         self.next_job += 1;
         self.tell(now, Event::Request(request), out);
         Ok(())
@@ -82,12 +94,13 @@
         out: &mut Vec<u8>,
     ) -> Result<(), String> {
         let outcome = outcome(m.rc)?;
-        let (Some(&handle), Some(&server)) =
-            (self.by_name.get(m.job.as_ref()), self.servers.get(m.upstream.as_ref()))
-        else {
+        let (Some(&handle), Some(&server)) = (
+            self.by_name.get(m.job.as_ref()),
+            self.servers.get(m.upstream.as_ref()),
+        ) else {
             return Ok(());
         };
-        let answer = d::Answer {
+        let answer = d::AttemptResult {
             request: RequestId(handle),
             attempt: m.go,
             server,
@@ -96,7 +109,8 @@
             last: m.last,
             report: self.report(m.metrics.as_ref()),
         };
-        self.balancer.handle(now, Event::Answered(answer), &mut self.actions);
+        self.balancer
+            .handle(now, Event::AttemptEnded(answer), &mut self.actions);
         if let Some(job) = self.jobs.get_mut(&handle) {
             job.out = job.out.saturating_sub(1);
             job.over |= m.last;
@@ -107,27 +121,46 @@
     }
 
     pub fn left(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
-        let Some(&handle) = self.by_name.get(job) else { return };
-        self.balancer.handle(now, Event::Left(RequestId(handle)), &mut self.actions);
+        let Some(&handle) = self.by_name.get(job) else {
+            return;
+        };
+        self.balancer.handle(
+            now,
+            Event::ClientDisconnected(RequestId(handle)),
+            &mut self.actions,
+        );
         self.jobs.entry(handle).and_modify(|j| j.over = true);
         self.flush(out);
         self.forget(handle);
     }
 
     pub fn established(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
-        let Some(&handle) = self.by_name.get(job) else { return };
-        self.tell(now, Event::Started(RequestId(handle)), out);
+        let Some(&handle) = self.by_name.get(job) else {
+            return;
+        };
+        self.tell(now, Event::ResponseStarted(RequestId(handle)), out);
     }
 
     pub fn timer(&mut self, now: Time, token: u64, out: &mut Vec<u8>) {
-        self.tell(now, Event::Timer(token), out);
+        self.tell(now, Event::TimerFired(token), out);
     }
 
     pub fn sampled(&mut self, now: Time, m: &wire::Sampled, out: &mut Vec<u8>) {
-        let Some(&server) = self.servers.get(m.upstream.as_ref()) else { return };
+        let Some(&server) = self.servers.get(m.upstream.as_ref()) else {
+            return;
+        };
         let (ok, latency) = (m.rc == 200, span(m.latency));
         let report = self.report(m.metrics.as_ref());
-        self.tell(now, Event::Probed { server, ok, latency, report }, out);
+        self.tell(
+            now,
+            Event::ProbeEnded {
+                server,
+                ok,
+                latency,
+                report,
+            },
+            out,
+        );
     }
 
     pub fn membership(&mut self, now: Time, m: &wire::Membership, out: &mut Vec<u8>) {
@@ -135,16 +168,23 @@
         members.clear();
         members.extend(m.lines.iter().map(|line| self.member(line)));
         let kind = match m.kind {
-            wire::ListKind::Update => d::ListKind::Update,
-            wire::ListKind::Replace => d::ListKind::Whole,
-            wire::ListKind::Restored => d::ListKind::Restored,
-            wire::ListKind::Unavailable => d::ListKind::Unavailable,
+            wire::ListKind::Update => d::MembershipKind::Update,
+            wire::ListKind::Replace => d::MembershipKind::Complete,
+            wire::ListKind::Restored => d::MembershipKind::Restored,
+            wire::ListKind::Unavailable => d::MembershipKind::Unavailable,
         };
-        self.tell(now, Event::Members { kind, list: &members }, out);
+        self.tell(
+            now,
+            Event::Membership {
+                kind,
+                list: &members,
+            },
+            out,
+        );
         self.members = members;
     }
 
-    fn member(&mut self, line: &wire::Line) -> d::Member {
+    fn member(&mut self, line: &wire::Line) -> d::Endpoint {
         let name = line.upstream.as_ref();
         let id = self.servers.get(name).copied().unwrap_or_else(|| {
             let id = ServerId(self.server_names.len() as u32);
@@ -152,7 +192,7 @@
             self.servers.insert(name.into(), id);
             id
         });
-        d::Member {
+        d::Endpoint {
             id,
             identity: stable_hash(name),
             zone: line.az,
@@ -174,8 +214,8 @@
         self.flush(out);
     }
 
-    fn report(&self, row: Option<&wire::Row>) -> Report {
-        let mut report = Report::default();
+    fn report(&self, row: Option<&wire::Row>) -> LoadReport {
+        let mut report = LoadReport::default();
         for (field, &value) in self.fields.iter().zip(row.into_iter().flatten()) {
             field.set(&mut report, value);
         }
@@ -188,32 +228,82 @@
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { request, server, timeout } => {
-                    let Some(job) = self.jobs.get_mut(&request.0) else { continue };
+                Action::Send {
+                    request,
+                    server,
+                    timeout,
+                } => {
+                    let Some(job) = self.jobs.get_mut(&request.0) else {
+                        continue;
+                    };
                     job.out += 1;
                     let upstream = &self.server_names[server.0 as usize];
                     let allow_for = ms(timeout.0);
-                    write(out, &Command::Relay { who, job: &job.name, upstream, allow_for });
+                    write(
+                        out,
+                        &Command::Relay {
+                            who,
+                            job: &job.name,
+                            upstream,
+                            allow_for,
+                        },
+                    );
                 }
-                Action::Refuse { request, retry_after } => {
-                    let Some(job) = self.jobs.get_mut(&request.0) else { continue };
+                Action::Reject {
+                    request,
+                    retry_after,
+                } => {
+                    let Some(job) = self.jobs.get_mut(&request.0) else {
+                        continue;
+                    };
                     job.over = true;
                     let cool_down = ms(retry_after.0);
-                    write(out, &Command::NotNow { who, job: &job.name, cool_down });
+                    write(
+                        out,
+                        &Command::NotNow {
+                            who,
+                            job: &job.name,
+                            cool_down,
+                        },
+                    );
                     self.forget(request.0);
                 }
                 Action::Fail { request } => {
-                    let Some(job) = self.jobs.get_mut(&request.0) else { continue };
+                    let Some(job) = self.jobs.get_mut(&request.0) else {
+                        continue;
+                    };
                     job.over = true;
-                    write(out, &Command::FinishError { who, job: &job.name });
+                    write(
+                        out,
+                        &Command::FinishError {
+                            who,
+                            job: &job.name,
+                        },
+                    );
                     self.forget(request.0);
                 }
                 Action::Cancel { request, attempt } => {
-                    let Some(job) = self.jobs.get(&request.0) else { continue };
-                    write(out, &Command::Retract { who, job: &job.name, go: attempt });
+                    let Some(job) = self.jobs.get(&request.0) else {
+                        continue;
+                    };
+                    write(
+                        out,
+                        &Command::Retract {
+                            who,
+                            job: &job.name,
+                            go: attempt,
+                        },
+                    );
                 }
-                Action::Arm { token, at } => {
-                    write(out, &Command::Arm { who, token, instant: ms(at.0) });
+                Action::SetTimer { token, at } => {
+                    write(
+                        out,
+                        &Command::Arm {
+                            who,
+                            token,
+                            instant: ms(at.0),
+                        },
+                    );
                 }
                 Action::Probe { server } => {
                     let upstream = &self.server_names[server.0 as usize];
@@ -245,16 +335,16 @@
     out.push(b',');
 }
 
-fn outcome(rc: u16) -> Result<d::Outcome, String> {
+fn outcome(rc: u16) -> Result<d::AttemptOutcome, String> {
     Ok(match rc {
-        200 => d::Outcome::Ok,
-        500 => d::Outcome::Error,
-        503 => d::Outcome::Full,
-        504 => d::Outcome::Timeout,
-        502 => d::Outcome::ConnectFailed,
-        598 => d::Outcome::Reset,
-        499 => d::Outcome::Cancelled,
-        410 => d::Outcome::Moot,
+        200 => d::AttemptOutcome::Ok,
+        500 => d::AttemptOutcome::Error,
+        503 => d::AttemptOutcome::Rejected,
+        504 => d::AttemptOutcome::Timeout,
+        502 => d::AttemptOutcome::ConnectFailed,
+        598 => d::AttemptOutcome::Reset,
+        499 => d::AttemptOutcome::Cancelled,
+        410 => d::AttemptOutcome::NotIssued,
         _ => return Err(format!("field `Rc`: no outcome {rc}")),
     })
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -114,7 +114,9 @@
         Event::Memo(m) => m.who,
     };
     // An instance that is down, or was never started, hears nothing.
-    let Some(instance) = instances.get_mut(&who) else { return Ok(()) };
+    let Some(instance) = instances.get_mut(&who) else {
+        return Ok(());
+    };
     match event {
         Event::Order(m) => instance.order(now, m, reply)?,
         Event::Result(m) => instance.result(now, m, reply)?,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use std::borrow::Cow;
 
 use arrayvec::ArrayVec;
-use load_balancing::settings::Facts;
+use load_balancing::settings::SiteSettings;
 use serde::{Deserialize, Serialize};
 
 pub type Text<'a> = Cow<'a, str>;
@@ -182,15 +182,24 @@
 pub struct Init {
     pub who: u64,
     pub entropy: u64,
-    pub facts: Facts,
+    pub facts: SiteSettings,
 }
 
 #[derive(Serialize)]
 pub enum Command<'a> {
     #[serde(rename_all = "PascalCase")]
-    Relay { who: u64, job: &'a str, upstream: &'a str, allow_for: f64 },
+    Relay {
+        who: u64,
+        job: &'a str,
+        upstream: &'a str,
+        allow_for: f64,
+    },
     #[serde(rename_all = "PascalCase")]
-    NotNow { who: u64, job: &'a str, cool_down: f64 },
+    NotNow {
+        who: u64,
+        job: &'a str,
+        cool_down: f64,
+    },
     #[serde(rename_all = "PascalCase")]
     FinishError { who: u64, job: &'a str },
     #[serde(rename_all = "PascalCase")]
--- a/crates/standalone-proxy/src/api.rs
+++ b/crates/standalone-proxy/src/api.rs
@@ -4,11 +4,14 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use data_plane::bodies::Allowance;
-use data_plane::engine::{Arrival, Handle, Reply};
-use data_plane::front::Gate;
-use data_plane::heads::{Answer, bare, malformed, onward, passed_on, refusal};
-use data_plane::upstreams::Forward;
+use data_plane::body::BodyBudget;
+use data_plane::engine::{EngineHandle, EngineReply, IncomingRequest};
+use data_plane::headers::{
+    ClientResponse, bad_request, empty_response, forward_request_headers, forward_response,
+    retry_later,
+};
+use data_plane::listener::RequestHandler;
+use data_plane::upstream_pool::ForwardedRequest;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{
@@ -16,8 +19,8 @@
 };
 use hyper::http::request::Parts;
 use hyper::{Method, Request, StatusCode};
-use load_balancing::interface::{Class, Effect, Span};
-use load_balancing::settings::{Facts, key_hash};
+use load_balancing::interface::{Effect, RequestClass, Span};
+use load_balancing::settings::{SiteSettings, key_hash};
 use rustc_hash::FxHashSet;
 use tokio::time::{Instant, timeout};
 
@@ -32,8 +35,10 @@
 /// Bodies that are read or held may take this part of the memory together.
 const BODIES_OF_MEMORY: usize = 8;
 /// What an upstream says to the balancer only.
-const INTERNAL: [HeaderName; 2] =
-    [HeaderName::from_static("x-load"), HeaderName::from_static("x-not-run")];
+const INTERNAL: [HeaderName; 2] = [
+    HeaderName::from_static("x-load"),
+    HeaderName::from_static("x-not-run"),
+];
 
 /// Headers that mean nothing when they come twice.
 const ONCE: [&str; 7] = [
@@ -47,12 +52,12 @@
 ];
 
 pub struct Api {
-    engine: Handle,
-    facts: Facts,
+    engine: EngineHandle,
+    facts: SiteSettings,
     effects: Vec<Effect>,
     deadlines: Vec<Duration>,
     open_ids: RefCell<FxHashSet<HeaderValue>>,
-    bodies: Allowance,
+    bodies: BodyBudget,
 }
 
 /// The id of a request that is open, for as long as it is.
@@ -68,16 +73,16 @@
 }
 
 impl Api {
-    pub fn new(config: &Config, engine: Handle) -> Self {
+    pub fn new(config: &Config, engine: EngineHandle) -> Self {
         let settings = config.facts.settings();
-        let deadline = |c: &Class| Duration::from_micros(c.deadline.0.max(0) as u64);
+        let deadline = |c: &RequestClass| Duration::from_micros(c.deadline.0.max(0) as u64);
         Self {
             engine,
             facts: config.facts.clone(),
             effects: settings.classes.iter().map(|c| c.effect).collect(),
             deadlines: settings.classes.iter().map(deadline).collect(),
             open_ids: RefCell::default(),
-            bodies: Allowance::new(config.memory / BODIES_OF_MEMORY),
+            bodies: BodyBudget::new(config.memory / BODIES_OF_MEMORY),
         }
     }
 
@@ -86,49 +91,58 @@
         self.deadlines.iter().max().copied().unwrap_or_default()
     }
 
-    async fn api(&self, request: Request<Incoming>, arrived: Instant) -> Answer {
+    async fn api(&self, request: Request<Incoming>, arrived: Instant) -> ClientResponse {
         let (head, body) = request.into_parts();
         if let Err(what) = framed(&head) {
-            return malformed(what);
+            return bad_request(what);
         }
         // With no transfer coding the length is known ahead.
         let length = body.size_hint().exact().unwrap_or(u64::MAX);
         if length > BODY_LIMIT as u64 {
-            return bare(StatusCode::PAYLOAD_TOO_LARGE);
+            return empty_response(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let Some(_room) = self.bodies.room(length as usize) else {
-            return bare(StatusCode::SERVICE_UNAVAILABLE);
+        let Some(_room) = self.bodies.reserve(length as usize) else {
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         };
         let body = match timeout(BODY_TIME, body.collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(_)) => return malformed("body"),
-            Err(_) => return bare(StatusCode::REQUEST_TIMEOUT),
+            Ok(Err(_)) => return bad_request("body"),
+            Err(_) => return empty_response(StatusCode::REQUEST_TIMEOUT),
         };
         // Two requests of one id could not be told apart at an upstream.
-        let Some(_open) = head.headers.get("x-request-id").and_then(|id| self.open_id(id)) else {
-            return bare(StatusCode::CONFLICT);
+        let Some(_open) = head
+            .headers
+            .get("x-request-id")
+            .and_then(|id| self.open_id(id))
+        else {
+            return empty_response(StatusCode::CONFLICT);
         };
         let arrival = match self.arrival(&head, &body, arrived) {
             Ok(arrival) => arrival,
-            Err(what) => return malformed(what),
+            Err(what) => return bad_request(what),
         };
-        let forward = Forward {
+        let forward = ForwardedRequest {
             method: head.method,
             uri: head.uri,
-            headers: onward(head.headers, body.len()),
+            headers: forward_request_headers(head.headers, body.len()),
             body,
         };
         match self.engine.ask(0, arrival, forward).await {
-            Reply::Served(response) => passed_on(response, &INTERNAL),
-            Reply::Refused { retry_after } => refusal(StatusCode::SERVICE_UNAVAILABLE, retry_after),
-            Reply::Failed { late: true } => bare(StatusCode::GATEWAY_TIMEOUT),
-            Reply::Failed { late: false } => bare(StatusCode::BAD_GATEWAY),
+            EngineReply::Served(response) => forward_response(response, &INTERNAL),
+            EngineReply::Refused { retry_after } => {
+                retry_later(StatusCode::SERVICE_UNAVAILABLE, retry_after)
+            }
+            EngineReply::Failed { late: true } => empty_response(StatusCode::GATEWAY_TIMEOUT),
+            EngineReply::Failed { late: false } => empty_response(StatusCode::BAD_GATEWAY),
         }
     }
 
     fn open_id(&self, id: &HeaderValue) -> Option<OpenId<'_>> {
         let new = self.open_ids.borrow_mut().insert(id.clone());
-        new.then(|| OpenId { ids: &self.open_ids, id: id.clone() })
+        new.then(|| OpenId {
+            ids: &self.open_ids,
+            id: id.clone(),
+        })
     }
 
     /// Reads what the module needs to know; the error names what is wrong.
@@ -137,10 +151,15 @@
         head: &Parts,
         body: &Bytes,
         arrived: Instant,
-    ) -> Result<Arrival, &'static str> {
+    ) -> Result<IncomingRequest, &'static str> {
         let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
         let class = text("x-class").ok_or("X-Class")?;
-        let class = self.facts.services.iter().position(|s| s.name == class).ok_or("X-Class")?;
+        let class = self
+            .facts
+            .services
+            .iter()
+            .position(|s| s.name == class)
+            .ok_or("X-Class")?;
         let key = head.headers.get("idempotency-key");
         let fits = match self.effects[class] {
             Effect::Safe => head.method == Method::GET && body.is_empty(),
@@ -151,7 +170,9 @@
             return Err("method");
         }
         let deadline = text("x-deadline-ms").filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
-        let deadline = deadline.and_then(|v| v.parse::<u64>().ok()).filter(|ms| *ms > 0);
+        let deadline = deadline
+            .and_then(|v| v.parse::<u64>().ok())
+            .filter(|ms| *ms > 0);
         // No client waits longer than its class's deadline, whatever it says.
         let deadline =
             Duration::from_millis(deadline.ok_or("X-Deadline-Ms")?).min(self.deadlines[class]);
@@ -159,35 +180,52 @@
             0
         } else {
             let name = text("x-tenant").unwrap_or_default();
-            self.facts.tenants.iter().position(|t| t.name == name).ok_or("X-Tenant")?
+            self.facts
+                .tenants
+                .iter()
+                .position(|t| t.name == name)
+                .ok_or("X-Tenant")?
         };
         let hint = text("x-cost-hint").and_then(|v| v.trim().parse::<f64>().ok());
-        Ok(Arrival {
+        Ok(IncomingRequest {
             class,
             tenant,
             shard: None,
             key: cookie(&head.headers, "sid").map(key_hash),
             until: arrived + deadline,
-            cost_guess: hint.filter(|us| us.is_finite() && *us > 0.0).map(|us| Span(us as i64)),
+            cost_guess: hint
+                .filter(|us| us.is_finite() && *us > 0.0)
+                .map(|us| Span(us as i64)),
             resent: text("x-retry").is_some_and(|v| v == "1"),
         })
     }
 }
 
-impl Gate for Api {
-    async fn answer(&self, request: Request<Incoming>, arrived: Instant, stopping: bool) -> Answer {
+impl RequestHandler for Api {
+    async fn answer(
+        &self,
+        request: Request<Incoming>,
+        arrived: Instant,
+        stopping: bool,
+    ) -> ClientResponse {
         let path = request.uri().path();
         let mut answer = if path == "/-/ready" {
             let ready = self.engine.ready() && !stopping;
-            bare(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+            empty_response(if ready {
+                StatusCode::OK
+            } else {
+                StatusCode::SERVICE_UNAVAILABLE
+            })
         } else if path == "/api" || path.starts_with("/api/") {
             self.api(request, arrived).await
         } else {
-            bare(StatusCode::NOT_FOUND)
+            empty_response(StatusCode::NOT_FOUND)
         };
         // What follows on the connection of a client whose request makes no sense makes none either.
         if answer.status().is_client_error() {
-            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            answer
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer
     }
@@ -213,11 +251,20 @@
         return Err("headers");
     }
     let id = head.headers.get("x-request-id").map_or(0, HeaderValue::len);
-    if (1..=ID_LIMIT).contains(&id) { Ok(()) } else { Err("X-Request-Id") }
+    if (1..=ID_LIMIT).contains(&id) {
+        Ok(())
+    } else {
+        Err("X-Request-Id")
+    }
 }
 
 fn cookie<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
-    let lines = headers.get_all(COOKIE).iter().filter_map(|v| v.to_str().ok());
-    let mut pairs = lines.flat_map(|l| l.split(';')).filter_map(|p| p.trim().split_once('='));
+    let lines = headers
+        .get_all(COOKIE)
+        .iter()
+        .filter_map(|v| v.to_str().ok());
+    let mut pairs = lines
+        .flat_map(|l| l.split(';'))
+        .filter_map(|p| p.trim().split_once('='));
     pairs.find(|(n, _)| *n == name).map(|(_, value)| value)
 }
--- a/crates/standalone-proxy/src/config.rs
+++ b/crates/standalone-proxy/src/config.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use data_plane::connections::Times;
-use data_plane::front::Bounds;
-use data_plane::upstreams::{Dialect, Load, Terms};
+use data_plane::client_connections::ClientTimeouts;
+use data_plane::listener::ListenerLimits;
+use data_plane::upstream_pool::{LoadReportFormat, PoolConfig, UpstreamProtocol};
 use hyper::StatusCode;
 use hyper::header::HeaderName;
-use load_balancing::settings::{Facts, Field};
+use load_balancing::settings::{Field, SiteSettings};
 use serde::Deserialize;
 
 use crate::discovery::List;
@@ -38,7 +38,11 @@
     #[error("{0}: {1}")]
     Unreadable(String, std::io::Error),
     #[error("{path}: field `{field}`: {cause}")]
-    Malformed { path: String, field: String, cause: String },
+    Malformed {
+        path: String,
+        field: String,
+        cause: String,
+    },
     #[error("{name} is not an address: {value:?}")]
     BadAddress { name: &'static str, value: String },
     #[error("the limit of {0} sockets leaves no room to serve")]
@@ -60,7 +64,7 @@
     limits: FileLimits,
     #[serde(default)]
     known: List,
-    settings: Facts,
+    settings: SiteSettings,
 }
 
 #[derive(Deserialize, Default)]
@@ -78,7 +82,7 @@
     /// In bytes.
     pub memory: usize,
     pub known: List,
-    pub facts: Facts,
+    pub facts: SiteSettings,
 }
 
 impl Config {
@@ -90,11 +94,17 @@
         let mut reader = serde_json::Deserializer::from_slice(&text);
         let file: File = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
             let field = e.path().to_string();
-            ConfigError::Malformed { path, field, cause: e.into_inner().to_string() }
+            ConfigError::Malformed {
+                path,
+                field,
+                cause: e.into_inner().to_string(),
+            }
         })?;
         let say = |name: &str, file: String| std::env::var(name).unwrap_or(file);
         let address = |name: &'static str, value: String| {
-            value.parse().map_err(|_| ConfigError::BadAddress { name, value })
+            value
+                .parse()
+                .map_err(|_| ConfigError::BadAddress { name, value })
         };
         let discovery = Some(file.discovery).filter(|d| !d.is_empty());
         let discovery = discovery.unwrap_or_else(|| say("LB_DISCOVERY", String::new()));
@@ -123,32 +133,35 @@
 
     /// Clients open a third of the descriptors at most for requests; a part of that is kept free for those
     /// that have something to ask. What was taken last before the end has its whole deadline.
-    pub fn bounds(&self, longest: Duration) -> Bounds {
-        Bounds {
-            most: self.half(),
-            at_ease: self.sockets / 4,
-            head: HEAD_LIMIT,
-            times: Times { head: HEAD_TIME, idle: IDLE },
-            linger: LINGER,
-            finish: longest,
+    pub fn bounds(&self, longest: Duration) -> ListenerLimits {
+        ListenerLimits {
+            max_connections: self.half(),
+            idle_eviction_threshold: self.sockets / 4,
+            max_header_bytes: HEAD_LIMIT,
+            timeouts: ClientTimeouts {
+                head: HEAD_TIME,
+                idle: IDLE,
+            },
+            accept_grace: LINGER,
+            drain_timeout: longest,
             // A request that began later would not have its whole deadline.
-            last_word: Duration::ZERO,
+            final_request_wait: Duration::ZERO,
         }
     }
 
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> PoolConfig {
         let limits = &self.facts.policy_limits;
         let ms = |ms: f64, default: f64| {
             let ms = if ms > 0.0 && ms < 1e7 { ms } else { default };
             Duration::from_secs_f64(ms / 1000.0)
         };
         let names = self.facts.stats.names.iter();
-        Terms {
-            most: self.half(),
+        PoolConfig {
+            max_connections: self.half(),
             keepalive: ms(limits.keepalive, 5000.0),
             connect_timeout: ms(limits.connect_timeout, 250.0),
-            answers: self.memory / ANSWERS_OF_MEMORY,
-            dialect: Dialect {
+            max_response_bytes: self.memory / ANSWERS_OF_MEMORY,
+            protocol: UpstreamProtocol {
                 deadline: HeaderName::from_static("x-deadline-ms"),
                 target: None,
                 not_run: HeaderName::from_static("x-not-run"),
@@ -157,7 +170,9 @@
                 seal: None,
                 served: |status| status == StatusCode::OK,
                 passes_errors: false,
-                load: Load::Named(names.map(|n| (n.clone(), Field::named(n))).collect()),
+                load: LoadReportFormat::Named(
+                    names.map(|n| (n.clone(), Field::named(n))).collect(),
+                ),
             },
         }
     }
--- a/crates/standalone-proxy/src/discovery.rs
+++ b/crates/standalone-proxy/src/discovery.rs
@@ -4,13 +4,13 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::{Bytes, BytesMut};
-use data_plane::engine::{Note, Upstream};
-use data_plane::upstreams::AbortOnDrop;
+use data_plane::engine::{EngineEvent, ListedUpstream};
+use data_plane::upstream_pool::AbortOnDrop;
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
 use hyper::header::HOST;
 use hyper_util::rt::TokioIo;
-use load_balancing::interface::{ListKind, Status};
+use load_balancing::interface::{MembershipKind, Status};
 use serde::Deserialize;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -131,11 +131,11 @@
 
 impl Names {
     /// A list as the engine is told of it.
-    pub fn upstreams(&self, list: &List) -> Vec<Upstream> {
+    pub fn upstreams(&self, list: &List) -> Vec<ListedUpstream> {
         let index = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).unwrap_or(names.len()) as u32
         };
-        let upstream = |entry: &Entry| Upstream {
+        let upstream = |entry: &Entry| ListedUpstream {
             id: entry.id.clone(),
             address: entry.host_port.parse().ok(),
             zone: index(&self.zones, &entry.locality),
@@ -156,10 +156,19 @@
     }
 }
 
-impl<T: Fn(Note)> Watch<T> {
+impl<T: Fn(EngineEvent)> Watch<T> {
     pub fn new(address: SocketAddr, revision: u64, beats: bool, names: Names, tell: T) -> Self {
         let words = mpsc::unbounded_channel();
-        Self { address, revision, serial: 0, beats, names, tell, words, watch: None }
+        Self {
+            address,
+            revision,
+            serial: 0,
+            beats,
+            names,
+            tell,
+            words,
+            watch: None,
+        }
     }
 
     /// Runs for good: `subscribe` asks for a watch, `moved` tells of another address.
@@ -201,15 +210,27 @@
 
     fn listed(&mut self, list: &List) {
         self.revision = list.revision;
-        let kind = if list.complete { ListKind::Whole } else { ListKind::Update };
-        (self.tell)(Note::Members { service: 0, kind, list: self.names.upstreams(list) });
+        let kind = if list.complete {
+            MembershipKind::Complete
+        } else {
+            MembershipKind::Update
+        };
+        (self.tell)(EngineEvent::Members {
+            service: 0,
+            kind,
+            list: self.names.upstreams(list),
+        });
     }
 
     async fn ended(&mut self) {
         self.watch = None;
         if self.beats {
-            let kind = ListKind::Unavailable;
-            (self.tell)(Note::Members { service: 0, kind, list: Vec::new() });
+            let kind = MembershipKind::Unavailable;
+            (self.tell)(EngineEvent::Members {
+                service: 0,
+                kind,
+                list: Vec::new(),
+            });
         } else {
             sleep(REWATCH).await;
             self.start();
@@ -259,7 +280,9 @@
             body.frame().await // An agent is silent while discovery is down.
         };
         let frame = frame.ok_or(WatchError::Ended)??;
-        let Ok(data) = frame.into_data() else { continue };
+        let Ok(data) = frame.into_data() else {
+            continue;
+        };
         lines.extend_from_slice(&data);
         // A line may come in pieces, and several may come at once.
         while let Some(end) = lines.iter().position(|b| *b == b'\n') {
--- a/crates/standalone-proxy/src/main.rs
+++ b/crates/standalone-proxy/src/main.rs
@@ -13,9 +13,9 @@
 use std::time::Duration;
 
 use data_plane::engine::{self, Engine};
-use data_plane::front::Front;
-use data_plane::upstreams::Pool;
-use load_balancing::interface::ListKind;
+use data_plane::listener::Listener;
+use data_plane::upstream_pool::UpstreamPool;
+use load_balancing::interface::MembershipKind;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
@@ -32,7 +32,10 @@
 const DRAIN_MARGIN: Duration = Duration::from_millis(100);
 
 fn main() -> ExitCode {
-    tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).init();
+    tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .init();
     match start() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
@@ -43,7 +46,9 @@
 }
 
 fn start() -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, run())
 }
@@ -56,28 +61,34 @@
     let listener = TcpListener::bind(config.listen).await;
     let listener = listener.map_err(|e| format!("listen on {}: {e}", config.listen))?;
     let settings = config.facts.settings();
-    let must_ask = settings.must_ask;
+    let must_ask = settings.membership_by_request;
     let grace = Duration::from_micros(settings.rules.drain_grace.0.max(0) as u64);
     let (subscribe, subscriptions) = mpsc::unbounded_channel();
-    let terms = engine::Terms {
+    let terms = engine::EngineConfig {
         seed: config.seed,
         headroom: HEADROOM,
         drain_grace: grace.saturating_sub(DRAIN_MARGIN),
         grid: Duration::ZERO,
         subscribe: Some(subscribe),
     };
-    let (mut engine, handle) = Engine::new(terms, Pool::new(config.terms()));
-    engine.settings(0, settings).map_err(|e| format!("settings: {e}"))?;
-    let names =
-        Names { zones: config.facts.zones.clone(), kinds: config.facts.machine_types.clone() };
-    engine.listed(0, ListKind::Restored, &names.upstreams(&config.known));
+    let (mut engine, handle) = Engine::new(terms, UpstreamPool::new(config.terms()));
+    engine
+        .settings(0, settings)
+        .map_err(|e| format!("settings: {e}"))?;
+    let names = Names {
+        zones: config.facts.zones.clone(),
+        kinds: config.facts.machine_types.clone(),
+    };
+    engine.listed(0, MembershipKind::Restored, &names.upstreams(&config.known));
     let revision = config.known.revision;
     let watch = Watch::new(config.discovery, revision, must_ask, names, handle.teller());
     let (moved, moves) = mpsc::unbounded_channel();
     tokio::task::spawn_local(watch.run(subscriptions, moves));
     let engine = tokio::task::spawn_local(engine.run());
     // The bound address, not the wanted one: with port 0 it is the only word of where clients connect.
-    let bound = listener.local_addr().map_err(|e| format!("listen on {}: {e}", config.listen))?;
+    let bound = listener
+        .local_addr()
+        .map_err(|e| format!("listen on {}: {e}", config.listen))?;
     tracing::info!(name = config.name, "listening on {bound}");
     let reloads = async move {
         while hangup.recv().await.is_some() {
@@ -91,7 +102,7 @@
     tokio::task::spawn_local(reloads);
     let api = Rc::new(Api::new(&config, handle));
     let bounds = config.bounds(api.longest());
-    let front = Front::new(api, bounds);
+    let front = Listener::new(api, bounds);
     let serve = front.serve(listener, async move {
         term.recv().await;
     });
