--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use data_plane::abort_on_drop::AbortOnDrop;
 use data_plane::control_client::{HEARTBEAT_INTERVAL, IDLE_TIMEOUT, dial};
-use data_plane::upstream_pool::AbortOnDrop;
 use protocol::wire::{
     self, Handshake, PROTOCOL_VERSION, PeerMessage, Session, SessionMessage, WatchRequest,
     WatchUpdate,
--- a/crates/control-plane/tests/common/balancers.rs
+++ b/crates/control-plane/tests/common/balancers.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use control_plane::connections::serve_connection;
+use data_plane::abort_on_drop::AbortOnDrop;
 use data_plane::change_notifier::{ChangeNotifier, ChangeWatcher};
 use data_plane::control_client::{CONNECT_TIMEOUT, ControlClient, Network, UpdateHandler};
-use data_plane::upstream_pool::AbortOnDrop;
 use protocol::key_ranges::WorkCounts;
 use protocol::wire::{Balancer, FleetView, WatchRequest, WatchUpdate};
 use tokio::io::{DuplexStream, duplex};
--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -15,7 +15,7 @@
 use control_plane::configuration::{Command, CommandOutcome};
 use control_plane::server::{Channels, ControlServer, DialRequest, Environment, Indeterminate};
 use control_plane::store::DiskRequest;
-use data_plane::upstream_pool::AbortOnDrop;
+use data_plane::abort_on_drop::AbortOnDrop;
 use freezer::Freezer;
 use protocol::settings::Settings;
 use protocol::wire::PeerMessage;
--- a/crates/data-plane/src/body.rs
+++ b/crates/data-plane/src/body.rs
@@ -1,49 +1,64 @@
-//! Memory for the bodies of requests and answers, and the reading of a body within it.
+//! Memory for the bodies of requests and responses, and reading a body within it.
+//!
+//! **Job.** A [`BodyBudget`] bounds how many bytes all bodies of one side (those of requests, or those of responses)
+//! take together. A [`BodyBuffer`] collects one body and reserves from the budget what it takes.
+//!
+//! **State.** The number of reserved bytes of each budget. A reservation is given back when its owner is dropped:
+//! for a body that was read, when the last copy of its [`Bytes`] is dropped, so that bodies which wait for a slow
+//! reader count too.
+//!
+//! **Promises.** The reserved bytes never exceed the budget. A body that does not fit is refused, never truncated.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
 use bytes::Bytes;
 
-/// What bodies of one side may take together. Atomic since `Bytes` asks for it; there is one thread.
+/// How many bytes the bodies of one side may take together. Clones share the budget.
+///
+/// Atomic since `Bytes` requires its owner to be `Send`; there is only one thread.
 #[derive(Clone)]
 pub struct BodyBudget {
-    taken: Arc<AtomicUsize>,
-    most: usize,
+    reserved_bytes: Arc<AtomicUsize>,
+    max_bytes: usize,
 }
 
-/// A part of it, for as long as it is held.
+/// Bytes of a budget, given back on drop.
 pub struct BodyReservation {
-    of: BodyBudget,
+    budget: BodyBudget,
     bytes: usize,
 }
 
 impl BodyBudget {
-    pub fn new(most: usize) -> Self {
+    /// A budget of `max_bytes` bytes, none of them reserved.
+    pub fn new(max_bytes: usize) -> Self {
         Self {
-            taken: Arc::default(),
-            most,
+            reserved_bytes: Arc::default(),
+            max_bytes,
         }
     }
 
+    /// Reserves `bytes` bytes; `None` if fewer are left.
     pub fn reserve(&self, bytes: usize) -> Option<BodyReservation> {
-        let mut room = BodyReservation {
-            of: self.clone(),
+        let mut reservation = BodyReservation {
+            budget: self.clone(),
             bytes: 0,
         };
-        room.reach(bytes).then_some(room)
+        reservation.grow_to(bytes).then_some(reservation)
     }
 }
 
 impl BodyReservation {
-    /// Grows to so many bytes, if there are as many left.
-    fn reach(&mut self, bytes: usize) -> bool {
-        let more = bytes.saturating_sub(self.bytes);
-        let taken = self.of.taken.load(Relaxed);
-        let fits = more <= self.of.most.saturating_sub(taken);
+    /// Grows to `bytes` bytes, or returns false if the budget has fewer left. Never shrinks.
+    fn grow_to(&mut self, bytes: usize) -> bool {
+        let additional = bytes.saturating_sub(self.bytes);
+        let reserved = self.budget.reserved_bytes.load(Relaxed);
+        let fits = additional <= self.budget.max_bytes.saturating_sub(reserved);
         if fits {
-            self.of.taken.store(taken + more, Relaxed);
-            self.bytes += more;
+            self.budget
+                .reserved_bytes
+                .store(reserved + additional, Relaxed);
+            self.bytes += additional;
         }
         fits
     }
@@ -51,76 +66,77 @@
 
 impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.of.taken.fetch_sub(self.bytes, Relaxed);
+        self.budget.reserved_bytes.fetch_sub(self.bytes, Relaxed);
     }
 }
 
-/// A body that is counted until its last copy is dropped, a slow reader's too.
-struct Counted {
+/// A complete body and its reservation, which lasts until the last copy is dropped, a slow reader's too.
+struct ReservedBody {
     body: Vec<u8>,
-    _room: BodyReservation,
+    _reservation: BodyReservation,
 }
 
-impl AsRef<[u8]> for Counted {
+impl AsRef<[u8]> for ReservedBody {
     fn as_ref(&self) -> &[u8] {
         &self.body
     }
 }
 
-/// A body that is being read, within its room.
+/// A body that is being read.
 pub struct BodyBuffer {
     body: Vec<u8>,
-    /// None for a body that nobody wants.
-    room: Option<BodyReservation>,
+    /// `None` for a body that is skipped: it takes no memory.
+    reservation: Option<BodyReservation>,
     length: usize,
-    largest: usize,
+    max_bytes: usize,
 }
 
 impl BodyBuffer {
-    /// One that announces so much; `None` if it is larger than `largest` or than there is room for.
-    pub fn new(allowance: &BodyBudget, announced: usize, largest: usize) -> Option<Self> {
-        let room = if announced <= largest {
-            allowance.reserve(announced)?
-        } else {
+    /// A buffer for a body whose head announces `announced` bytes (0 where it announces none).
+    ///
+    /// `None` if that is more than `max_bytes` or than the budget has left.
+    pub fn new(budget: &BodyBudget, announced: usize, max_bytes: usize) -> Option<Self> {
+        if announced > max_bytes {
             return None;
-        };
+        }
+        let reservation = budget.reserve(announced)?;
         Some(Self {
             body: Vec::with_capacity(announced),
-            room: Some(room),
+            reservation: Some(reservation),
             length: 0,
-            largest,
+            max_bytes,
         })
     }
 
-    /// One that is only read past.
-    pub fn discarded(largest: usize) -> Self {
+    /// A buffer that counts the bytes of a body of at most `max_bytes` and drops them.
+    pub fn skipping(max_bytes: usize) -> Self {
         Self {
             body: Vec::new(),
-            room: None,
+            reservation: None,
             length: 0,
-            largest,
+            max_bytes,
         }
     }
 
-    /// Takes in the next piece; `None` if that is too much.
-    pub fn add(&mut self, data: &[u8]) -> Option<()> {
+    /// Appends the next bytes; `None` if the body becomes larger than it may be or than the budget has left.
+    pub fn append(&mut self, data: &[u8]) -> Option<()> {
         self.length += data.len();
-        if self.length > self.largest {
+        if self.length > self.max_bytes {
             return None;
         }
-        if let Some(room) = &mut self.room {
-            room.reach(self.length).then_some(())?;
+        if let Some(reservation) = &mut self.reservation {
+            reservation.grow_to(self.length).then_some(())?;
             self.body.extend_from_slice(data);
         }
         Some(())
     }
 
-    /// The whole of it; nothing of one that was only read past.
+    /// The complete body, which keeps its reservation; empty if it was skipped.
     pub fn into_bytes(self) -> Bytes {
-        match self.room {
-            Some(room) => Bytes::from_owner(Counted {
+        match self.reservation {
+            Some(reservation) => Bytes::from_owner(ReservedBody {
                 body: self.body,
-                _room: room,
+                _reservation: reservation,
             }),
             None => Bytes::new(),
         }
@@ -128,5 +144,4 @@
 }
 
 #[cfg(test)]
-#[path = "bodies_tests.rs"]
 mod tests;
--- a/crates/data-plane/src/engine/abandoned.rs
+++ b/crates/data-plane/src/engine/abandoned.rs
@@ -1,58 +1,61 @@
-//! How long upstreams are at work for clients that have left, as a histogram.
+//! How long upstreams are at work for clients that have disconnected, as a histogram.
 
 use std::time::Duration;
 
-use load_balancing::interface as d;
+use load_balancing::interface::AttemptOutcome;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
-/// Bounds in seconds; what may be repeated is to end within half a second.
-const BOUNDS: [f64; 9] = [0.005, 0.025, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0];
+/// Bounds in seconds. Attempts that may be repeated are to end within half a second.
+const BUCKET_BOUNDS_S: [f64; 9] = [0.005, 0.025, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0];
 
-/// How an attempt ended after its client had left.
+/// How an attempt ended after its client had disconnected. The names of the variants are the values of the label.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, EncodeLabelValue)]
-enum End {
-    /// It was broken off, or was never handed over.
+enum AttemptEnd {
+    /// It was aborted, or was never sent.
     Cancelled,
-    /// It ended by itself: it may run only once, or its answer crossed the cancel.
+    /// It ended by itself: it may run only once, or its response crossed the cancel.
     Finished,
 }
 
+/// The names of the fields are the names of the labels.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct Labels {
-    end: End,
+    end: AttemptEnd,
 }
 
-/// The time from the leaving of clients to the end of their attempts.
+/// The time from the disconnects of clients to the ends of their attempts. Clones share the counts.
 #[derive(Clone, Debug)]
-pub struct Abandoned(Family<Labels, Histogram, fn() -> Histogram>);
+pub struct AbandonedAttempts(Family<Labels, Histogram, fn() -> Histogram>);
 
-impl Default for Abandoned {
+impl Default for AbandonedAttempts {
     fn default() -> Self {
-        Self(Family::new_with_constructor(|| Histogram::new(BOUNDS)))
+        Self(Family::new_with_constructor(|| {
+            Histogram::new(BUCKET_BOUNDS_S)
+        }))
     }
 }
 
-impl Abandoned {
-    /// An attempt has ended so long after its client had left.
-    pub(super) fn ended(&self, outcome: d::AttemptOutcome, after: Duration) {
-        let cancelled = matches!(
+impl AbandonedAttempts {
+    /// An attempt has ended so long after its client had disconnected.
+    pub(super) fn record(&self, outcome: AttemptOutcome, after: Duration) {
+        let is_cancelled = matches!(
             outcome,
-            d::AttemptOutcome::Cancelled | d::AttemptOutcome::NotIssued
+            AttemptOutcome::Cancelled | AttemptOutcome::NotIssued
         );
-        let end = if cancelled {
-            End::Cancelled
+        let end = if is_cancelled {
+            AttemptEnd::Cancelled
         } else {
-            End::Finished
+            AttemptEnd::Finished
         };
         self.0
             .get_or_create(&Labels { end })
             .observe(after.as_secs_f64());
     }
 
-    /// Adds it to what is told.
+    /// Adds the histogram to what is exported.
     pub(crate) fn register(&self, registry: &mut Registry) {
         let help = "Time from the leaving of a client to the end of its attempt at an upstream";
         registry.register_with_unit("abandoned", help, Unit::Seconds, self.0.clone());
--- /dev/null
+++ b/crates/data-plane/src/engine/attempts.rs
@@ -0,0 +1,142 @@
+//! Attempts: a module sends a request to an upstream or cancels that, and the attempt ends.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use load_balancing::interface::{self, AttemptOutcome, Event, RequestId, ServerId, Span};
+use protocol::key_ranges::KEYS_PER_BUCKET;
+use tokio::time::Instant;
+
+use super::pending_request::{Attempt, AttemptState};
+use super::{Engine, EngineEvent, EngineReply, KeyBucket};
+use crate::abort_on_drop::AbortOnDrop;
+use crate::upstream_pool::AttemptResult;
+
+/// The end of an attempt that a module is yet to be told of.
+pub(super) struct EndedAttempt {
+    pub(super) request: RequestId,
+    /// Which attempt of the request, from 0.
+    pub(super) attempt: usize,
+    pub(super) result: AttemptResult,
+}
+
+impl Engine {
+    /// Sends a request to an upstream, or ends the attempt at once where that is not allowed any more. The attempt
+    /// ends after `timeout` at the latest; without one (0), at the deadline of the request.
+    pub(super) fn start_attempt(&mut self, id: RequestId, server: ServerId, timeout: Span) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let (now, index) = (Instant::now(), request.attempts.len());
+        let mut deadline = request.deadline;
+        if timeout.0 > 0 {
+            deadline = deadline.min(now + Duration::from_micros(timeout.0 as u64));
+        }
+        let Some(service) = self.services.get(request.service) else {
+            return;
+        };
+        let is_over = !request.awaits_reply() || index >= service.max_attempts || now >= deadline;
+        let is_barred_hedge = request.unreported_attempts() > 0 && !service.hedging;
+        let mut attempt = Attempt::new(server, now);
+        let target = service.upstreams.target(server);
+        let (Some(target), false) = (target, is_over || is_barred_hedge) else {
+            request.attempts.push(attempt);
+            self.deferred.push_back(EndedAttempt {
+                request: id,
+                attempt: index,
+                result: AttemptResult::from_outcome(AttemptOutcome::NotIssued),
+            });
+            return;
+        };
+        let (pool, events) = (self.pool.clone(), self.event_sender.clone());
+        let (forwarded, is_awaited) = (request.forwarded.clone(), request.is_awaited.clone());
+        let on_wire = Rc::clone(&attempt.on_wire);
+        let task = tokio::task::spawn_local(async move {
+            let may_send = || {
+                on_wire.set(is_awaited.get());
+                is_awaited.get()
+            };
+            let result = pool
+                .attempt(server, &target, &forwarded, deadline, may_send)
+                .await;
+            // Without a receiver the engine has ended, and so has the request.
+            let _ = events.send(EngineEvent::AttemptEnded {
+                id,
+                attempt: index,
+                result,
+            });
+        });
+        attempt.state = AttemptState::Running(AbortOnDrop(task));
+        request.attempts.push(attempt);
+    }
+
+    /// Aborts an attempt, if there is anything to abort.
+    pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: usize) {
+        let request = self.requests.get_mut(&id);
+        if let Some(running) = request.and_then(|request| request.abortable_attempt(attempt)) {
+            running.state = AttemptState::Ending;
+            self.deferred.push_back(EndedAttempt {
+                request: id,
+                attempt,
+                result: AttemptResult::from_outcome(AttemptOutcome::Cancelled),
+            });
+        }
+    }
+
+    /// An attempt has ended: replies to the client if it was served, and tells the module.
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        mut result: AttemptResult,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if result.outcome == AttemptOutcome::NotOwner && request.shard.is_none() {
+            // Nobody owns keys in that service: it is another upstream than was meant.
+            result.outcome = AttemptOutcome::Rejected;
+        }
+        let Some((server, latency)) = request.end_attempt(attempt) else {
+            return;
+        };
+        request.last_outcome = Some(result.outcome);
+        if let Some(disconnected_at) = request.disconnected_at {
+            self.abandoned
+                .record(result.outcome, disconnected_at.elapsed());
+        }
+        let service = request.service;
+        let ran_key = request
+            .shard
+            .filter(|_| result.outcome != AttemptOutcome::NotOwner);
+        if let Some(key) = ran_key {
+            let bucket = KeyBucket {
+                service,
+                bucket: key / KEYS_PER_BUCKET,
+            };
+            *self.key_load.borrow_mut().entry(bucket).or_default() += latency;
+        }
+        // The first complete response is the client's; one that comes after the end is dropped.
+        match result.response {
+            Some(response) if result.outcome == AttemptOutcome::Ok => {
+                self.send_reply(id, EngineReply::Served(response));
+            }
+            error => request.upstream_error = error,
+        }
+        let request = self.requests.get(&id);
+        let is_over = request.is_none_or(|request| !request.awaits_reply());
+        let ended = interface::AttemptResult {
+            report: result.report,
+            ..interface::AttemptResult::new(
+                id,
+                attempt,
+                server,
+                result.outcome,
+                Span(latency.as_micros() as i64),
+                is_over,
+            )
+        };
+        self.feed_balancer(service, Event::AttemptEnded(ended));
+        self.remove_request(id);
+    }
+}
--- a/crates/data-plane/src/engine/clock.rs
+++ b/crates/data-plane/src/engine/clock.rs
@@ -1,15 +1,15 @@
-//! The time that the module is told.
+//! The time that the modules are told.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use load_balancing::interface::Time;
 use tokio::time::Instant;
 
-/// The module's clock: monotonic, and set once to Unix time so that the list's times need no further
-/// mapping.
+/// The modules' clock: monotonic, and set once to Unix time so that the times in lists need no further mapping.
 #[derive(Clone, Copy)]
 pub(super) struct Clock {
     start: Instant,
+    /// `start` in microseconds since the Unix epoch.
     unix_us: i64,
 }
 
@@ -25,28 +25,30 @@
     }
 
     pub(super) fn now(&self) -> Time {
-        self.at(Instant::now())
+        self.to_time(Instant::now())
     }
 
-    pub(super) fn at(&self, instant: Instant) -> Time {
+    pub(super) fn to_time(self, instant: Instant) -> Time {
         Time(self.unix_us + instant.saturating_duration_since(self.start).as_micros() as i64)
     }
 
-    pub(super) fn of(&self, time: SystemTime) -> Time {
+    /// The modules' time of a system time. Does not depend on this clock's start.
+    pub(super) fn from_system_time(time: SystemTime) -> Time {
         let unix = time.duration_since(UNIX_EPOCH).unwrap_or_default();
         Time(unix.as_micros() as i64)
     }
 
-    /// The first point of the grid that is not before `time`.
-    pub(super) fn on_grid(&self, time: Time, grid: Duration) -> Instant {
-        let grid = grid.as_micros().max(1) as i64;
+    /// The first instant that is not before `time` and a multiple of `granularity` after the start.
+    pub(super) fn round_up(&self, time: Time, granularity: Duration) -> Instant {
+        let granularity = granularity.as_micros().max(1) as i64;
         let passed = time.0 - self.unix_us;
-        self.instant(Time(
-            self.unix_us + (passed + grid - 1).div_euclid(grid) * grid,
+        self.to_instant(Time(
+            self.unix_us + (passed + granularity - 1).div_euclid(granularity) * granularity,
         ))
     }
 
-    pub(super) fn instant(&self, time: Time) -> Instant {
+    /// The instant of a time; the start, if that is earlier.
+    fn to_instant(self, time: Time) -> Instant {
         self.start + Duration::from_micros((time.0 - self.unix_us).max(0) as u64)
     }
 }
--- a/crates/data-plane/src/engine/requests.rs
+++ b/crates/data-plane/src/engine/requests.rs
@@ -1,79 +1,96 @@
-//! A request as the engine holds it, and its attempts.
+//! A request arrives, its client disconnects, its deadline passes, the process ends.
 
-use std::cell::Cell;
-use std::rc::Rc;
-
-use bytes::Bytes;
-use hyper::Response;
-use load_balancing::interface::{AttemptOutcome, ServerId};
+use load_balancing::interface::{Event, Request, RequestId, Span};
 use tokio::sync::oneshot;
-use tokio::time::Instant;
 
-use super::EngineReply;
-use crate::upstream_pool::{AbortOnDrop, ForwardedRequest};
+use super::pending_request::PendingRequest;
+use super::{DEADLINE_MARGIN, Engine, EngineReply, IncomingRequest, Timer};
+use crate::upstream_pool::ForwardedRequest;
 
-/// A request that is owed an answer, or has attempts out.
-pub(super) struct Held {
-    pub(super) service: usize,
-    pub(super) shard: Option<u16>,
-    pub(super) forward: Rc<ForwardedRequest>,
-    /// Taken by the final answer.
-    pub(super) reply: Option<oneshot::Sender<EngineReply>>,
-    /// Read by attempts right before they go on the wire.
-    pub(super) live: Rc<Cell<bool>>,
-    /// When its client left without an answer.
-    pub(super) left: Option<Instant>,
-    pub(super) until: Instant,
-    pub(super) attempts: Vec<Try>,
-    pub(super) last: Option<AttemptOutcome>,
-    /// An upstream's own error, the answer if there is no better one.
-    pub(super) error: Option<Response<Bytes>>,
-}
+/// What is rejected because this process ends may be sent again, to another balancer, after this (50 ms).
+const SHUTDOWN_RETRY_AFTER: Span = Span(50_000);
 
-/// One attempt at an upstream.
-pub(super) struct Try {
-    pub(super) server: ServerId,
-    pub(super) sent: Instant,
-    /// Whether it has gone on the wire, or is about to.
-    pub(super) on_wire: Rc<Cell<bool>>,
-    pub(super) state: TryState,
+/// A request that no upstream has, as the process ends.
+struct QueuedRequest {
+    id: RequestId,
+    service: usize,
+    reply: EngineReply,
 }
 
-/// Where an attempt stands. Its end is told to the module once, whatever crosses.
-pub(super) enum TryState {
-    /// Its task works on it; dropped, the task closes the attempt's connection.
-    Running(AbortOnDrop),
-    /// It has no task, and its end is among the events that are yet to be told.
-    Ending,
-    /// Its end was told.
-    Ended,
-}
+impl Engine {
+    /// A client's connection submitted a request.
+    pub(super) fn on_request(
+        &mut self,
+        id: RequestId,
+        service: usize,
+        incoming: IncomingRequest,
+        forwarded: ForwardedRequest,
+        reply: oneshot::Sender<EngineReply>,
+    ) {
+        let deadline = incoming.deadline - self.config.headroom;
+        let pending = PendingRequest::new(service, incoming.shard, forwarded, reply, deadline);
+        self.requests.insert(id, pending);
+        self.timers
+            .push(incoming.deadline - DEADLINE_MARGIN, Timer::Deadline(id));
+        let request = Request {
+            class: incoming.class,
+            tenant: incoming.tenant,
+            key: incoming.key,
+            shard: incoming.shard,
+            estimated_work: incoming.estimated_work,
+            is_client_retry: incoming.is_client_retry,
+            ..Request::new(id, incoming.class, self.clock.to_time(deadline))
+        };
+        self.dispatch(service, Event::Request(request));
+    }
 
-impl Held {
-    /// Attempts whose end the module has not been told.
-    pub(super) fn out(&self) -> usize {
-        self.attempts
-            .iter()
-            .filter(|a| !matches!(a.state, TryState::Ended))
-            .count()
+    /// The client of a request disconnected before its reply.
+    pub(super) fn on_client_disconnect(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if request.disconnect() {
+            let service = request.service;
+            self.dispatch(service, Event::ClientDisconnected(id));
+        }
+        self.remove_request(id);
     }
 
-    /// Whether an upstream may have run it, as far as its last attempt tells. What may run once is not held after
-    /// one that may have.
-    pub(super) fn may_have_run(&self) -> bool {
-        self.last.is_some_and(|last| !last.never_ran())
+    /// Replies to a request for which the module still owes the reply when the client is about to give up.
+    pub(super) fn on_deadline(&mut self, id: RequestId) {
+        if self.send_reply(id, EngineReply::Failed { timed_out: true }) {
+            tracing::warn!(
+                request = id.0,
+                "the load balancing had not ended a request before its deadline: replied with a timeout"
+            );
+            if let Some(service) = self.requests.get(&id).map(|request| request.service) {
+                self.dispatch(service, Event::ClientDisconnected(id));
+            }
+        }
+        self.remove_request(id);
     }
 
-    /// The attempt that a cancel breaks off, if it does. One whose task is done has its end on the way, which
-    /// is what counts. One that is still to get its connection ends by itself before anything leaves, and the
-    /// connection is kept.
-    pub(super) fn broken_off(&mut self, attempt: usize) -> Option<&mut Try> {
-        let live = self.live.get();
-        let tried = self.attempts.get_mut(attempt)?;
-        let TryState::Running(task) = &tried.state else {
-            return None;
+    /// Ends all requests that are not at an upstream, since the process ends. Without this, what waited as the process
+    /// ended lost its connection without a reply.
+    pub(super) fn reject_queued_requests(&mut self) {
+        let is_queued = |(_, request): &(&RequestId, &PendingRequest)| {
+            request.awaits_reply() && request.unreported_attempts() == 0
+        };
+        let end = |(id, request): (&RequestId, &PendingRequest)| QueuedRequest {
+            id: *id,
+            service: request.service,
+            reply: if request.may_have_run() {
+                EngineReply::Failed { timed_out: false }
+            } else {
+                EngineReply::Rejected {
+                    retry_after: SHUTDOWN_RETRY_AFTER,
+                }
+            },
         };
-        let at_work = !task.0.is_finished() && (live || tried.on_wire.get());
-        at_work.then_some(tried)
+        let queued: Vec<_> = self.requests.iter().filter(is_queued).map(end).collect();
+        for QueuedRequest { id, service, reply } in queued {
+            self.fail_request(id, reply);
+            self.dispatch(service, Event::ClientDisconnected(id));
+        }
     }
 }
--- /dev/null
+++ b/crates/data-plane/src/engine/upstreams/tests.rs
@@ -0,0 +1,84 @@
+//! Upstreams that come and go, and their handles.
+
+use std::net::SocketAddr;
+
+use super::*;
+use crate::upstream_pool::PoolConfig;
+use crate::upstream_pool::tests::test_protocol;
+
+fn pool() -> Rc<UpstreamPool> {
+    UpstreamPool::new(PoolConfig {
+        max_connections: 1,
+        keepalive: Duration::from_secs(5),
+        connect_timeout: Duration::from_millis(250),
+        max_response_bytes: 1 << 20,
+        protocol: test_protocol(),
+    })
+}
+
+fn upstream(id: &str, status: Status) -> ListedUpstream {
+    ListedUpstream {
+        id: id.to_string(),
+        address: Some(SocketAddr::from(([127, 0, 0, 1], 1))),
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        status,
+        weight: 1.0,
+        slots: 0,
+        started: None,
+    }
+}
+
+#[tokio::test]
+async fn upstreams_come_and_go_and_no_handle_is_used_twice() {
+    let pool = tokio::task::LocalSet::new()
+        .run_until(async { pool() })
+        .await;
+    let mut upstreams = UpstreamRegistry::new(Duration::from_millis(400));
+    let mut next = 0;
+    let mut told = |id: &str, status, kind| {
+        let list = [upstream(id, status)];
+        let members = upstreams.update(&list, kind, &pool, &mut next);
+        upstreams.remove_gone(&pool);
+        (
+            members.first().map(|m| m.id),
+            upstreams.server_ids.len(),
+            upstreams.upstreams.len(),
+        )
+    };
+    let mut seen = std::collections::HashSet::new();
+    for i in 0..2000 {
+        // New ids at one address, gone by word or by being left out.
+        let name = format!("s-{i}");
+        let (id, ids, targets) = told(&name, Status::Live, MembershipKind::Complete);
+        assert_eq!((ids, targets), (1, 1));
+        assert!(seen.insert(id.expect("a member")), "a handle is used again");
+        if i % 2 == 0 {
+            let (_, ids, targets) = told(&name, Status::Gone, MembershipKind::Update);
+            assert_eq!((ids, targets), (0, 0));
+        }
+    }
+    assert_eq!(
+        told("never-seen", Status::Gone, MembershipKind::Update).0,
+        None
+    );
+}
+
+#[tokio::test]
+async fn what_an_attempt_still_looks_at_is_kept_and_stays_closed() {
+    let pool = tokio::task::LocalSet::new()
+        .run_until(async { pool() })
+        .await;
+    let mut upstreams = UpstreamRegistry::new(Duration::from_millis(400));
+    let mut next = 0;
+    let list = [upstream("a", Status::Live)];
+    let id = upstreams.update(&list, MembershipKind::Complete, &pool, &mut next)[0].id;
+    let out = upstreams.target(id).expect("known");
+    upstreams.update(&[], MembershipKind::Complete, &pool, &mut next);
+    upstreams.remove_gone(&pool);
+    assert!(out.closed_at.get().is_some() && upstreams.target(id).is_some());
+    drop(out);
+    upstreams.remove_gone(&pool);
+    assert!(upstreams.target(id).is_none() && upstreams.server_ids.is_empty());
+}
--- a/crates/data-plane/src/framing.rs
+++ b/crates/data-plane/src/framing.rs
@@ -1,7 +1,7 @@
-//! Heads of answers, and where their bodies end (RFC 9112).
+//! Parses the heads of upstreams' responses and determines where their bodies end (RFC 9112). Holds no state.
 //!
-//! **Guarantees.** What could be read in two ways is no answer: another reader of the same bytes, the upstream
-//! first of all, could place the end of the body elsewhere, and what follows would be taken for the answer to
+//! **Promises.** A response that can be read in two ways is an error: another reader of the same bytes, the upstream
+//! first of all, could place the end of the body elsewhere, and what follows would be taken for the response to
 //! another request.
 
 use hyper::header::{
@@ -12,26 +12,29 @@
 use crate::headers::MAX_HEADER_LINES;
 use crate::tunnel::status_lines;
 
-/// The head of an answer may have so many bytes, and so may each line of a chunked body's framing.
-pub const HEAD_LIMIT: usize = 16 << 10;
+/// The head of a response may have so many bytes, and so may each line of a chunked body's framing. A choice of
+/// ours; RFC 9112 sets no limit.
+pub(crate) const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Bytes that are no answer, or could be read as more than one.
+/// The bytes are not a response, or can be read in more than one way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("malformed answer")]
-pub struct Malformed;
+#[error("malformed response")]
+pub(crate) struct MalformedResponse;
 
 /// Where a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Framing {
+pub(crate) enum Framing {
+    /// After so many bytes.
     Length(usize),
+    /// After the last chunk and the trailers (RFC 9112, 7.1).
     Chunked,
-    /// At the end of the connection. Whether it is whole can't be known: an upstream that dies ends it too.
+    /// At the end of the connection. Whether it is complete can't be known: an upstream that dies ends it too.
     Close,
 }
 
 impl Framing {
-    /// The length of the body, as far as its head tells.
-    pub fn announced(self) -> usize {
+    /// The length of the body in bytes as announced by its head; 0 if it announces none.
+    pub(crate) fn announced_bytes(self) -> usize {
         match self {
             Self::Length(length) => length,
             Self::Chunked | Self::Close => 0,
@@ -39,41 +42,54 @@
     }
 }
 
-/// The head at the start of `bytes` and its length, or `None` while more of it is to come.
-pub fn parse_head(bytes: &[u8]) -> Result<Option<(Response<()>, usize)>, Malformed> {
+/// A head that was parsed.
+#[derive(Debug)]
+pub(crate) struct ParsedHead {
+    /// Status, version and headers.
+    pub(crate) head: Response<()>,
+    /// How many bytes it takes, the empty line at its end included.
+    pub(crate) length: usize,
+}
+
+/// Parses the head at the start of `bytes`; `None` while more of it is to come.
+///
+/// # Errors
+/// The bytes are no head of HTTP/1.x, the head is larger than [`MAX_HEAD_BYTES`], or it can be read in two ways.
+pub(crate) fn parse_head(bytes: &[u8]) -> Result<Option<ParsedHead>, MalformedResponse> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
-    let mut answer = httparse::Response::new(&mut lines);
-    let length = match answer.parse(bytes).map_err(|_| Malformed)? {
+    let mut parsed = httparse::Response::new(&mut lines);
+    let length = match parsed.parse(bytes).map_err(|_| MalformedResponse)? {
         httparse::Status::Partial => return Ok(None),
         httparse::Status::Complete(length) => length,
     };
-    if length > HEAD_LIMIT || has_bare_line_feed(&bytes[..length]) {
-        return Err(Malformed);
+    if length > MAX_HEAD_BYTES || has_bare_line_feed(&bytes[..length]) {
+        return Err(MalformedResponse);
     }
     // Behind its own status line, another one shows that two heads run into each other.
     if status_lines(&bytes[1..length]).next().is_some() {
-        return Err(Malformed);
+        return Err(MalformedResponse);
     }
-    let code = answer
+    let code = parsed
         .code
         .filter(|code| (100..600).contains(code))
-        .ok_or(Malformed)?;
+        .ok_or(MalformedResponse)?;
     let mut head = Response::new(());
-    *head.status_mut() = StatusCode::from_u16(code).map_err(|_| Malformed)?;
-    *head.version_mut() = if answer.version == Some(1) {
+    *head.status_mut() = StatusCode::from_u16(code).map_err(|_| MalformedResponse)?;
+    *head.version_mut() = if parsed.version == Some(1) {
         Version::HTTP_11
     } else {
         Version::HTTP_10
     };
-    for line in answer.headers {
-        let name = HeaderName::from_bytes(line.name.as_bytes()).map_err(|_| Malformed)?;
-        let value = HeaderValue::from_bytes(line.value).map_err(|_| Malformed)?;
+    for line in parsed.headers {
+        let name = HeaderName::from_bytes(line.name.as_bytes()).map_err(|_| MalformedResponse)?;
+        let value = HeaderValue::from_bytes(line.value).map_err(|_| MalformedResponse)?;
         head.headers_mut().append(name, value);
     }
-    Ok(Some((head, length)))
+    Ok(Some(ParsedHead { head, length }))
 }
 
-/// Whether a line ends without a carriage return. Looks at all pairs, so that the compiler can take many at once.
+/// Whether a line ends without a carriage return. Looks at all pairs without an early exit, so that the compiler can
+/// vectorize it.
 fn has_bare_line_feed(bytes: &[u8]) -> bool {
     let pairs = bytes.iter().zip(bytes.iter().skip(1));
     pairs.fold(false, |found, (before, byte)| {
@@ -81,51 +97,56 @@
     })
 }
 
-/// How the body that follows a head is framed (RFC 9112, 6.3).
-pub fn framing(head: &Response<()>, method: &Method) -> Result<Framing, Malformed> {
+/// How the body that follows a head is framed (RFC 9112, 6.3), in the response to a request of this method.
+///
+/// # Errors
+/// The head states its body's length in two ways, by a coding other than `chunked`, or announces a body where none
+/// may be; or it switches protocols.
+pub(crate) fn framing(head: &Response<()>, method: &Method) -> Result<Framing, MalformedResponse> {
     let (status, headers) = (head.status(), head.headers());
     if status == StatusCode::SWITCHING_PROTOCOLS {
-        return Err(Malformed);
+        return Err(MalformedResponse);
     }
-    let coded = headers.contains_key(TRANSFER_ENCODING);
+    let has_coding = headers.contains_key(TRANSFER_ENCODING);
     let length = content_length(headers)?;
-    if coded && (length.is_some() || !is_chunked(head)) {
-        return Err(Malformed);
+    if has_coding && (length.is_some() || !is_chunked(head)) {
+        return Err(MalformedResponse);
     }
     if status.is_informational() || status == StatusCode::NO_CONTENT {
-        // Neither has a body. One that announces a body might send it all the same.
-        let announced = coded || length.is_some_and(|length| length > 0);
+        // Neither has a body. An upstream that announces one might send it all the same.
+        let announced = has_coding || length.is_some_and(|length| length > 0);
         return if announced {
-            Err(Malformed)
+            Err(MalformedResponse)
         } else {
             Ok(Framing::Length(0))
         };
     }
     if status == StatusCode::NOT_MODIFIED || method == Method::HEAD {
-        // What they announce is the body that they leave out.
+        // They announce the length of the body that they leave out.
         return Ok(Framing::Length(0));
     }
     Ok(match length {
         Some(length) => Framing::Length(length),
-        None if coded => Framing::Chunked,
+        None if has_coding => Framing::Chunked,
         None => Framing::Close,
     })
 }
 
-fn content_length(headers: &HeaderMap) -> Result<Option<usize>, Malformed> {
+/// The value of `Content-Length`, which may stand once and has digits only.
+fn content_length(headers: &HeaderMap) -> Result<Option<usize>, MalformedResponse> {
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     let Some(length) = lengths.next() else {
         return Ok(None);
     };
-    // `parse` would take a sign.
+    // `parse` would accept a sign.
     if lengths.next().is_some() || !length.as_bytes().iter().all(u8::is_ascii_digit) {
-        return Err(Malformed);
+        return Err(MalformedResponse);
     }
     let length = length.to_str().ok().and_then(|text| text.parse().ok());
-    length.map(Some).ok_or(Malformed)
+    length.map(Some).ok_or(MalformedResponse)
 }
 
-/// Whether the one coding is the chunked one, and the version knows it.
+/// Whether `chunked` is the only coding, in a version that knows it.
 fn is_chunked(head: &Response<()>) -> bool {
     let mut codings = head.headers().get_all(TRANSFER_ENCODING).iter();
     let first = codings
@@ -134,23 +155,26 @@
     first && codings.next().is_none() && head.version() == Version::HTTP_11
 }
 
-/// The size that a chunk's first line announces, whatever extensions follow it.
-pub fn chunk_size(line: &[u8]) -> Result<usize, Malformed> {
+/// The size in bytes that a chunk's first line announces (RFC 9112, 7.1); chunk extensions are ignored.
+///
+/// # Errors
+/// The line does not begin with hexadecimal digits alone.
+pub(crate) fn chunk_size(line: &[u8]) -> Result<usize, MalformedResponse> {
     let digits = line
         .split(|byte| *byte == b';')
         .next()
         .unwrap_or_default()
         .trim_ascii_end();
-    // `from_str_radix` would take a sign.
+    // `from_str_radix` would accept a sign.
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_hexdigit) {
-        return Err(Malformed);
+        return Err(MalformedResponse);
     }
-    let digits = std::str::from_utf8(digits).map_err(|_| Malformed)?;
-    usize::from_str_radix(digits, 16).map_err(|_| Malformed)
+    let digits = std::str::from_utf8(digits).map_err(|_| MalformedResponse)?;
+    usize::from_str_radix(digits, 16).map_err(|_| MalformedResponse)
 }
 
-/// Whether a line after the last chunk is a header. A second answer's first line is none.
-pub fn is_trailer(line: &[u8]) -> bool {
+/// Whether a line after the last chunk is a trailer. The status line of another response is not.
+pub(crate) fn is_trailer(line: &[u8]) -> bool {
     let name = line
         .iter()
         .position(|byte| *byte == b':')
@@ -158,13 +182,13 @@
     name.is_some_and(|name| HeaderName::from_bytes(name).is_ok())
 }
 
-/// Whether the connection ends after this answer.
-pub fn closes(head: &Response<()>) -> bool {
+/// Whether the upstream closes the connection after this response (RFC 9112, 9.3).
+pub(crate) fn closes_connection(head: &Response<()>) -> bool {
     head.version() != Version::HTTP_11 || names_in_connection(head.headers(), "close")
 }
 
-/// Whether the `Connection` header names this.
-pub fn names_in_connection(headers: &HeaderMap, name: &str) -> bool {
+/// Whether the `Connection` header lists `name` (RFC 9110, 7.6.1).
+pub(crate) fn names_in_connection(headers: &HeaderMap, name: &str) -> bool {
     let values = headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/data-plane/src/http_client.rs
+++ b/crates/data-plane/src/http_client.rs
@@ -13,8 +13,8 @@
 use socket2::SockRef;
 use tokio::time::{Instant, timeout_at};
 
+use crate::abort_on_drop::AbortOnDrop;
 use crate::control_client::dial;
-use crate::upstream_pool::AbortOnDrop;
 
 /// No answer is longer.
 const LONGEST: usize = 8 << 20;
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -11,6 +11,7 @@
 //! with what it last knew, never with anything older.
 #![forbid(unsafe_code)]
 
+pub mod abort_on_drop;
 pub mod body;
 pub mod change_notifier;
 pub mod client_connections;
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -15,7 +15,7 @@
 use prometheus_client::registry::{Registry, Unit};
 use tokio::time::Instant;
 
-use crate::engine::Abandoned;
+use crate::engine::AbandonedAttempts;
 use crate::headers::ClientResponse;
 
 /// The form in which counts are told.
@@ -102,7 +102,7 @@
 
 impl Metrics {
     /// Nothing is counted yet, but what the engine measures by itself.
-    pub fn new(abandoned: &Abandoned) -> Self {
+    pub fn new(abandoned: &AbandonedAttempts) -> Self {
         let mut registry = Registry::with_prefix("shorefront");
         let new: fn() -> Histogram = || Histogram::new(BOUNDS);
         let (requests, seconds) = (Family::default(), Family::new_with_constructor(new));
@@ -185,7 +185,7 @@
 
     #[test]
     fn what_was_counted_is_told_and_goes_with_its_route() {
-        let metrics = Metrics::new(&Abandoned::default());
+        let metrics = Metrics::new(&AbandonedAttempts::default());
         let arrived = Instant::now();
         for outcome in OUTCOMES {
             metrics.route("a").record_response(outcome, arrived);
--- a/crates/data-plane/src/routes.rs
+++ b/crates/data-plane/src/routes.rs
@@ -177,7 +177,7 @@
     ) -> Rc<Self> {
         let zones: Vec<String> = settings.zone_map.keys().cloned().collect();
         let zone = zones.iter().position(|z| *z == settings.zone).unwrap_or(0) as u32;
-        let metrics = Metrics::new(engine.abandoned());
+        let metrics = Metrics::new(engine.abandoned_attempts());
         Rc::new(Self {
             engine,
             regions: settings.zone_map.values().cloned().collect(),
@@ -202,7 +202,7 @@
 
     /// Whether it can serve: it knows the configuration and somewhere to send to.
     pub fn is_ready(&self) -> bool {
-        !self.leaving.get() && self.told.borrow().config_index > 0 && self.engine.ready()
+        !self.leaving.get() && self.told.borrow().config_index > 0 && self.engine.is_ready()
     }
 
     /// What was counted, as Prometheus reads it.
@@ -345,9 +345,9 @@
             tenant: 0,
             key,
             shard,
-            until,
-            cost_guess,
-            resent,
+            deadline: until,
+            estimated_work: cost_guess,
+            is_client_retry: resent,
         };
         let method = head.method.clone();
         let forward = ForwardedRequest {
@@ -356,14 +356,14 @@
             headers: forward_request_headers(head.headers, body.len()),
             body,
         };
-        match self.engine.ask(service, arrival, forward).await {
+        match self.engine.submit(service, arrival, forward).await {
             EngineReply::Served(response) => (RequestOutcome::Served, served(response, &method)),
-            EngineReply::Refused { retry_after } => refused(retry_after),
-            EngineReply::Failed { late: true } => (
+            EngineReply::Rejected { retry_after } => refused(retry_after),
+            EngineReply::Failed { timed_out: true } => (
                 RequestOutcome::Failed,
                 empty_response(StatusCode::GATEWAY_TIMEOUT),
             ),
-            EngineReply::Failed { late: false } => (
+            EngineReply::Failed { timed_out: false } => (
                 RequestOutcome::Failed,
                 empty_response(StatusCode::BAD_GATEWAY),
             ),
--- a/crates/data-plane/src/routes/configuring.rs
+++ b/crates/data-plane/src/routes/configuring.rs
@@ -138,7 +138,7 @@
                 let any = d::RequestClass::safe(Span(1_000_000), Span(1_000_000));
                 settings.classes.push(any);
             }
-            self.engine.tell(EngineEvent::Settings {
+            self.engine.send_event(EngineEvent::SettingsChanged {
                 service: i,
                 settings: Box::new(settings),
             });
--- a/crates/data-plane/src/routes/following.rs
+++ b/crates/data-plane/src/routes/following.rs
@@ -18,7 +18,7 @@
             evacuations_index: told.evacuated_index,
             keys_index: told.keys_index,
             zone_versions: told.zones.iter().map(has).collect(),
-            ready: told.config_index > 0 && self.engine.ready(),
+            ready: told.config_index > 0 && self.engine.is_ready(),
             draining: self.leaving.get(),
             ..WatchRequest::default()
         }
@@ -101,10 +101,12 @@
     fn work(&self) -> WorkCounts {
         let services = self.services.borrow();
         let mut counts = WorkCounts::new();
-        for ((service, run), took) in self.engine.work() {
+        for (key, took) in self.engine.take_key_load() {
             let spent = (took.as_millis() / u128::from(WORK_UNIT_MS)).min(u128::from(u16::MAX));
-            let of = counts.entry(services[service].name.clone()).or_default();
-            of.push((run, spent as u16));
+            let of = counts
+                .entry(services[key.service].name.clone())
+                .or_default();
+            of.push((key.bucket, spent as u16));
         }
         counts
     }
--- a/crates/data-plane/src/routes/listing.rs
+++ b/crates/data-plane/src/routes/listing.rs
@@ -21,10 +21,10 @@
             }
         }
         for (service, list) in lists.into_iter().enumerate() {
-            self.engine.tell(EngineEvent::Members {
+            self.engine.send_event(EngineEvent::MembershipChanged {
                 service,
                 kind: MembershipKind::Complete,
-                list,
+                upstreams: list,
             });
         }
     }
@@ -63,10 +63,10 @@
             lists.entry(service).or_default().push(entry);
         }
         for (service, list) in lists {
-            self.engine.tell(EngineEvent::Members {
+            self.engine.send_event(EngineEvent::MembershipChanged {
                 service,
                 kind: MembershipKind::Update,
-                list,
+                upstreams: list,
             });
         }
     }
@@ -79,7 +79,10 @@
                 continue;
             };
             let rows = held.rows().cloned().collect();
-            self.engine.tell(EngineEvent::Holders { service, rows });
+            self.engine.send_event(EngineEvent::KeyOwnersChanged {
+                service,
+                key_ranges: rows,
+            });
         }
     }
 
--- a/crates/data-plane/src/routes/tests.rs
+++ b/crates/data-plane/src/routes/tests.rs
@@ -38,7 +38,7 @@
         seed: 1,
         headroom: Duration::ZERO,
         drain_grace: Duration::ZERO,
-        grid: Duration::from_millis(1),
+        timer_granularity: Duration::from_millis(1),
         subscribe: None,
     };
     let (_, handle) = engine::Engine::new(terms, pool);
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -24,7 +24,7 @@
 use crate::metrics;
 use crate::routes::Routes;
 use crate::upstream_pool::{
-    LoadReportFormat, PoolConfig, UpstreamPool, UpstreamProtocol, promises_not_run,
+    LoadReportFormat, PoolConfig, UpstreamPool, UpstreamProtocol, implies_not_run,
 };
 
 /// Descriptors that are neither a client's nor an upstream's.
@@ -54,19 +54,19 @@
 /// What upstreams say, in the words of this protocol.
 pub fn upstream_protocol() -> UpstreamProtocol {
     UpstreamProtocol {
-        deadline: HeaderName::from_static("deadline-ms"),
-        target: Some(HeaderName::from_static("target-instance")),
-        not_run: HeaderName::from_static("not-run"),
-        refusals: &[
+        deadline_header: HeaderName::from_static("deadline-ms"),
+        target_header: Some(HeaderName::from_static("target-instance")),
+        not_run_header: HeaderName::from_static("not-run"),
+        not_run_statuses: &[
             StatusCode::SERVICE_UNAVAILABLE,
             StatusCode::TOO_MANY_REQUESTS,
         ],
-        echo: Some(HeaderName::from_static("attempt-id")),
-        seal: Some(HeaderName::from_static("upstream-seal")),
+        request_id_header: Some(HeaderName::from_static("attempt-id")),
+        seal_header: Some(HeaderName::from_static("upstream-seal")),
         // Whatever else an upstream says is its answer; these would be promises that it did not make.
-        served: |status| !status.is_server_error() && !promises_not_run(status),
-        passes_errors: true,
-        load: LoadReportFormat::Slots(HeaderName::from_static("upstream-load")),
+        is_served: |status| !status.is_server_error() && !implies_not_run(status),
+        forwards_errors: true,
+        load_report: LoadReportFormat::Slots(HeaderName::from_static("upstream-load")),
     }
 }
 
@@ -144,12 +144,12 @@
         seed: load_balancing::settings::stable_hash(&settings.node),
         headroom: HEADROOM,
         drain_grace: Duration::ZERO,
-        grid: GRID,
+        timer_granularity: GRID,
         subscribe: None,
     };
     let (engine, handle) = Engine::new(terms, pool);
     let engine = tokio::task::spawn_local(engine.run());
-    let tell = handle.teller();
+    let tell = handle.event_sender();
     let bounds = client_bounds(half, settings.grace_period());
     let refuses_after = refuses_after(&bounds);
     // The routes hold the front to the configuration's limits, and the front asks the routes.
@@ -198,7 +198,7 @@
         leaves.start_draining();
         tokio::task::spawn_local(async move {
             sleep(refuses_after).await;
-            tell(EngineEvent::Ending);
+            tell(EngineEvent::ShutdownStarted);
         });
     });
     tokio::select! {
--- /dev/null
+++ b/crates/data-plane/src/upstream_connection/reading.rs
@@ -0,0 +1,162 @@
+//! Reads heads and bodies of responses from a connection, and writes what is left of the request meanwhile.
+
+use std::future::{Future, poll_fn};
+use std::pin::pin;
+use std::task::{Context, Poll, ready};
+
+use bytes::{Buf, Bytes, BytesMut};
+use hyper::{Method, Response};
+use tokio::io::AsyncReadExt;
+
+use super::{IncompleteResponse, OutgoingRequest, ResponseFault, Transport, UpstreamConnection};
+use crate::body::BodyBuffer;
+use crate::framing::{
+    Framing, MAX_HEAD_BYTES, MalformedResponse, chunk_size, framing, is_trailer, parse_head,
+};
+use crate::headers::MAX_HEADER_LINES;
+
+/// Room for at least so many bytes is made before each read.
+const READ_BYTES: usize = 4 << 10;
+
+impl<S: Transport> UpstreamConnection<S> {
+    /// Reads what has arrived; false at the end of the connection.
+    pub(super) fn poll_read(&mut self, cx: &mut Context<'_>) -> Poll<bool> {
+        if self.ended {
+            return Poll::Ready(false);
+        }
+        self.unread.reserve(READ_BYTES);
+        let read = ready!(pin!(self.stream.read_buf(&mut self.unread)).poll(cx));
+        self.ended = !matches!(read, Ok(n) if n > 0);
+        Poll::Ready(!self.ended)
+    }
+
+    /// Waits for more bytes, and writes what is left of the request meanwhile, unless its response has begun.
+    async fn read_more(&mut self, request: &mut OutgoingRequest<'_>) -> Result<(), ResponseFault> {
+        let has_more = poll_fn(|cx| {
+            if let Poll::Ready(has_more) = self.poll_read(cx) {
+                return Poll::Ready(has_more);
+            }
+            while request.progress.is_incomplete() && !request.writing_stopped {
+                match self.poll_write(cx, request) {
+                    Poll::Ready(Ok(())) => {}
+                    // Its response may have come all the same.
+                    Poll::Ready(Err(_)) => request.writing_stopped = true,
+                    Poll::Pending => break,
+                }
+            }
+            Poll::Pending
+        });
+        if has_more.await {
+            Ok(())
+        } else {
+            Err(ResponseFault::ConnectionEnded)
+        }
+    }
+
+    /// The next head, and how its body is framed. Until its owner is known, it may be the request's own.
+    pub(super) async fn read_head(
+        &mut self,
+        method: &Method,
+        request: &mut OutgoingRequest<'_>,
+    ) -> Result<(Response<()>, Framing), IncompleteResponse> {
+        loop {
+            request.progress.response_started |= !self.unread.is_empty();
+            if let Some(parsed) = parse_head(&self.unread)? {
+                self.unread.advance(parsed.length);
+                let framing = framing(&parsed.head, method)?;
+                return Ok((parsed.head, framing));
+            }
+            if self.unread.len() >= MAX_HEAD_BYTES {
+                return Err(MalformedResponse.into());
+            }
+            self.read_more(request).await?;
+        }
+    }
+
+    /// Reads a body to its end into `body`.
+    pub(super) async fn read_body(
+        &mut self,
+        framing: Framing,
+        request: &mut OutgoingRequest<'_>,
+        mut body: BodyBuffer,
+    ) -> Result<Bytes, IncompleteResponse> {
+        match framing {
+            Framing::Length(length) => self.read_bytes(&mut body, length, request).await?,
+            Framing::Chunked => self.read_chunks(&mut body, request).await?,
+            // An upstream that dies closes the connection just as one that is done.
+            Framing::Close => return Err(ResponseFault::UndelimitedBody.into()),
+        }
+        Ok(body.into_bytes())
+    }
+
+    /// Moves `remaining` bytes into a body.
+    async fn read_bytes(
+        &mut self,
+        body: &mut BodyBuffer,
+        mut remaining: usize,
+        request: &mut OutgoingRequest<'_>,
+    ) -> Result<(), IncompleteResponse> {
+        while remaining > 0 {
+            if self.unread.is_empty() {
+                self.read_more(request).await?;
+            }
+            let n = remaining.min(self.unread.len());
+            body.append(&self.unread[..n])
+                .ok_or(ResponseFault::BodyTooLarge)?;
+            self.unread.advance(n);
+            remaining -= n;
+        }
+        Ok(())
+    }
+
+    /// Reads chunks and trailers (RFC 9112, 7.1).
+    async fn read_chunks(
+        &mut self,
+        body: &mut BodyBuffer,
+        request: &mut OutgoingRequest<'_>,
+    ) -> Result<(), IncompleteResponse> {
+        loop {
+            let size = chunk_size(&self.read_line(request).await?)?;
+            if size == 0 {
+                break;
+            }
+            self.read_bytes(body, size, request).await?;
+            if !self.read_line(request).await?.is_empty() {
+                return Err(MalformedResponse.into());
+            }
+        }
+        for _ in 0..MAX_HEADER_LINES {
+            let line = self.read_line(request).await?;
+            if line.is_empty() {
+                return Ok(());
+            }
+            if !is_trailer(&line) {
+                break;
+            }
+        }
+        Err(MalformedResponse.into())
+    }
+
+    /// Reads a line, without its end.
+    async fn read_line(
+        &mut self,
+        request: &mut OutgoingRequest<'_>,
+    ) -> Result<BytesMut, IncompleteResponse> {
+        loop {
+            if let Some(end) = self.unread.iter().position(|b| *b == b'\n') {
+                let mut line = self.unread.split_to(end + 1);
+                // A carriage return stands before the line feed, and nowhere else.
+                let text_end = end.checked_sub(1).ok_or(MalformedResponse)?;
+                if line.iter().position(|b| *b == b'\r') != Some(text_end) {
+                    return Err(MalformedResponse.into());
+                }
+                line.truncate(text_end);
+                return Ok(line);
+            }
+            if self.unread.len() >= MAX_HEAD_BYTES {
+                return Err(MalformedResponse.into());
+            }
+            self.read_more(request).await?;
+        }
+    }
+}
--- a/crates/data-plane/src/link_tests.rs
+++ b/crates/data-plane/src/upstream_connection/tests.rs
@@ -1,9 +1,11 @@
 //! One connection to an upstream over loopback: whose each answer is, and what is none.
 
-use tokio::io::{AsyncWriteExt, DuplexStream, ReadBuf};
+use hyper::header::{HeaderName, HeaderValue};
+use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, ReadBuf};
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
+use super::matching::MAX_EXCHANGES;
 use super::*;
 
 static ID: HeaderName = HeaderName::from_static("attempt-id");
@@ -27,7 +29,10 @@
 fn awaited(id: &HeaderValue) -> AwaitedResponse<'_> {
     AwaitedResponse {
         method: &Method::GET,
-        echo: Some((&ID, Some(id))),
+        echoed_id: Some(EchoedId {
+            header: &ID,
+            value: Some(id),
+        }),
     }
 }
 
@@ -36,7 +41,7 @@
     let all = BodyBudget::new(1 << 20);
     let mut sent = SendProgress::default();
     let mut request = OutgoingRequest::new(b"x", b"", &mut sent);
-    request.sent.bytes = 1;
+    request.progress.bytes_sent = 1;
     link.receive(&awaited(&id), &mut request, &all)
         .await
         .ok()
@@ -46,7 +51,7 @@
 /// What comes on the wire, in pieces; whether `b` gets its answer, and may be followed.
 async fn told(pieces: &[&str]) -> (Option<String>, bool) {
     let (mut link, mut far) = pair().await;
-    link.carried.insert(&HeaderValue::from_static("a"));
+    link.carried_ids.insert(&HeaderValue::from_static("a"));
     let pieces: Vec<String> = pieces.iter().map(ToString::to_string).collect();
     let upstream = async move {
         for piece in pieces {
@@ -108,7 +113,7 @@
          Transfer-Encoding: chunked\r\n\r\n3\r\nown\r\n0\r\n\r\n"
             .into(),
         "HTTP/1.1 101 Switching Protocols\r\nAttempt-Id: b\r\n\r\n".into(),
-        "HTTP/1.1 103 Early Hints\r\n\r\n".repeat(AHEAD + 1),
+        "HTTP/1.1 103 Early Hints\r\n\r\n".repeat(MAX_OTHER_RESPONSES + 1),
     ];
     for text in cases {
         assert_eq!(told(&[&text]).await, (None, false), "{text:?}");
@@ -119,10 +124,13 @@
 async fn receive_unnamed(link: &mut UpstreamConnection) -> Option<Bytes> {
     let mut sent = SendProgress::default();
     let mut request = OutgoingRequest::new(b"x", b"", &mut sent);
-    request.sent.bytes = 1;
+    request.progress.bytes_sent = 1;
     let awaited = AwaitedResponse {
         method: &Method::GET,
-        echo: Some((&ID, None)),
+        echoed_id: Some(EchoedId {
+            header: &ID,
+            value: None,
+        }),
     };
     let all = BodyBudget::new(1 << 20);
     link.receive(&awaited, &mut request, &all)
@@ -153,12 +161,15 @@
 
     // After another exchange it could be the surplus of that one.
     let (mut link, mut far) = pair().await;
-    link.carried.insert(&HeaderValue::from_static("a"));
+    link.carried_ids.insert(&HeaderValue::from_static("a"));
     let awaited = AwaitedResponse {
         method: &Method::GET,
-        echo: Some((&ID, None)),
+        echoed_id: Some(EchoedId {
+            header: &ID,
+            value: None,
+        }),
     };
-    assert!(!link.fits(&awaited));
+    assert!(!link.can_carry(&awaited));
     far.write_all(nameless).await.expect("written");
     drop(far);
     assert_eq!(receive_unnamed(&mut link).await, None);
@@ -172,14 +183,20 @@
         .expect("written");
     assert!(receive(&mut link, "b").await.is_some() && link.reusable);
     let (b, c) = (HeaderValue::from_static("b"), HeaderValue::from_static("c"));
-    assert!(!link.fits(&awaited(&b)), "its first answer may come again");
-    assert!(link.fits(&awaited(&c)));
+    assert!(
+        !link.can_carry(&awaited(&b)),
+        "its first answer may come again"
+    );
+    assert!(link.can_carry(&awaited(&c)));
     far.write_all(answer("b", "own").as_bytes())
         .await
         .expect("written");
     far.flush().await.expect("flushed");
     link.stream.readable().await.expect("it came");
-    assert!(!link.fits(&awaited(&c)), "something unasked for has come");
+    assert!(
+        !link.can_carry(&awaited(&c)),
+        "something unasked for has come"
+    );
 }
 
 #[tokio::test]
@@ -192,24 +209,27 @@
         .expect("written");
     let mut request = OutgoingRequest::new(b"head", &large, &mut sent);
     link.send(&mut request).await.expect("it spoke");
-    assert!(sent.never_whole() && !sent.untouched());
+    assert!(sent.is_incomplete() && !sent.is_unsent());
     assert_eq!(receive(&mut link, "b").await.expect("its word"), "full");
 }
 
 #[test]
 fn only_what_is_certainly_not_whole_never_ran() {
     let mut sent = SendProgress::default();
-    assert!(sent.untouched() && sent.never_whole(), "no connection yet");
+    assert!(
+        sent.is_unsent() && sent.is_incomplete(),
+        "no connection yet"
+    );
     sent = SendProgress {
-        bytes: 0,
-        of: 10,
+        bytes_sent: 0,
+        total_bytes: 10,
         ..sent
     };
-    assert!(sent.untouched() && sent.never_whole());
-    sent.bytes = 9;
-    assert!(!sent.untouched() && sent.never_whole());
-    sent.bytes = 10;
-    assert!(!sent.never_whole());
+    assert!(sent.is_unsent() && sent.is_incomplete());
+    sent.bytes_sent = 9;
+    assert!(!sent.is_unsent() && sent.is_incomplete());
+    sent.bytes_sent = 10;
+    assert!(!sent.is_incomplete());
 }
 
 /// A connection within this process, whose far side takes in no more than `room` bytes unread.
@@ -220,7 +240,7 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
-    ) -> Poll<Result<()>> {
+    ) -> Poll<io::Result<()>> {
         Pin::new(&mut self.0).poll_read(cx, buf)
     }
 }
@@ -230,19 +250,19 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         data: &[u8],
-    ) -> Poll<Result<usize>> {
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.0).poll_write(cx, data)
     }
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Result<()>> {
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.0).poll_flush(cx)
     }
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Result<()>> {
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.0).poll_shutdown(cx)
     }
 }
 
 impl Transport for Memory {
-    fn is_quiet(&self) -> bool {
+    fn is_idle(&self) -> bool {
         true
     }
 }
@@ -258,7 +278,7 @@
         Duration::from_secs(8),
     );
     for id in carried {
-        link.carried
+        link.carried_ids
             .insert(&HeaderValue::from_str(id).expect("an id"));
     }
     (link, far)
@@ -295,18 +315,18 @@
 #[tokio::test]
 async fn no_connection_carries_an_id_twice_or_more_ids_than_it_remembers() {
     let (mut link, mut far) = pair().await;
-    for n in 1..=EXCHANGES {
+    for n in 1..=MAX_EXCHANGES {
         let id = HeaderValue::from_str(&n.to_string()).expect("an id");
-        assert!(link.fits(&awaited(&id)), "{n}");
+        assert!(link.can_carry(&awaited(&id)), "{n}");
         far.write_all(answer(&n.to_string(), "own").as_bytes())
             .await
             .expect("written");
         assert!(receive(&mut link, &n.to_string()).await.is_some(), "{n}");
-        assert_eq!(link.reusable, n < EXCHANGES, "{n}");
+        assert_eq!(link.reusable, n < MAX_EXCHANGES, "{n}");
         if n == 3 {
             for earlier in ["1", "2", "3"].map(HeaderValue::from_static) {
                 assert!(
-                    !link.fits(&awaited(&earlier)),
+                    !link.can_carry(&awaited(&earlier)),
                     "its surplus would answer its next try"
                 );
             }
@@ -323,13 +343,13 @@
         ..awaited(&id)
     };
     let (mut link, mut far) = memory(4096, &[]);
-    assert!(link.fits(&head));
+    assert!(link.can_carry(&head));
     far.write_all(b"HTTP/1.1 200 OK\r\nAttempt-Id: b\r\nContent-Length: 9\r\n\r\n")
         .await
         .expect("written");
     let (body, _, reusable) = exchange(&mut link, &method, b"").await;
     assert_eq!((body.as_deref(), reusable), (Some(""), false));
-    assert!(!memory(1, &["a"]).0.fits(&head));
+    assert!(!memory(1, &["a"]).0.can_carry(&head));
 }
 
 #[tokio::test(start_paused = true)]
@@ -363,7 +383,7 @@
             (Some("own"), false),
             "cut at {cut}"
         );
-        assert!(!sent.never_whole() && !sent.never_ran());
+        assert!(!sent.is_incomplete() && !sent.proves_not_run());
     }
     // The upstream breaks off after the surplus: nobody has had the whole request.
     let (mut link, mut far) = memory(128, &["a"]);
@@ -373,7 +393,7 @@
         far.shutdown().await.expect("closed");
     };
     let (became, ()) = tokio::join!(exchange(&mut link, &Method::POST, &large), upstream);
-    assert!(became.0.is_none() && became.1.never_ran() && !became.1.untouched());
+    assert!(became.0.is_none() && became.1.proves_not_run() && !became.1.is_unsent());
 }
 
 #[tokio::test(start_paused = true)]
@@ -418,7 +438,7 @@
         let (body, sent, reusable) = became;
         assert_eq!(body.as_deref(), expected, "{text:?}");
         assert!(
-            sent.never_whole() && !sent.never_ran() && !reusable,
+            sent.is_incomplete() && !sent.proves_not_run() && !reusable,
             "{text:?}"
         );
     }
@@ -430,7 +450,7 @@
     far.write_all(text.as_bytes()).await.expect("written");
     far.shutdown().await.expect("closed");
     let (body, sent, reusable) = exchange(&mut link, method, b"").await;
-    assert!(!sent.never_whole(), "{text:?}");
+    assert!(!sent.is_incomplete(), "{text:?}");
     (body, reusable)
 }
 
@@ -630,7 +650,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_answer_is_as_large_as_any_may_be_and_as_there_is_room_for() {
-    for (size, fits) in [(ANSWER_LIMIT, true), (ANSWER_LIMIT + 1, false)] {
+    for (size, fits) in [(MAX_RESPONSE_BYTES, true), (MAX_RESPONSE_BYTES + 1, false)] {
         let body = "x".repeat(size);
         let chunked = format!(
             "HTTP/1.1 200 OK\r\nAttempt-Id: b\r\nTransfer-Encoding: chunked\r\n\r\n\
@@ -662,7 +682,7 @@
         let answer = link.receive(&awaited(&id), &mut request, &half).await;
         assert_eq!(answer.as_ref().is_ok_and(|a| a.body().len() == 100), whole);
         assert!(
-            answer.is_ok() || !sent.never_ran(),
+            answer.is_ok() || !sent.proves_not_run(),
             "what has begun to answer has run"
         );
         drop(answer);
--- /dev/null
+++ b/crates/data-plane/src/upstream_pool/protocol.rs
@@ -0,0 +1,173 @@
+//! What upstreams and balancer tell each other in headers and statuses: the head of a request as it goes to an
+//! upstream, and the meaning of a complete response.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use hyper::header::{HeaderMap, HeaderName, HeaderValue};
+use hyper::{Method, Response, StatusCode, Uri};
+use load_balancing::interface::AttemptOutcome;
+use tokio::time::Instant;
+
+use super::{LoadReportFormat, Target};
+use crate::framing::names_in_connection;
+
+/// Idle connections are closed so long before the time that the upstream announces in `Keep-Alive`, which is in whole
+/// seconds (but not before half of it).
+const ANNOUNCED_KEEPALIVE_MARGIN: Duration = Duration::from_secs(1);
+/// Room for the head of most requests, in bytes.
+const HEAD_CAPACITY: usize = 512;
+
+/// How the upstreams of a deployment word what concerns the balancer.
+pub struct UpstreamProtocol {
+    /// Request header: how many milliseconds are left until the attempt's deadline.
+    pub deadline_header: HeaderName,
+    /// Request header: the name of the one upstream that may run the request, if upstreams check that.
+    pub target_header: Option<HeaderName>,
+    /// Response header: with the value `1`, the request did not run and never will.
+    pub not_run_header: HeaderName,
+    /// The statuses on which [`Self::not_run_header`] is believed.
+    pub not_run_statuses: &'static [StatusCode],
+    /// Request header with the id that upstreams echo in the response, if they do.
+    pub request_id_header: Option<HeaderName>,
+    /// Response header that every success bears, if any: a success without it is not the request's response.
+    pub seal_header: Option<HeaderName>,
+    /// Whether a response with this status has served the request.
+    pub is_served: fn(StatusCode) -> bool,
+    /// Whether an upstream's own error goes to the client where there is nothing better.
+    pub forwards_errors: bool,
+    /// The form of load reports.
+    pub load_report: LoadReportFormat,
+}
+
+/// Whether a client concludes from this status that its request has not run and never will (RFC 9110, 15.5 and
+/// 15.6). From an upstream such a status is believed only with the deployment's own header, and only the balancer
+/// gives it to a client.
+pub fn implies_not_run(status: StatusCode) -> bool {
+    matches!(
+        status,
+        StatusCode::TOO_MANY_REQUESTS
+            | StatusCode::SERVICE_UNAVAILABLE
+            | StatusCode::REQUEST_TIMEOUT
+            | StatusCode::MISDIRECTED_REQUEST
+    )
+}
+
+impl UpstreamProtocol {
+    /// What a complete response says of the request.
+    pub(super) fn classify(&self, response: &Response<Bytes>) -> AttemptOutcome {
+        let (status, headers) = (response.status(), response.headers());
+        if status.is_success() && !self.is_sealed(headers) {
+            // Something ran, and this is not its response.
+            return AttemptOutcome::Reset;
+        }
+        let says_not_run = single_value(headers, &self.not_run_header).is_some_and(|v| v == "1");
+        // An upstream that is not the named one has not run it, whatever else it says.
+        let is_other_upstream =
+            self.target_header.is_some() && status == StatusCode::MISDIRECTED_REQUEST;
+        if (self.is_served)(status) {
+            AttemptOutcome::Ok
+        } else if is_other_upstream && says_not_run {
+            AttemptOutcome::NotOwner
+        } else if is_other_upstream || (says_not_run && self.not_run_statuses.contains(&status)) {
+            AttemptOutcome::Rejected
+        } else {
+            AttemptOutcome::Error
+        }
+    }
+
+    /// Whether a response with this outcome may go to the client.
+    pub(super) fn may_forward(&self, outcome: AttemptOutcome, status: StatusCode) -> bool {
+        match outcome {
+            AttemptOutcome::Ok => true,
+            AttemptOutcome::Error => self.forwards_errors && !implies_not_run(status),
+            _ => false,
+        }
+    }
+
+    /// Whether a success bears its seal: once, not empty, and such that it reaches the client.
+    fn is_sealed(&self, headers: &HeaderMap) -> bool {
+        let Some(name) = &self.seal_header else {
+            return true;
+        };
+        let has_seal = single_value(headers, name).is_some_and(|seal| !seal.is_empty());
+        has_seal && !names_in_connection(headers, name.as_str())
+    }
+}
+
+/// The value of a header that stands there once; one that stands twice is ambiguous and ignored.
+fn single_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
+    let mut values = headers.get_all(name).iter();
+    values.next().filter(|_| values.next().is_none())
+}
+
+/// How long a connection may idle, if the upstream announces how long it keeps it (`Keep-Alive: timeout=SECONDS`).
+pub(super) fn announced_max_idle(headers: &HeaderMap) -> Option<Duration> {
+    let text = headers.get("keep-alive")?.to_str().ok()?;
+    let seconds = text
+        .split(',')
+        .find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
+    let keepalive = Duration::from_secs(seconds.parse().ok()?);
+    let max_idle = keepalive.saturating_sub(ANNOUNCED_KEEPALIVE_MARGIN);
+    Some(max_idle.max(keepalive / 2))
+}
+
+/// A client's request as it goes to upstreams, the same for each of its attempts.
+pub struct ForwardedRequest {
+    /// As the client sent it.
+    pub method: Method,
+    /// Path and query, as the client sent them.
+    pub uri: Uri,
+    /// Without those that concern one connection only.
+    pub headers: HeaderMap,
+    /// All of it.
+    pub body: Bytes,
+}
+
+impl ForwardedRequest {
+    /// The head as it goes to an upstream, for an attempt that ends at `deadline`.
+    pub(super) fn encode_head(
+        &self,
+        protocol: &UpstreamProtocol,
+        target: &Target,
+        deadline: Instant,
+    ) -> Vec<u8> {
+        let mut head = Vec::with_capacity(HEAD_CAPACITY);
+        let path = self.uri.path_and_query().map_or("/", |p| p.as_str());
+        let mut push = |parts: [&[u8]; 4]| parts.iter().for_each(|p| head.extend_from_slice(p));
+        push([
+            self.method.as_str().as_bytes(),
+            b" ",
+            path.as_bytes(),
+            b" HTTP/1.1\r\n",
+        ]);
+        let is_set_below = |name: &HeaderName| {
+            *name == protocol.deadline_header || Some(name) == protocol.target_header.as_ref()
+        };
+        for (name, value) in &self.headers {
+            if !is_set_below(name) {
+                push([name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"]);
+            }
+        }
+        let remaining_ms = deadline
+            .saturating_duration_since(Instant::now())
+            .as_millis()
+            .to_string();
+        push([
+            protocol.deadline_header.as_str().as_bytes(),
+            b": ",
+            remaining_ms.as_bytes(),
+            b"\r\n",
+        ]);
+        if let (Some(header), Some(name)) = (&protocol.target_header, &target.name) {
+            push([header.as_str().as_bytes(), b": ", name.as_bytes(), b"\r\n"]);
+        }
+        // A method that anticipates a body states that there is none (RFC 9110, 8.6).
+        let anticipates_body = [Method::POST, Method::PUT, Method::PATCH].contains(&self.method);
+        if anticipates_body && self.body.is_empty() {
+            push([b"content-length", b": ", b"0", b"\r\n"]);
+        }
+        head.extend_from_slice(b"\r\n");
+        head
+    }
+}
--- a/crates/data-plane/src/upstreams_tests.rs
+++ b/crates/data-plane/src/upstream_pool/tests.rs
@@ -1,4 +1,9 @@
-//! What goes to upstreams and what of their answers is understood.
+//! What goes to upstreams, and how their load reports are read.
+
+use bytes::Bytes;
+use hyper::header::{HeaderMap, HeaderName};
+use hyper::{Method, StatusCode, Uri};
+use load_balancing::settings::Field;
 
 use super::*;
 
@@ -9,7 +14,7 @@
     let read = |text: &str| {
         let mut headers = HeaderMap::new();
         headers.insert("x-load", text.parse().expect("a header"));
-        let r = load.report(&headers);
+        let r = load.parse(&headers);
         (r.eps, r.qps, r.inflight)
     };
     assert_eq!(
@@ -33,7 +38,7 @@
     let read = |text: &str| {
         let mut headers = HeaderMap::new();
         headers.insert("upstream-load", text.parse().expect("a header"));
-        let r = load.report(&headers);
+        let r = load.parse(&headers);
         (r.inflight, r.queue)
     };
     assert_eq!(read("3,1,8"), (Some(3.0), Some(1.0)));
@@ -42,17 +47,17 @@
     assert_eq!(read("-1,1e300,1"), (None, None));
 }
 
-pub(crate) fn dialect() -> UpstreamProtocol {
+pub(crate) fn test_protocol() -> UpstreamProtocol {
     UpstreamProtocol {
-        deadline: HeaderName::from_static("x-deadline-ms"),
-        target: None,
-        not_run: HeaderName::from_static("x-not-run"),
-        refusals: &[],
-        echo: None,
-        seal: None,
-        served: |s| s == StatusCode::OK,
-        passes_errors: false,
-        load: LoadReportFormat::Named(Vec::new()),
+        deadline_header: HeaderName::from_static("x-deadline-ms"),
+        target_header: None,
+        not_run_header: HeaderName::from_static("x-not-run"),
+        not_run_statuses: &[],
+        request_id_header: None,
+        seal_header: None,
+        is_served: |s| s == StatusCode::OK,
+        forwards_errors: false,
+        load_report: LoadReportFormat::Named(Vec::new()),
     }
 }
 
@@ -75,13 +80,13 @@
     let target = Target {
         address,
         name,
-        closed_from: Cell::new(None),
+        closed_at: Cell::new(None),
     };
-    let dialect = UpstreamProtocol {
-        target: Some(HeaderName::from_static("target-instance")),
-        ..dialect()
+    let protocol = UpstreamProtocol {
+        target_header: Some(HeaderName::from_static("target-instance")),
+        ..test_protocol()
     };
-    let head = forward.head(&dialect, &target, Instant::now());
+    let head = forward.encode_head(&protocol, &target, Instant::now());
     assert_eq!(
         String::from_utf8_lossy(&head),
         "POST /api/x?q=1 HTTP/1.1\r\nhost: h\r\nx-deadline-ms: 0\r\ntarget-instance: i-7\r\n\
--- a/crates/data-plane/tests/answers.rs
+++ b/crates/data-plane/tests/answers.rs
@@ -106,7 +106,7 @@
     Target {
         address: Cell::new(address),
         name,
-        closed_from: Cell::new(None),
+        closed_at: Cell::new(None),
     }
 }
 
@@ -354,7 +354,7 @@
         assert_eq!(body(&attempt(&pool, 1, &at, "d").await), "9");
         // Nothing goes to one that is gone, and its connections end.
         at.address.set(closing);
-        at.closed_from.set(Some(Instant::now()));
+        at.closed_at.set(Some(Instant::now()));
         assert_eq!(
             attempt(&pool, 2, &at, "e").await.outcome,
             AttemptOutcome::NotIssued
@@ -437,7 +437,7 @@
             seed: 1,
             headroom: Duration::ZERO,
             drain_grace: Duration::ZERO,
-            grid: Duration::from_millis(1),
+            timer_granularity: Duration::from_millis(1),
             subscribe: None,
         },
         UpstreamPool::new(terms(64)),
@@ -449,7 +449,7 @@
     let mut settings = d::Settings::basic(vec![class]);
     settings.limits.max_attempts = 2;
     engine
-        .settings(0, settings)
+        .apply_settings(0, settings)
         .expect("settings that can be used");
     let list = (1..).zip(said).map(|(n, status)| ListedUpstream {
         id: format!("i-{n}"),
@@ -464,10 +464,10 @@
         slots: 4,
         started: None,
     });
-    handle.tell(EngineEvent::Members {
+    handle.send_event(EngineEvent::MembershipChanged {
         service: 0,
         kind: MembershipKind::Complete,
-        list: list.collect(),
+        upstreams: list.collect(),
     });
     let running = tokio::task::spawn_local(engine.run());
     let mut seen = Vec::new();
@@ -479,12 +479,12 @@
             tenant: 0,
             key,
             shard,
-            until,
-            cost_guess,
-            resent: false,
+            deadline: until,
+            estimated_work: cost_guess,
+            is_client_retry: false,
         };
         let forward = forward(&format!("r-{n}"), Method::GET, 0);
-        if let EngineReply::Served(response) = handle.ask(0, arrival, forward).await {
+        if let EngineReply::Served(response) = handle.submit(0, arrival, forward).await {
             let passed = forward_response(response, &[]);
             let seal = passed.headers().get("upstream-seal");
             let seal = seal.map(|seal| seal.to_str().expect("text").to_string());
--- a/crates/data-plane/tests/model/link.rs
+++ b/crates/data-plane/tests/model/link.rs
@@ -102,7 +102,7 @@
         Target {
             address: Cell::new(address),
             name,
-            closed_from: Cell::new(None),
+            closed_at: Cell::new(None),
         },
     )
 }
--- a/crates/data-plane/tests/model/tries.rs
+++ b/crates/data-plane/tests/model/tries.rs
@@ -220,12 +220,12 @@
                 seed,
                 headroom: Duration::from_millis(5),
                 drain_grace: Duration::ZERO,
-                grid: Duration::from_millis(1),
+                timer_granularity: Duration::from_millis(1),
                 subscribe: None,
             };
             let (engine, handle) = Engine::new(terms, pool(16));
             engines.push(spawn_local(engine.run()));
-            handle.tell(EngineEvent::Settings {
+            handle.send_event(EngineEvent::SettingsChanged {
                 service: 0,
                 settings: Box::new(settings(order)),
             });
@@ -262,10 +262,10 @@
             .collect();
         for balancer in &self.balancers {
             let list = list.clone();
-            balancer.tell(EngineEvent::Members {
+            balancer.send_event(EngineEvent::MembershipChanged {
                 service: 0,
                 kind: MembershipKind::Complete,
-                list,
+                upstreams: list,
             });
         }
     }
@@ -314,12 +314,12 @@
             tenant: 0,
             key: None,
             shard: None,
-            until: Instant::now() + DEADLINE,
-            cost_guess: None,
-            resent: call > 0,
+            deadline: Instant::now() + DEADLINE,
+            estimated_work: None,
+            is_client_retry: call > 0,
         };
         self.balancers[balancer]
-            .ask(0, arrival, forward(call, id, method, body))
+            .submit(0, arrival, forward(call, id, method, body))
             .await
     }
 }
@@ -327,7 +327,7 @@
 /// Whether the caller takes it that its request has not run and never will.
 fn promises(reply: &EngineReply) -> bool {
     match reply {
-        EngineReply::Refused { .. } => true,
+        EngineReply::Rejected { .. } => true,
         EngineReply::Served(answer) => [
             StatusCode::SERVICE_UNAVAILABLE,
             StatusCode::TOO_MANY_REQUESTS,
--- a/crates/simulation/tests/cells/balancers.rs
+++ b/crates/simulation/tests/cells/balancers.rs
@@ -8,9 +8,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use data_plane::abort_on_drop::AbortOnDrop;
 use data_plane::change_notifier::{ChangeNotifier, ChangeWatcher};
 use data_plane::control_client::{CONNECT_TIMEOUT, ControlClient, Network, UpdateHandler};
-use data_plane::upstream_pool::AbortOnDrop;
 use protocol::config::Config;
 use protocol::key_ranges::WorkCounts;
 use protocol::upstream_list::{UpdateOutcome, UpstreamList};
--- a/crates/simulation/tests/cells/main.rs
+++ b/crates/simulation/tests/cells/main.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use balancers::Fleet;
-use data_plane::upstream_pool::AbortOnDrop;
+use data_plane::abort_on_drop::AbortOnDrop;
 use history::History;
 use net::Net;
 use oorandom::Rand64;
--- a/crates/simulation/tests/cells/net.rs
+++ b/crates/simulation/tests/cells/net.rs
@@ -15,7 +15,7 @@
 use control_plane::connections::serve_connection;
 use control_plane::server::{Channels, ControlServer, DialRequest, Environment};
 use control_plane::store::DiskRequest;
-use data_plane::upstream_pool::AbortOnDrop;
+use data_plane::abort_on_drop::AbortOnDrop;
 use oorandom::Rand64;
 use protocol::settings::Settings;
 use raft::{Members, NodeId, PersistentState, Snapshot};
--- a/crates/standalone-proxy/src/api.rs
+++ b/crates/standalone-proxy/src/api.rs
@@ -127,13 +127,13 @@
             headers: forward_request_headers(head.headers, body.len()),
             body,
         };
-        match self.engine.ask(0, arrival, forward).await {
+        match self.engine.submit(0, arrival, forward).await {
             EngineReply::Served(response) => forward_response(response, &INTERNAL),
-            EngineReply::Refused { retry_after } => {
+            EngineReply::Rejected { retry_after } => {
                 retry_later(StatusCode::SERVICE_UNAVAILABLE, retry_after)
             }
-            EngineReply::Failed { late: true } => empty_response(StatusCode::GATEWAY_TIMEOUT),
-            EngineReply::Failed { late: false } => empty_response(StatusCode::BAD_GATEWAY),
+            EngineReply::Failed { timed_out: true } => empty_response(StatusCode::GATEWAY_TIMEOUT),
+            EngineReply::Failed { timed_out: false } => empty_response(StatusCode::BAD_GATEWAY),
         }
     }
 
@@ -192,11 +192,11 @@
             tenant,
             shard: None,
             key: cookie(&head.headers, "sid").map(key_hash),
-            until: arrived + deadline,
-            cost_guess: hint
+            deadline: arrived + deadline,
+            estimated_work: hint
                 .filter(|us| us.is_finite() && *us > 0.0)
                 .map(|us| Span(us as i64)),
-            resent: text("x-retry").is_some_and(|v| v == "1"),
+            is_client_retry: text("x-retry").is_some_and(|v| v == "1"),
         })
     }
 }
@@ -210,7 +210,7 @@
     ) -> ClientResponse {
         let path = request.uri().path();
         let mut answer = if path == "/-/ready" {
-            let ready = self.engine.ready() && !stopping;
+            let ready = self.engine.is_ready() && !stopping;
             empty_response(if ready {
                 StatusCode::OK
             } else {
--- a/crates/standalone-proxy/src/discovery.rs
+++ b/crates/standalone-proxy/src/discovery.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::{Bytes, BytesMut};
+use data_plane::abort_on_drop::AbortOnDrop;
 use data_plane::engine::{EngineEvent, ListedUpstream};
-use data_plane::upstream_pool::AbortOnDrop;
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
 use hyper::header::HOST;
@@ -215,10 +215,10 @@
         } else {
             MembershipKind::Update
         };
-        (self.tell)(EngineEvent::Members {
+        (self.tell)(EngineEvent::MembershipChanged {
             service: 0,
             kind,
-            list: self.names.upstreams(list),
+            upstreams: self.names.upstreams(list),
         });
     }
 
@@ -226,10 +226,10 @@
         self.watch = None;
         if self.beats {
             let kind = MembershipKind::Unavailable;
-            (self.tell)(EngineEvent::Members {
+            (self.tell)(EngineEvent::MembershipChanged {
                 service: 0,
                 kind,
-                list: Vec::new(),
+                upstreams: Vec::new(),
             });
         } else {
             sleep(REWATCH).await;
--- a/crates/standalone-proxy/src/main.rs
+++ b/crates/standalone-proxy/src/main.rs
@@ -68,20 +68,26 @@
         seed: config.seed,
         headroom: HEADROOM,
         drain_grace: grace.saturating_sub(DRAIN_MARGIN),
-        grid: Duration::ZERO,
+        timer_granularity: Duration::ZERO,
         subscribe: Some(subscribe),
     };
     let (mut engine, handle) = Engine::new(terms, UpstreamPool::new(config.terms()));
     engine
-        .settings(0, settings)
+        .apply_settings(0, settings)
         .map_err(|e| format!("settings: {e}"))?;
     let names = Names {
         zones: config.facts.zones.clone(),
         kinds: config.facts.machine_types.clone(),
     };
-    engine.listed(0, MembershipKind::Restored, &names.upstreams(&config.known));
+    engine.update_membership(0, MembershipKind::Restored, &names.upstreams(&config.known));
     let revision = config.known.revision;
-    let watch = Watch::new(config.discovery, revision, must_ask, names, handle.teller());
+    let watch = Watch::new(
+        config.discovery,
+        revision,
+        must_ask,
+        names,
+        handle.event_sender(),
+    );
     let (moved, moves) = mpsc::unbounded_channel();
     tokio::task::spawn_local(watch.run(subscriptions, moves));
     let engine = tokio::task::spawn_local(engine.run());
