--- a/crates/data-plane/src/engine.rs
+++ b/crates/data-plane/src/engine.rs
@@ -420,8 +420,8 @@
         let keys = |KeyRangeRow(since, to, holder): &KeyRangeRow| {
             let server = holder.as_ref().and_then(|id| ids.get(id)).copied();
             d::OwnedKeyRange {
-                since: *since,
-                to: *to,
+                first: *since,
+                last: *to,
                 server,
             }
         };
--- a/crates/data-plane/src/engine/requests.rs
+++ b/crates/data-plane/src/engine/requests.rs
@@ -61,7 +61,7 @@
     /// Whether an upstream may have run it, as far as its last attempt tells. What may run once is not held after
     /// one that may have.
     pub(super) fn may_have_run(&self) -> bool {
-        self.last.is_some_and(|last| !last.never_ran())
+        self.last.is_some_and(|last| !last.has_not_run())
     }
 
     /// The attempt that a cancel breaks off, if it does. One whose task is done has its end on the way, which
--- a/crates/data-plane/src/routes/configuring.rs
+++ b/crates/data-plane/src/routes/configuring.rs
@@ -88,14 +88,18 @@
                 RequestKind::Mutating => d::Effect::Unsafe,
             },
             zones,
-            attempts: Some(route.max_attempts as usize),
+            max_attempts: Some(route.max_attempts as usize),
             ..d::RequestClass::safe(ms(route.target_ms), ms(route.deadline_ms))
         }
     }
 
     pub(super) fn settings(&self, service: &Service, bank: FleetView) -> d::Settings {
         let classes = service.classes.clone();
-        let tries = classes.iter().filter_map(|c| c.attempts).max().unwrap_or(1);
+        let tries = classes
+            .iter()
+            .filter_map(|c| c.max_attempts)
+            .max()
+            .unwrap_or(1);
         let longest = classes.iter().map(|c| c.deadline).max().unwrap_or(Span(0));
         let mut settings = d::Settings::basic(classes);
         settings.balancers = bank.balancers;
@@ -103,7 +107,7 @@
         settings.zones = self.zones.len() as u32;
         settings.zone = self.zone;
         let distance = |region: &String| i64::from(*region != self.region);
-        settings.distance = self.regions.iter().map(|r| Span(distance(r))).collect();
+        settings.zone_distances = self.regions.iter().map(|r| Span(distance(r))).collect();
         settings.tick = Span(TICK.as_micros() as i64);
         settings.limits.max_attempts = tries;
         settings.limits.hedging = true;
@@ -120,7 +124,7 @@
         settings.rules.retry_window =
             Span((self.bounds.retry_window_s.clamp(0.0, 3600.0) * 1e6) as i64);
         settings.rules.retry_ratio = self.bounds.retry_ratio;
-        settings.rules.retry_slack = self.bounds.retry_slack;
+        settings.rules.retry_allowance = self.bounds.retry_slack;
         settings.prices.cross_zone = 1.0;
         settings
     }
--- a/crates/data-plane/src/upstream_pool.rs
+++ b/crates/data-plane/src/upstream_pool.rs
@@ -9,7 +9,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Response, StatusCode, Uri};
 use load_balancing::interface::{AttemptOutcome, LoadReport, ServerId};
-use load_balancing::settings::Field;
+use load_balancing::settings::LoadReportField;
 use rustc_hash::FxHashMap;
 use socket2::SockRef;
 use tokio::net::TcpStream;
@@ -78,7 +78,7 @@
 /// The form of load reports.
 pub enum LoadReportFormat {
     /// `X-Load: TEXT name=value, ...`, and what the names mean.
-    Named(Vec<(String, Field)>),
+    Named(Vec<(String, LoadReportField)>),
     /// Requests running, requests waiting and slots, joined by commas, in this header.
     Slots(HeaderName),
 }
@@ -493,7 +493,7 @@
                 let mut values = text(header.as_str()).unwrap_or_default().split(',');
                 let mut next = || values.next()?.trim().parse().ok();
                 let value = |v: Option<f64>| v.filter(|v| PLAUSIBLE.contains(v));
-                (report.inflight, report.queue) = (value(next()), value(next()));
+                (report.inflight, report.queued) = (value(next()), value(next()));
             }
         }
         report
--- a/crates/data-plane/src/upstreams_tests.rs
+++ b/crates/data-plane/src/upstreams_tests.rs
@@ -4,13 +4,13 @@
 
 #[test]
 fn a_load_report_is_read_as_far_as_it_is_understood() {
-    let fields = ["eps", "qps", "inflight"].map(|n| (n.to_string(), Field::named(n)));
+    let fields = ["eps", "qps", "inflight"].map(|n| (n.to_string(), LoadReportField::from_name(n)));
     let load = LoadReportFormat::Named(fields.to_vec());
     let read = |text: &str| {
         let mut headers = HeaderMap::new();
         headers.insert("x-load", text.parse().expect("a header"));
         let r = load.report(&headers);
-        (r.eps, r.qps, r.inflight)
+        (r.errors_per_s, r.requests_per_s, r.inflight)
     };
     assert_eq!(
         read("TEXT eps=0.5, qps=140, inflight=7"),
@@ -34,7 +34,7 @@
         let mut headers = HeaderMap::new();
         headers.insert("upstream-load", text.parse().expect("a header"));
         let r = load.report(&headers);
-        (r.inflight, r.queue)
+        (r.inflight, r.queued)
     };
     assert_eq!(read("3,1,8"), (Some(3.0), Some(1.0)));
     assert_eq!(read("3, x,8"), (Some(3.0), None));
--- a/crates/data-plane/tests/answers.rs
+++ b/crates/data-plane/tests/answers.rs
@@ -445,7 +445,7 @@
     let (mut engine, handle) = Engine::new(engine_terms, pool);
     let ms = |ms: i64| Span(ms * 1000);
     let mut class = d::RequestClass::safe(ms(5_000), ms(60_000));
-    class.attempts = Some(2);
+    class.max_attempts = Some(2);
     let mut settings = d::Settings::basic(vec![class]);
     settings.limits.max_attempts = 2;
     engine
--- a/crates/data-plane/tests/model/link.rs
+++ b/crates/data-plane/tests/model/link.rs
@@ -163,7 +163,7 @@
         return err("it was sent though its client had left");
     }
     let Some(ended) = ended else { return Ok(()) };
-    if ended.outcome.never_ran() && account.runs > 0 {
+    if ended.outcome.has_not_run() && account.runs > 0 {
         return Err(format!("{:?} for a request that was run", ended.outcome));
     }
     let unread = account.left_unread && call.body == LARGE_BODY;
@@ -172,7 +172,7 @@
         .early
         .iter()
         .any(|s| !matches!(s, Step::AfterCall));
-    if unread && !spoke && !ended.outcome.never_ran() {
+    if unread && !spoke && !ended.outcome.has_not_run() {
         return Err(format!(
             "{:?} for a request that never left whole",
             ended.outcome
@@ -211,11 +211,11 @@
 fn check_answered(answer: &Answer, ended: &AttemptResult) -> Result<(), String> {
     let outcome = ended.outcome;
     let right = match (answer.status, answer.not_run) {
-        (421, _) | (503 | 429, true) => outcome.never_ran(),
+        (421, _) | (503 | 429, true) => outcome.has_not_run(),
         // A promise that the upstream did not make is not its answer.
         (503 | 429 | 408, false) => outcome == AttemptOutcome::Error && ended.response.is_none(),
         // Either is honest.
-        (400, true) => outcome.never_ran() || ended.response.is_some(),
+        (400, true) => outcome.has_not_run() || ended.response.is_some(),
         _ => ended.response.is_some(),
     };
     if right {
--- a/crates/data-plane/tests/model/tries.rs
+++ b/crates/data-plane/tests/model/tries.rs
@@ -186,7 +186,7 @@
     let aim = span(DEADLINE / 2);
     let class = RequestClass {
         effect,
-        attempts: Some(DEPTH),
+        max_attempts: Some(DEPTH),
         ..RequestClass::safe(aim, span(DEADLINE))
     };
     let mut settings = Settings::basic(vec![class]);
--- a/crates/load-balancing/src/fleet.rs
+++ b/crates/load-balancing/src/fleet.rs
@@ -144,7 +144,7 @@
         };
         let tries: u32 = kept(PIECES + 1).map(|p| p.2).sum();
         let requests: u32 = kept(PIECES).map(|p| p.1).sum();
-        let part = rules.retry_slack / f64::from(settings.balancers.max(1));
+        let part = rules.retry_allowance / f64::from(settings.balancers.max(1));
         f64::from(tries) + 1.0 <= rules.retry_ratio * f64::from(requests) + part
     }
 }
@@ -159,7 +159,7 @@
         settings.balancers = 10;
         let rules = &mut settings.rules;
         (rules.retry_ratio, rules.retry_window) = (0.2, Span(10_000_000));
-        rules.retry_slack = 30.0;
+        rules.retry_allowance = 30.0;
         let rules = &settings.rules;
         let (mut budget, mut requests, mut tries) = (Budget::default(), Vec::new(), Vec::new());
         let mut step = |ms: i64, asks: bool| {
--- a/crates/load-balancing/src/interface.rs
+++ b/crates/load-balancing/src/interface.rs
@@ -54,7 +54,7 @@
 
 /// Which upstreams drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupGroup {
     /// All of them.
     All,
     /// Those of one zone.
@@ -77,9 +77,9 @@
     /// What a repeat does.
     pub effect: Effect,
     /// Who drops repeats of a keyed request.
-    pub group: Group,
+    pub dedup_group: DedupGroup,
     /// For how long they do, from the send of the first attempt that may have run.
-    pub window: Span,
+    pub dedup_window: Span,
     /// The aim grows by this multiple of a request's own work, up to the deadline.
     pub latency_target_stretch: f64,
     /// The answer is a stream: [`Event::ResponseStarted`] tells that it has begun.
@@ -91,7 +91,7 @@
     /// The only machine kinds it may be sent to; `None` for any.
     pub kinds: Option<Vec<u32>>,
     /// Most attempts of one request, where that is fewer than the site allows.
-    pub attempts: Option<usize>,
+    pub max_attempts: Option<usize>,
     /// No new request has it: its figures bind no other class.
     pub retired: bool,
 }
@@ -141,9 +141,9 @@
     /// Where that is told: how long a send that was earned waits for a request before it is lost.
     pub slow_start_credit_ttl: Span,
     /// It falls over when sent more than this many times its present capacity
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// for this long.
-    pub tip_after: Span,
+    pub overload_window: Span,
     /// How long after news of a drain a send may still go out.
     pub drain_grace: Span,
     /// A final answer so long after the client's deadline still counts.
@@ -151,16 +151,16 @@
     /// Where the list must be asked: the longest silence before news counts as told.
     pub membership_poll_interval: Span,
     /// Idle connections to a draining upstream must be closed within this; zero where no rule says so.
-    pub drain_close: Span,
+    pub drain_close_timeout: Span,
     /// How long a key rests after an attempt of an ordered class that may still be running.
-    pub turn_gap: Span,
+    pub ordered_retry_delay: Span,
     /// Within any such time all balancers together may send requests a further time, as many as the next two
     /// say; zero where no rule says so.
     pub retry_window: Span,
     /// A share of the requests of that time,
     pub retry_ratio: f64,
     /// and so many more.
-    pub retry_slack: f64,
+    pub retry_allowance: f64,
 }
 
 /// What things cost, each per first try, in shares of all worth.
@@ -220,7 +220,7 @@
     pub zone: u32,
     /// How far each zone is, in the time that a request and its answer need to cross; empty where nobody
     /// tells.
-    pub distance: Vec<Span>,
+    pub zone_distances: Vec<Span>,
     /// How often events are delivered at most.
     pub tick: Span,
     /// The list of upstreams comes only when asked for.
@@ -236,11 +236,11 @@
     /// Worth of a request beyond its tenant's share, over its class's.
     pub over_quota_value: f64,
     /// Worth counts by unit of work, not by request.
-    pub by_work: bool,
+    pub value_by_work: bool,
     /// Clients mark their repeats.
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
     /// Where load reports come from.
-    pub reports: LoadReportSource,
+    pub load_report_source: LoadReportSource,
 }
 
 impl RequestClass {
@@ -252,14 +252,14 @@
             value: 1.0,
             late_value: 0.0,
             effect: Effect::Safe,
-            group: Group::All,
-            window: Span(0),
+            dedup_group: DedupGroup::All,
+            dedup_window: Span(0),
             latency_target_stretch: 0.0,
             streaming: false,
             in_order: false,
             zones: None,
             kinds: None,
-            attempts: None,
+            max_attempts: None,
             retired: false,
         }
     }
@@ -276,7 +276,7 @@
             position: 0,
             zones: 1,
             zone: 0,
-            distance: Vec::new(),
+            zone_distances: Vec::new(),
             tick: Span(1000),
             membership_by_request: false,
             limits: Limits {
@@ -295,16 +295,16 @@
                 slow_start_duration: Span(0),
                 slow_start_rate_per_s: 0.0,
                 slow_start_credit_ttl: Span(500_000),
-                fall_multiple: 1.0,
-                tip_after: Span(0),
+                overload_multiple: 1.0,
+                overload_window: Span(0),
                 drain_grace: Span(0),
                 answer_slack: Span(0),
                 membership_poll_interval: Span(0),
-                drain_close: Span(0),
-                turn_gap: Span(0),
+                drain_close_timeout: Span(0),
+                ordered_retry_delay: Span(0),
                 retry_window: Span(0),
                 retry_ratio: 0.0,
-                retry_slack: 0.0,
+                retry_allowance: 0.0,
             },
             prices: Prices::default(),
             scoring_mix: ScoringMix {
@@ -312,16 +312,16 @@
                 ..ScoringMix::default()
             },
             over_quota_value: 1.0,
-            by_work: false,
-            marks_retry: false,
-            reports: LoadReportSource::None,
+            value_by_work: false,
+            clients_mark_retries: false,
+            load_report_source: LoadReportSource::None,
         }
     }
 }
 
 impl Settings {
     /// The same settings, made safe; an error where no safe reading exists.
-    pub fn checked(mut self) -> Result<Self, SettingsError> {
+    pub fn into_validated(mut self) -> Result<Self, SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
@@ -458,9 +458,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnedKeyRange {
     /// The first.
-    pub since: u16,
+    pub first: u16,
     /// The last.
-    pub to: u16,
+    pub last: u16,
     /// The holder; `None` while nobody is.
     pub server: Option<ServerId>,
 }
@@ -507,7 +507,7 @@
 
 impl AttemptOutcome {
     /// Whether it proves that the attempt never ran.
-    pub fn never_ran(self) -> bool {
+    pub fn has_not_run(self) -> bool {
         use AttemptOutcome::*;
         matches!(self, Rejected | NotOwner | ConnectFailed | NotIssued)
     }
@@ -560,15 +560,15 @@
     /// Requests in progress.
     pub inflight: Option<f64>,
     /// Requests waiting.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Share of its cores busy.
-    pub util: Option<f64>,
+    pub utilization: Option<f64>,
     /// Recent service time without waiting.
-    pub service: Option<Span>,
+    pub service_time: Option<Span>,
     /// Requests served per second.
-    pub qps: Option<f64>,
+    pub requests_per_s: Option<f64>,
     /// Errors per second.
-    pub eps: Option<f64>,
+    pub errors_per_s: Option<f64>,
 }
 
 /// What has happened; told in the order it came.
--- a/crates/load-balancing/src/key_owners.rs
+++ b/crates/load-balancing/src/key_owners.rs
@@ -26,7 +26,7 @@
     /// All of them, as told now.
     pub(crate) fn told(&mut self, now: Time, list: &[OwnedKeyRange]) {
         let run = |keys: &OwnedKeyRange| {
-            let known = self.at(keys.since).map(|i| self.runs[i]);
+            let known = self.at(keys.first).map(|i| self.runs[i]);
             let same = known.filter(|k| k.keys.server == keys.server);
             let (until, faults) = same.map_or((now, 0), |k| (k.until, k.faults));
             Run {
@@ -36,16 +36,16 @@
             }
         };
         let mut runs: Vec<Run> = list.iter().map(run).collect();
-        runs.sort_by_key(|r| r.keys.since);
+        runs.sort_by_key(|r| r.keys.first);
         self.runs = runs;
     }
 
     fn at(&self, key: u16) -> Option<usize> {
         let i = self
             .runs
-            .partition_point(|r| r.keys.since <= key)
+            .partition_point(|r| r.keys.first <= key)
             .checked_sub(1)?;
-        (key <= self.runs[i].keys.to).then_some(i)
+        (key <= self.runs[i].keys.last).then_some(i)
     }
 
     /// The one upstream that a request with this key may go to now.
@@ -79,8 +79,8 @@
     fn a_key_has_the_holder_that_was_told_last_unless_it_said_no() {
         let mut holders = KeyOwners::default();
         let keys = |since, to, server: Option<u32>| OwnedKeyRange {
-            since,
-            to,
+            first: since,
+            last: to,
             server: server.map(ServerId),
         };
         let (t, later) = (Time(0), Time(1_000_000));
--- a/crates/load-balancing/src/policy/attempts.rs
+++ b/crates/load-balancing/src/policy/attempts.rs
@@ -27,7 +27,7 @@
             return false;
         }
         let most = self.settings.classes[e.class]
-            .attempts
+            .max_attempts
             .unwrap_or(limits.max_attempts);
         if e.ended || now >= e.drop_dead || e.attempts.len() >= most.min(limits.max_attempts) {
             return false;
@@ -48,25 +48,25 @@
                 .iter()
                 .filter(|a| a.fate != Fate::NeverRan)
                 .all(|a| {
-                    now.since(a.sent) < class.window
-                        && self.same_group(class.group, a.server, server)
+                    now.since(a.sent) < class.dedup_window
+                        && self.same_group(class.dedup_group, a.server, server)
                 }),
         }
     }
 
-    pub(super) fn same_group(&self, group: Group, a: usize, b: usize) -> bool {
+    pub(super) fn same_group(&self, group: DedupGroup, a: usize, b: usize) -> bool {
         let (a, b) = (&self.servers[a], &self.servers[b]);
         match group {
-            Group::All => true,
-            Group::Zone => a.zone == b.zone,
-            Group::Cell => a.zone == b.zone && a.cell == b.cell,
+            DedupGroup::All => true,
+            DedupGroup::Zone => a.zone == b.zone,
+            DedupGroup::Cell => a.zone == b.zone && a.cell == b.cell,
         }
     }
 
     /// The one place that says whether a request may be refused.
     pub(super) fn may_refuse(&self, e: &Entry) -> bool {
         let class = &self.settings.classes[e.class];
-        let anywhere = class.effect == Effect::Keyed && class.group == Group::All;
+        let anywhere = class.effect == Effect::Keyed && class.dedup_group == DedupGroup::All;
         class.effect == Effect::Safe || anywhere || e.all_never_ran()
     }
 
@@ -81,7 +81,7 @@
         else {
             return;
         };
-        attempt.fate = if a.outcome.never_ran() {
+        attempt.fate = if a.outcome.has_not_run() {
             Fate::NeverRan
         } else {
             Fate::MayHaveRun
@@ -98,7 +98,7 @@
             .filter(|_| may_run)
             .and_then(|k| self.lines.get_mut(&k))
         {
-            line.rest_until = now.plus(self.settings.rules.turn_gap);
+            line.rest_until = now.plus(self.settings.rules.ordered_retry_delay);
         }
         if let Some(key) = shard {
             self.holders
@@ -191,7 +191,7 @@
         }
         if let Some(running) = a.report.inflight {
             let s = &mut self.servers[server];
-            let all = running + a.report.queue.unwrap_or(0.0);
+            let all = running + a.report.queued.unwrap_or(0.0);
             (s.others, s.told) = ((all - f64::from(s.in_flight)).max(0.0), now);
             self.fleet
                 .others
--- a/crates/load-balancing/src/policy/cold.rs
+++ b/crates/load-balancing/src/policy/cold.rs
@@ -39,7 +39,7 @@
         }
         let like = f.warm_rate.get(s.kind as usize).copied().unwrap_or(0.0);
         let rate = s.weight * if like > 0.0 { like } else { f.any_rate };
-        let multiple = self.settings.rules.fall_multiple.max(1.0);
+        let multiple = self.settings.rules.overload_multiple.max(1.0);
         // Failure: with every upstream young, or nothing observed yet, none got any work.
         let least = multiple / f64::from(self.settings.balancers) / f.ts;
         let rate = if rate > 0.0 { rate } else { least };
@@ -84,7 +84,7 @@
                 *w += s.weight;
             }
         }
-        let window = self.settings.rules.tip_after.as_micros().max(1.0);
+        let window = self.settings.rules.overload_window.as_micros().max(1.0);
         let cold = self.settings.rules.slow_start_duration.as_micros().max(1.0);
         let f = &mut self.fleet;
         f.warm_served
--- a/crates/load-balancing/src/policy/dispatch.rs
+++ b/crates/load-balancing/src/policy/dispatch.rs
@@ -176,7 +176,7 @@
         let away = |d: &Span| if d.0 > 0 { REGION_AWAY } else { ZONE_AWAY };
         let far = self
             .settings
-            .distance
+            .zone_distances
             .get(s.zone as usize)
             .map_or(0.0, away);
         let own = s.zone == self.settings.zone;
--- a/crates/load-balancing/src/policy/estimates.rs
+++ b/crates/load-balancing/src/policy/estimates.rs
@@ -203,7 +203,7 @@
     }
 
     /// Requests out at an upstream, its K_i, and its N_i within the time `t`; for gauges.
-    pub fn upstream(&self, id: ServerId, t: Span) -> Option<(u32, u32, f64)> {
+    pub fn upstream_limits(&self, id: ServerId, t: Span) -> Option<(u32, u32, f64)> {
         let s = &self.servers[*self.by_id.get(&id)?];
         Some((s.in_flight, self.k(s, 0), self.n_rate(s) * t.as_micros()))
     }
--- a/crates/load-balancing/src/policy/members.rs
+++ b/crates/load-balancing/src/policy/members.rs
@@ -34,7 +34,7 @@
                 .get(i)
                 .is_none_or(|was| *was != self.servers[i].status)
             {
-                self.servers[i].close_until = now.plus(self.settings.rules.drain_close);
+                self.servers[i].close_until = now.plus(self.settings.rules.drain_close_timeout);
                 self.close_idle(now, i, out);
             }
         }
@@ -126,7 +126,7 @@
     /// free a moment after the outcome that used it was told.
     pub(super) fn close_idle(&mut self, now: Time, server: usize, out: &mut Vec<Action>) {
         let s = &mut self.servers[server];
-        let within = self.settings.rules.drain_close;
+        let within = self.settings.rules.drain_close_timeout;
         if within.0 <= 0 || s.status == Status::Live {
             return;
         }
--- a/crates/load-balancing/src/policy/mod.rs
+++ b/crates/load-balancing/src/policy/mod.rs
@@ -148,7 +148,7 @@
     /// A balancer that knows its settings and nothing else yet. Its first event starts its timers: give it
     /// what list there is right away, if only an empty [`MembershipKind::Restored`].
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
-        let settings = settings.checked()?;
+        let settings = settings.into_validated()?;
         let t_qos = settings.t_qos();
         let (rooms, room_of) = settings.rooms();
         let classes = settings.classes.len();
@@ -188,7 +188,7 @@
     /// Takes over other settings in service; classes keep what was learned of them by their index. Its host
     /// keeps an index for as long as a request of that class is open.
     pub fn reconfigure(&mut self, settings: Settings) -> Result<(), SettingsError> {
-        let settings = settings.checked()?;
+        let settings = settings.into_validated()?;
         let classes = settings.classes.len().max(self.settings.classes.len());
         if classes > settings.classes.len() {
             return Err(SettingsError::FewerClasses(classes));
--- a/crates/load-balancing/src/settings.rs
+++ b/crates/load-balancing/src/settings.rs
@@ -7,7 +7,7 @@
 use crate::interface::{self as d, LoadReport, Span};
 
 /// Milliseconds in whole microseconds; whatever is not a number is 0.
-pub fn span(ms: f64) -> Span {
+pub fn span_from_ms(ms: f64) -> Span {
     Span((ms * 1000.0).round() as i64)
 }
 
@@ -25,7 +25,7 @@
 
 /// What one value of a load report tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Field {
+pub enum LoadReportField {
     InFlight,
     Queue,
     Util,
@@ -36,28 +36,28 @@
     Other,
 }
 
-impl Field {
-    pub fn named(name: &str) -> Self {
+impl LoadReportField {
+    pub fn from_name(name: &str) -> Self {
         match name {
-            "inflight" => Field::InFlight,
-            "queue" => Field::Queue,
-            "util" => Field::Util,
-            "latency_ms" => Field::Service,
-            "qps" => Field::Qps,
-            "eps" => Field::Eps,
-            _ => Field::Other,
+            "inflight" => LoadReportField::InFlight,
+            "queue" => LoadReportField::Queue,
+            "util" => LoadReportField::Util,
+            "latency_ms" => LoadReportField::Service,
+            "qps" => LoadReportField::Qps,
+            "eps" => LoadReportField::Eps,
+            _ => LoadReportField::Other,
         }
     }
 
     pub fn set(self, report: &mut LoadReport, value: f64) {
         match self {
-            Field::InFlight => report.inflight = Some(value),
-            Field::Queue => report.queue = Some(value),
-            Field::Util => report.util = Some(value),
-            Field::Service => report.service = Some(span(value)),
-            Field::Qps => report.qps = Some(value),
-            Field::Eps => report.eps = Some(value),
-            Field::Other => {}
+            LoadReportField::InFlight => report.inflight = Some(value),
+            LoadReportField::Queue => report.queued = Some(value),
+            LoadReportField::Util => report.utilization = Some(value),
+            LoadReportField::Service => report.service_time = Some(span_from_ms(value)),
+            LoadReportField::Qps => report.requests_per_s = Some(value),
+            LoadReportField::Eps => report.errors_per_s = Some(value),
+            LoadReportField::Other => {}
         }
     }
 }
@@ -254,11 +254,11 @@
 
 impl SiteSettings {
     /// The module's settings: names become indexes, milliseconds microseconds.
-    pub fn settings(&self) -> d::Settings {
+    pub fn to_settings(&self) -> d::Settings {
         let facts = self;
         let class = |s: &Service| d::RequestClass {
-            latency_target: span(s.aim),
-            deadline: span(s.deadline),
+            latency_target: span_from_ms(s.aim),
+            deadline: span_from_ms(s.deadline),
             value: s.importance,
             late_value: s.late_value,
             effect: match s.effect {
@@ -266,19 +266,19 @@
                 Effect::Dedup => d::Effect::Keyed,
                 Effect::Fragile => d::Effect::Unsafe,
             },
-            group: match s.group {
-                Group::All => d::Group::All,
-                Group::Zone => d::Group::Zone,
-                Group::Cell => d::Group::Cell,
+            dedup_group: match s.group {
+                Group::All => d::DedupGroup::All,
+                Group::Zone => d::DedupGroup::Zone,
+                Group::Cell => d::DedupGroup::Cell,
             },
-            window: span(s.window),
+            dedup_window: span_from_ms(s.window),
             latency_target_stretch: s.aim_stretch,
             streaming: s.streaming,
             in_order: s.by_arrival,
             zones: s.zones_allowed.clone(),
             kinds: s.bound_to.clone(),
             retired: false,
-            attempts: None,
+            max_attempts: None,
         };
         let limits = &facts.policy_limits;
         d::Settings {
@@ -295,8 +295,8 @@
             position: facts.position,
             zones: facts.zones.len() as u32,
             zone: facts.zone,
-            distance: Vec::new(),
-            tick: span(facts.tick),
+            zone_distances: Vec::new(),
+            tick: span_from_ms(facts.tick),
             membership_by_request: facts.registry_mode == RegistryMode::Subscribe,
             limits: d::Limits {
                 max_attempts: limits.max_attempts,
@@ -304,26 +304,26 @@
                 cancel: limits.cancelling,
                 probes: limits.probes,
                 retry_after: limits.retry_after,
-                max_retry_after: span(limits.max_retry_after),
-                connect_timeout: span(limits.connect_timeout),
-                keepalive: span(limits.keepalive),
+                max_retry_after: span_from_ms(limits.max_retry_after),
+                connect_timeout: span_from_ms(limits.connect_timeout),
+                keepalive: span_from_ms(limits.keepalive),
                 streams_per_conn: limits.streams_per_conn,
             },
             rules: d::Rules {
                 slow_start_min_capacity: facts.safety.cold_from,
-                slow_start_duration: span(facts.safety.cold),
+                slow_start_duration: span_from_ms(facts.safety.cold),
                 slow_start_rate_per_s: 0.0,
                 slow_start_credit_ttl: Span(0),
-                fall_multiple: facts.safety.fall_multiple,
-                tip_after: span(facts.safety.tip_after),
-                drain_grace: span(facts.safety.drain_grace),
-                answer_slack: span(facts.safety.answer_slack),
-                membership_poll_interval: span(facts.safety.ask_every),
-                drain_close: span(facts.safety.drain_close),
-                turn_gap: span(facts.safety.turn_gap),
+                overload_multiple: facts.safety.fall_multiple,
+                overload_window: span_from_ms(facts.safety.tip_after),
+                drain_grace: span_from_ms(facts.safety.drain_grace),
+                answer_slack: span_from_ms(facts.safety.answer_slack),
+                membership_poll_interval: span_from_ms(facts.safety.ask_every),
+                drain_close_timeout: span_from_ms(facts.safety.drain_close),
+                ordered_retry_delay: span_from_ms(facts.safety.turn_gap),
                 retry_window: Span(0),
                 retry_ratio: 0.0,
-                retry_slack: 0.0,
+                retry_allowance: 0.0,
             },
             prices: d::Prices {
                 cross_zone: facts.prices.cross_zone,
@@ -339,9 +339,9 @@
                 worst_tenant: facts.scoring_mix.worst_tenant,
             },
             over_quota_value: facts.over_share_worth,
-            by_work: facts.counted_by == CountedBy::Work,
-            marks_retry: facts.client_habits.marks_retry,
-            reports: match facts.stats.how {
+            value_by_work: facts.counted_by == CountedBy::Work,
+            clients_mark_retries: facts.client_habits.marks_retry,
+            load_report_source: match facts.stats.how {
                 How::Piggyback => d::LoadReportSource::Answers,
                 How::Pull => d::LoadReportSource::Probes,
                 How::Silent => d::LoadReportSource::None,
--- a/crates/load-balancing/tests/common/mod.rs
+++ b/crates/load-balancing/tests/common/mod.rs
@@ -16,14 +16,14 @@
         value: 1.0,
         late_value: 0.0,
         effect,
-        group: Group::Zone,
-        window: Span(300 * MS),
+        dedup_group: DedupGroup::Zone,
+        dedup_window: Span(300 * MS),
         latency_target_stretch: 0.0,
         streaming: false,
         in_order: false,
         zones: None,
         kinds: None,
-        attempts: None,
+        max_attempts: None,
         retired: false,
     }
 }
@@ -40,7 +40,7 @@
         position: 0,
         zones: 2,
         zone: 0,
-        distance: vec![],
+        zone_distances: vec![],
         tick: Span(MS),
         membership_by_request: false,
         limits: Limits {
@@ -59,16 +59,16 @@
             slow_start_duration: Span(10_000 * MS),
             slow_start_rate_per_s: 0.0,
             slow_start_credit_ttl: Span(0),
-            fall_multiple: 3.0,
-            tip_after: Span(1000 * MS),
+            overload_multiple: 3.0,
+            overload_window: Span(1000 * MS),
             drain_grace: Span(1000 * MS),
             answer_slack: Span(20 * MS),
             membership_poll_interval: Span(10_000 * MS),
-            drain_close: Span(0),
-            turn_gap: Span(0),
+            drain_close_timeout: Span(0),
+            ordered_retry_delay: Span(0),
             retry_window: Span(0),
             retry_ratio: 0.0,
-            retry_slack: 0.0,
+            retry_allowance: 0.0,
         },
         prices: Prices::default(),
         scoring_mix: ScoringMix {
@@ -76,9 +76,9 @@
             ..ScoringMix::default()
         },
         over_quota_value: 0.1,
-        by_work: false,
-        marks_retry: false,
-        reports: LoadReportSource::None,
+        value_by_work: false,
+        clients_mark_retries: false,
+        load_report_source: LoadReportSource::None,
     }
 }
 
@@ -301,7 +301,7 @@
 
     /// Rule 7: idle connections to what drains are closed in time.
     fn check_closed(&self) {
-        let within = self.settings.rules.drain_close;
+        let within = self.settings.rules.drain_close_timeout;
         for (id, (used, closed)) in &self.leaving {
             let late = within.0 > 0 && self.now > used.plus(within);
             let missed = closed.is_none_or(|c| c < *used);
@@ -341,7 +341,7 @@
                     AttemptOutcome::Cancelled,
                 ];
                 let unsure = t.ended.is_some_and(|o| unsure.contains(&o));
-                let rested = self.now.since(t.ended_at) >= self.settings.rules.turn_gap;
+                let rested = self.now.since(t.ended_at) >= self.settings.rules.ordered_retry_delay;
                 assert!(!unsure || rested, "{id} sent before its key has rested");
             }
         }
@@ -375,7 +375,7 @@
                     let class = &self.settings.classes[self.asked[&request.0].class];
                     let ran = self.asked[&request.0].tries.iter().any(may_have_run);
                     let harmless = class.effect == Effect::Safe
-                        || (class.effect == Effect::Keyed && class.group == Group::All);
+                        || (class.effect == Effect::Keyed && class.dedup_group == DedupGroup::All);
                     assert!(harmless || !ran, "refused {request:?} that may have run");
                     self.end(request.0);
                 }
@@ -427,12 +427,14 @@
         }
         let class = &self.settings.classes[asked.class];
         for before in asked.tries.iter().filter(|t| may_have_run(t)) {
-            let same = match class.group {
-                Group::All => true,
-                Group::Zone => self.zone(before.server) == self.zone(server),
-                Group::Cell => self.members[&before.server.0].cell == self.members[&server.0].cell,
+            let same = match class.dedup_group {
+                DedupGroup::All => true,
+                DedupGroup::Zone => self.zone(before.server) == self.zone(server),
+                DedupGroup::Cell => {
+                    self.members[&before.server.0].cell == self.members[&server.0].cell
+                }
             };
-            let kept = self.now.since(before.sent) < class.window;
+            let kept = self.now.since(before.sent) < class.dedup_window;
             let allowed = match class.effect {
                 Effect::Safe => true,
                 Effect::Keyed => same && kept,
@@ -482,5 +484,5 @@
 }
 
 fn may_have_run(t: &Try) -> bool {
-    !t.ended.is_some_and(AttemptOutcome::never_ran)
+    !t.ended.is_some_and(AttemptOutcome::has_not_run)
 }
--- a/crates/load-balancing/tests/mechanism.rs
+++ b/crates/load-balancing/tests/mechanism.rs
@@ -16,7 +16,7 @@
 #[test]
 fn holds_when_every_slot_is_taken_and_keeps_arrival_order() {
     let mut w = World::with_servers(settings(), 1);
-    let (_, k, _) = w.balancer.upstream(ServerId(0), Span(MS)).unwrap();
+    let (_, k, _) = w.balancer.upstream_limits(ServerId(0), Span(MS)).unwrap();
     let k = u64::from(k);
     for id in 0..k + 2 {
         w.request(id, 0);
@@ -46,7 +46,10 @@
         w.pass(Span(40 * MS));
         w.outcome(id, 0, AttemptOutcome::Ok);
     }
-    let (_, k, n) = w.balancer.upstream(ServerId(0), Span(600 * MS)).unwrap();
+    let (_, k, n) = w
+        .balancer
+        .upstream_limits(ServerId(0), Span(600 * MS))
+        .unwrap();
     // With TS between 20 and 40 ms: K_i = 2*TP/TS + 1 is under 3, and N_i = T / (2*TP + TS).
     assert!((1..3).contains(&k), "K {k}");
     assert!((9.0..16.0).contains(&n), "N {n}");
@@ -102,7 +105,10 @@
     };
     let w = World::with_servers(s, 4);
     for i in 0..4 {
-        assert_eq!(w.balancer.upstream(ServerId(i), Span(MS)).unwrap().1, 1);
+        assert_eq!(
+            w.balancer.upstream_limits(ServerId(i), Span(MS)).unwrap().1,
+            1
+        );
     }
 }
 
@@ -210,7 +216,7 @@
         w.pass(Span(10 * MS));
         w.outcome(id, 0, AttemptOutcome::Ok);
     }
-    let at = |w: &World| w.balancer.upstream(ServerId(0), Span(MS)).unwrap().0;
+    let at = |w: &World| w.balancer.upstream_limits(ServerId(0), Span(MS)).unwrap().0;
     w.request(100, 2);
     assert_eq!(at(&w), 1, "its answer is lost");
     w.pass(Span(220 * MS));
@@ -236,7 +242,12 @@
         w.request(id, 0);
         serve(&mut w, id, 10);
     }
-    let at = |w: &World| w.balancer.upstream(ServerId(0), Span(MS)).expect("known").0;
+    let at = |w: &World| {
+        w.balancer
+            .upstream_limits(ServerId(0), Span(MS))
+            .expect("known")
+            .0
+    };
     w.request(100, 0);
     assert_eq!(at(&w), 1);
     w.pass(Span(100 * MS));
@@ -607,7 +618,7 @@
         known = w.log.len();
     }
     (0..4)
-        .map(|i| w.balancer.upstream(ServerId(i), Span(MS)).unwrap().1)
+        .map(|i| w.balancer.upstream_limits(ServerId(i), Span(MS)).unwrap().1)
         .max()
         .unwrap()
 }
@@ -688,7 +699,10 @@
         w.pass(Span(190 * MS));
         w.outcome(id, 0, AttemptOutcome::Ok);
     }
-    let (_, k, n) = w.balancer.upstream(ServerId(0), Span(200 * MS)).unwrap();
+    let (_, k, n) = w
+        .balancer
+        .upstream_limits(ServerId(0), Span(200 * MS))
+        .unwrap();
     assert!(f64::from(k) <= n.max(1.0), "K {k}, N {n}");
 }
 
--- a/crates/load-balancing/tests/rules.rs
+++ b/crates/load-balancing/tests/rules.rs
@@ -56,12 +56,12 @@
         let mut w = World::with_servers(settings(), 1);
         w.request(1, class);
         w.outcome(1, 0, AttemptOutcome::Ok);
-        let known = w.balancer.upstream(ServerId(0), Span(200 * MS));
+        let known = w.balancer.upstream_limits(ServerId(0), Span(200 * MS));
         w.request(2, class);
         w.pass(Span(5 * MS));
         w.gone(2);
         assert_eq!(w.out(2).is_none(), ends, "class {class}");
-        let after = w.balancer.upstream(ServerId(0), Span(200 * MS));
+        let after = w.balancer.upstream_limits(ServerId(0), Span(200 * MS));
         assert_eq!(
             after == known,
             ends,
@@ -125,7 +125,7 @@
 fn in_order() -> Settings {
     let mut s = settings();
     s.classes[KEYED].in_order = true;
-    s.rules.turn_gap = Span(30 * MS);
+    s.rules.ordered_retry_delay = Span(30 * MS);
     s
 }
 
@@ -219,7 +219,7 @@
 fn idle_connections_to_a_draining_upstream_are_closed() {
     // Failure: connections to an upstream that drained stayed open until they expired by themselves.
     let mut s = settings();
-    s.rules.drain_close = Span(50 * MS);
+    s.rules.drain_close_timeout = Span(50 * MS);
     let mut w = World::with_servers(s, 2);
     (0..4).for_each(|id| w.request(id, SAFE));
     w.list(MembershipKind::Complete, &[member(1, 1)]);
@@ -367,7 +367,7 @@
     let result = runner.run(&input, |([copies, ask, order, zones, kinds], events)| {
         let mut s = settings();
         (s.limits.hedging, s.membership_by_request) = (copies, ask);
-        (s.rules.turn_gap, s.rules.drain_close) = (Span(30 * MS), Span(50 * MS));
+        (s.rules.ordered_retry_delay, s.rules.drain_close_timeout) = (Span(30 * MS), Span(50 * MS));
         (s.classes[SAFE].in_order, s.classes[KEYED].in_order) = (order, order);
         s.classes[UNSAFE].zones = zones.then(|| vec![1]);
         s.classes[SAFE].kinds = kinds.then(|| vec![0]);
@@ -521,7 +521,7 @@
         last: true,
         report: LoadReport {
             inflight: Some(f64::NAN),
-            qps: Some(-1.0),
+            requests_per_s: Some(-1.0),
             ..LoadReport::default()
         },
     };
@@ -538,7 +538,10 @@
         w.balancer
             .handle(w.now, Event::AttemptEnded(answer(id, latency)), &mut vec![]);
     }
-    let (_, k, n) = w.balancer.upstream(ServerId(0), Span(200 * MS)).unwrap();
+    let (_, k, n) = w
+        .balancer
+        .upstream_limits(ServerId(0), Span(200 * MS))
+        .unwrap();
     assert!(k >= 1 && n > 0.1, "K {k}, N {n}");
     // Repeated, late and unknown events change nothing.
     let mut out = vec![];
@@ -560,14 +563,18 @@
     let first = w.out(1).expect("sent");
     let known = |w: &World| {
         (0..3000)
-            .filter(|id| w.balancer.upstream(ServerId(*id), Span(MS)).is_some())
+            .filter(|id| {
+                w.balancer
+                    .upstream_limits(ServerId(*id), Span(MS))
+                    .is_some()
+            })
             .count()
     };
     for id in 2..3000 {
         w.list(MembershipKind::Complete, &[member(id, 5)]);
     }
     assert!(
-        w.balancer.upstream(first, Span(MS)).is_some(),
+        w.balancer.upstream_limits(first, Span(MS)).is_some(),
         "the repeat's group is judged by it"
     );
     assert_eq!(known(&w), 2);
--- a/crates/load-balancing/tests/told.rs
+++ b/crates/load-balancing/tests/told.rs
@@ -63,7 +63,7 @@
         self.now = self.now.plus(Span(20 * MS));
         let report = LoadReport {
             inflight: Some(running),
-            queue: Some(0.0),
+            queued: Some(0.0),
             ..LoadReport::default()
         };
         let answer = AttemptResult::new(id, 0, server, AttemptOutcome::Ok, Span(20 * MS), true);
@@ -99,7 +99,7 @@
 #[test]
 fn a_near_upstream_goes_first_until_it_is_full_and_a_region_away_comes_last() {
     let mut settings = settings();
-    (settings.zones, settings.distance) = (3, vec![Span(0), Span(0), Span(1)]);
+    (settings.zones, settings.zone_distances) = (3, vec![Span(0), Span(0), Span(1)]);
     settings.prices.cross_zone = 1.0;
     let mut host = Host::new(settings, &[told(0, 2, 2), told(1, 2, 1), told(2, 2, 0)]);
     let order: Vec<Option<ServerId>> = (0..6).map(|_| host.ask(0).1).collect();
@@ -154,7 +154,7 @@
     let mut settings = settings();
     settings.balancers = 10;
     (settings.rules.retry_window, settings.rules.retry_ratio) = (Span(10_000 * MS), 0.2);
-    settings.rules.retry_slack = 20.0;
+    settings.rules.retry_allowance = 20.0;
     let list: Vec<Endpoint> = (0..40).map(|i| told(i, 4, 0)).collect();
     let mut host = Host::new(settings, &list);
     let (mut firsts, mut further) = (0, 0);
@@ -259,7 +259,7 @@
     let host = Host::new(settings(), &[told(0, 6, 0)]);
     let (_, k, _) = host
         .balancer
-        .upstream(ServerId(0), Span(1000 * MS))
+        .upstream_limits(ServerId(0), Span(1000 * MS))
         .expect("known");
     assert_eq!(k, 6);
 }
@@ -432,8 +432,8 @@
 fn a_request_with_a_key_goes_to_its_holder_or_nowhere() {
     let mut host = Host::new(settings(), &[told(0, 2, 0), told(1, 2, 0), told(2, 2, 0)]);
     let keys = |since, to, server: Option<u32>| OwnedKeyRange {
-        since,
-        to,
+        first: since,
+        last: to,
         server: server.map(ServerId),
     };
     let all = [
@@ -563,7 +563,7 @@
     };
     let admitted = |classes: Vec<RequestClass>| {
         let mut host = Host::new(Settings::basic(classes), &[told(1, 4, 0), told(2, 4, 0)]);
-        let known = host.balancer.upstream(ServerId(1), Span(400 * MS));
+        let known = host.balancer.upstream_limits(ServerId(1), Span(400 * MS));
         let mut out = Vec::new();
         for id in 0..200 {
             let request = Request::new(RequestId(id), 0, Time(host.now.0 + 2000 * MS));
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -2,13 +2,13 @@
 
 use load_balancing::interface::{self as d, Action, Event, LoadReport, RequestId, ServerId, Time};
 use load_balancing::policy::Balancer;
-use load_balancing::settings::{Field, key_hash, span, stable_hash};
+use load_balancing::settings::{LoadReportField, key_hash, span_from_ms, stable_hash};
 use rustc_hash::FxHashMap;
 
 use crate::wire::{self, Command};
 
 pub fn time(ms: f64) -> Time {
-    Time(span(ms).0)
+    Time(span_from_ms(ms).0)
 }
 
 fn ms(us: i64) -> f64 {
@@ -26,7 +26,7 @@
     who: u64,
     balancer: Balancer,
     classes: usize,
-    fields: Vec<Field>,
+    fields: Vec<LoadReportField>,
     servers: FxHashMap<Box<str>, ServerId>,
     server_names: Vec<Box<str>>,
     by_name: FxHashMap<Box<str>, u64>,
@@ -41,13 +41,13 @@
         let facts = &init.facts;
         Ok(Self {
             who: init.who,
-            balancer: Balancer::new(facts.settings(), init.entropy, now)?,
+            balancer: Balancer::new(facts.to_settings(), init.entropy, now)?,
             classes: facts.services.len(),
             fields: facts
                 .stats
                 .names
                 .iter()
-                .map(|name| Field::named(name))
+                .map(|name| LoadReportField::from_name(name))
                 .collect(),
             servers: FxHashMap::default(),
             server_names: Vec::new(),
@@ -67,7 +67,7 @@
         let request = d::Request {
             tenant: m.party,
             key: key.map(key_hash),
-            estimated_work: m.cost_guess.map(span),
+            estimated_work: m.cost_guess.map(span_from_ms),
             is_client_retry: m.resent,
             is_write: m.write,
             ..d::Request::new(RequestId(self.next_job), m.tier_class, time(m.drop_dead))
@@ -105,7 +105,7 @@
             attempt: m.go,
             server,
             outcome,
-            latency: span(m.latency),
+            latency: span_from_ms(m.latency),
             last: m.last,
             report: self.report(m.metrics.as_ref()),
         };
@@ -149,7 +149,7 @@
         let Some(&server) = self.servers.get(m.upstream.as_ref()) else {
             return;
         };
-        let (ok, latency) = (m.rc == 200, span(m.latency));
+        let (ok, latency) = (m.rc == 200, span_from_ms(m.latency));
         let report = self.report(m.metrics.as_ref());
         self.tell(
             now,
--- a/crates/standalone-proxy/src/api.rs
+++ b/crates/standalone-proxy/src/api.rs
@@ -74,7 +74,7 @@
 
 impl Api {
     pub fn new(config: &Config, engine: EngineHandle) -> Self {
-        let settings = config.facts.settings();
+        let settings = config.facts.to_settings();
         let deadline = |c: &RequestClass| Duration::from_micros(c.deadline.0.max(0) as u64);
         Self {
             engine,
--- a/crates/standalone-proxy/src/config.rs
+++ b/crates/standalone-proxy/src/config.rs
@@ -8,7 +8,7 @@
 use data_plane::upstream_pool::{LoadReportFormat, PoolConfig, UpstreamProtocol};
 use hyper::StatusCode;
 use hyper::header::HeaderName;
-use load_balancing::settings::{Field, SiteSettings};
+use load_balancing::settings::{LoadReportField, SiteSettings};
 use serde::Deserialize;
 
 use crate::discovery::List;
@@ -171,7 +171,9 @@
                 served: |status| status == StatusCode::OK,
                 passes_errors: false,
                 load: LoadReportFormat::Named(
-                    names.map(|n| (n.clone(), Field::named(n))).collect(),
+                    names
+                        .map(|n| (n.clone(), LoadReportField::from_name(n)))
+                        .collect(),
                 ),
             },
         }
--- a/crates/standalone-proxy/src/main.rs
+++ b/crates/standalone-proxy/src/main.rs
@@ -60,7 +60,7 @@
     let config = Config::read().map_err(|e| e.to_string())?;
     let listener = TcpListener::bind(config.listen).await;
     let listener = listener.map_err(|e| format!("listen on {}: {e}", config.listen))?;
-    let settings = config.facts.settings();
+    let settings = config.facts.to_settings();
     let must_ask = settings.membership_by_request;
     let grace = Duration::from_micros(settings.rules.drain_grace.0.max(0) as u64);
     let (subscribe, subscriptions) = mpsc::unbounded_channel();
