--- a/crates/control-plane/src/configuration.rs
+++ b/crates/control-plane/src/configuration.rs
@@ -436,7 +436,7 @@
         if r.max_attempts == 0 {
             return wrong("`tries` is 0");
         }
-        if r.svc.is_some() == r.split.is_some() {
+        if r.service.is_some() == r.split.is_some() {
             return wrong("expected either `svc` or `split`");
         }
         let parts = r.weighted_services();
--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -79,9 +79,9 @@
     let (mut reader, writer) = stream.into_split();
     let mut writer = BufWriter::new(writer);
     let hello = Handshake::Control {
-        protocol: PROTOCOL_VERSION,
-        id: cell.id,
-        at: cell.control_node.clone(),
+        protocol_version: PROTOCOL_VERSION,
+        node_id: cell.id,
+        control_node: cell.control_node.clone(),
     };
     // What waits by now is older than what it is told here; the log tells its own anew.
     while queue.try_recv().is_ok() {}
@@ -134,9 +134,19 @@
         Err(io::ErrorKind::Unsupported.into())
     };
     match hello {
-        Handshake::Control { protocol, .. } if protocol != PROTOCOL_VERSION => other(protocol),
-        Handshake::DataPlane { protocol, .. } if protocol != PROTOCOL_VERSION => other(protocol),
-        Handshake::Control { id, at, .. } => {
+        Handshake::Control {
+            protocol_version: protocol,
+            ..
+        } if protocol != PROTOCOL_VERSION => other(protocol),
+        Handshake::DataPlane {
+            protocol_version: protocol,
+            ..
+        } if protocol != PROTOCOL_VERSION => other(protocol),
+        Handshake::Control {
+            node_id: id,
+            control_node: at,
+            ..
+        } => {
             let from = at.internal_addr;
             cell.on_peer_connected(id, at);
             let mut stream = BufReader::new(stream);
@@ -255,7 +265,7 @@
                     has = ask;
                 }
                 SessionMessage::KeepAlive => {}
-                SessionMessage::Work(counts) => cell.record_work(counts),
+                SessionMessage::KeyLoad(counts) => cell.record_work(counts),
             },
             () = changes.changed() => {}
             () = tokio::time::sleep_until(next) => {}
--- a/crates/control-plane/src/discovery.rs
+++ b/crates/control-plane/src/discovery.rs
@@ -71,9 +71,9 @@
         let page: Page = serde_json::from_slice(&body).map_err(HttpClientError::Malformed)?;
         all.extend(page.instances.into_iter().map(|i| Upstream {
             draining: i.state != "ready",
-            warm_left_ms: i.warm_left_ms.clamp(0.0, 1e9) as u64,
+            warmup_remaining_ms: i.warm_left_ms.clamp(0.0, 1e9) as u64,
             id: i.id,
-            svc: i.svc,
+            service: i.svc,
             addr: i.addr,
             slots: i.slots,
         }));
--- a/crates/control-plane/src/http_api.rs
+++ b/crates/control-plane/src/http_api.rs
@@ -181,7 +181,7 @@
         } = self.server.log_status();
         let agreed = self.server.replicated_state();
         let session = |s: &Session| {
-            json!({"node": s.balancer.node, "zone": s.balancer.zone, "http": s.balancer.http,
+            json!({"node": s.balancer.node, "zone": s.balancer.zone, "http": s.balancer.http_addr,
                 "ready": s.ready, "leaving": s.draining})
         };
         let keys = |(service, slices): (&String, &KeyRangeMap)| {
@@ -354,7 +354,10 @@
 fn nearest(members: &[Session], zone: &str, region: &str) -> Vec<SocketAddr> {
     let open: Vec<&Session> = members.iter().filter(|s| s.ready && !s.draining).collect();
     let pick = |near: &dyn Fn(&Session) -> bool| -> Vec<SocketAddr> {
-        let near = open.iter().filter(|s| near(s)).map(|s| s.balancer.http);
+        let near = open
+            .iter()
+            .filter(|s| near(s))
+            .map(|s| s.balancer.http_addr);
         near.take(ADDRESSES).collect()
     };
     let own = pick(&|s| s.balancer.zone == zone);
@@ -381,7 +384,7 @@
             node: format!("n{port}"),
             zone,
             region,
-            http,
+            http_addr: http,
         };
         Session {
             balancer,
--- a/crates/control-plane/src/key_leases.rs
+++ b/crates/control-plane/src/key_leases.rs
@@ -108,7 +108,7 @@
         work.refresh(now);
         let listed: Vec<Candidate> = upstreams
             .iter()
-            .filter(|(u, _)| u.svc == *service)
+            .filter(|(u, _)| u.service == *service)
             .map(|(u, evacuated)| Candidate {
                 holder: protocol::key_ranges::LeaseHolder {
                     id: u.id.clone(),
@@ -116,7 +116,7 @@
                 },
                 slots: u.slots,
                 draining: u.draining || *evacuated,
-                accepts_keys: !u.draining && !evacuated && u.warm_left_ms == 0,
+                accepts_keys: !u.draining && !evacuated && u.warmup_remaining_ms == 0,
             })
             .collect();
         let room = if now < led_at + STALE {
--- a/crates/control-plane/src/server/keys.rs
+++ b/crates/control-plane/src/server/keys.rs
@@ -1,6 +1,6 @@
 //! Who holds which keys, as agreed on, and how much work there is for them.
 
-use protocol::key_ranges::{KeyRangeChange, KeyRangeMap, WorkCounts};
+use protocol::key_ranges::{KeyLoadReport, KeyRangeChange, KeyRangeMap};
 
 use super::ControlServer;
 use crate::configuration::Command;
@@ -19,7 +19,7 @@
     }
 
     /// Balancers counted so many requests for keys.
-    pub fn record_work(&self, counts: WorkCounts) {
+    pub fn record_work(&self, counts: KeyLoadReport) {
         let mut inner = self.inner.borrow_mut();
         for (service, runs) in counts {
             let known = inner.work.entry(service).or_default();
@@ -31,7 +31,7 @@
     }
 
     /// What was counted and not taken yet.
-    pub fn take_work_counts(&self) -> WorkCounts {
+    pub fn take_work_counts(&self) -> KeyLoadReport {
         let work = std::mem::take(&mut self.inner.borrow_mut().work);
         work.into_iter()
             .map(|(service, runs)| (service, runs.into_iter().collect()))
--- a/crates/control-plane/src/server/membership.rs
+++ b/crates/control-plane/src/server/membership.rs
@@ -65,8 +65,8 @@
         });
         if wants {
             self.tell_all(&PeerMessage::Join {
-                id: self.id,
-                inner: self.control_node.internal_addr,
+                node_id: self.id,
+                internal_addr: self.control_node.internal_addr,
             });
         }
     }
--- a/crates/control-plane/src/server/peers.rs
+++ b/crates/control-plane/src/server/peers.rs
@@ -117,10 +117,14 @@
         }
         match tell {
             PeerMessage::Raft(message) => self.with_core(|core| core.step(message)),
-            PeerMessage::Join { id, inner } => {
-                self.with_core(|core| core.handle_join_request(id, inner.to_string()))
-            }
-            PeerMessage::Sessions { sessions, controls } => {
+            PeerMessage::Join {
+                node_id: id,
+                internal_addr: inner,
+            } => self.with_core(|core| core.handle_join_request(id, inner.to_string())),
+            PeerMessage::Sessions {
+                sessions,
+                control_nodes: controls,
+            } => {
                 let all = sessions
                     .into_iter()
                     .map(|s| (s.balancer.node.clone(), s))
@@ -132,9 +136,9 @@
                 });
             }
             PeerMessage::SessionChanges {
-                sessions,
-                gone,
-                controls,
+                changed: sessions,
+                removed: gone,
+                control_nodes: controls,
             } => {
                 news |= self.sessions_of(from, controls, |known| {
                     let mut other = false;
@@ -154,12 +158,12 @@
                     peer.leader = leader.map(|leader| (leader, Instant::now()));
                 }
             }
-            PeerMessage::Work(counts) => self.record_work(counts),
+            PeerMessage::KeyLoad(counts) => self.record_work(counts),
             PeerMessage::ConfirmLeadership { token } => self.confirm_for(from, token),
             PeerMessage::LeadershipConfirmed { token } => {
                 self.inner.borrow_mut().read_ended(token, Some(0))
             }
-            PeerMessage::ZoneUpdate { zone, told } => self.zone(from, &zone, &told),
+            PeerMessage::ZoneUpdate { zone, update: told } => self.zone(from, &zone, &told),
             PeerMessage::ZoneSnapshotRequest { zone } => {
                 let mut inner = self.inner.borrow_mut();
                 let whole = inner
@@ -167,7 +171,9 @@
                     .get(&zone)
                     .and_then(|z| z.snapshot(self.clock().0));
                 if let (Some(told), Some(peer)) = (whole, inner.peers.get_mut(&from)) {
-                    let _ = peer.to.try_send(PeerMessage::ZoneUpdate { zone, told });
+                    let _ = peer
+                        .to
+                        .try_send(PeerMessage::ZoneUpdate { zone, update: told });
                 }
             }
         }
@@ -223,9 +229,9 @@
         let stand = stand.iter().filter_map(|node| inner.local.get(node));
         let sessions = stand.map(|(_, s)| s.clone()).collect();
         let tell = PeerMessage::SessionChanges {
-            sessions,
-            gone,
-            controls,
+            changed: sessions,
+            removed: gone,
+            control_nodes: controls,
         };
         for peer in inner.peers.values_mut() {
             peer.behind |= peer.to.try_send(tell.clone()).is_err();
@@ -245,7 +251,7 @@
             if let Some(peer) = self.inner.borrow().peers.get(&leader)
                 && !counts.is_empty()
             {
-                let _ = peer.to.try_send(PeerMessage::Work(counts));
+                let _ = peer.to.try_send(PeerMessage::KeyLoad(counts));
             }
         }
         for peer in self.inner.borrow_mut().peers.values_mut() {
@@ -262,7 +268,7 @@
         let sessions = inner.local.values().map(|(_, s)| s.clone()).collect();
         PeerMessage::Sessions {
             sessions,
-            controls: inner.live_controls(),
+            control_nodes: inner.live_controls(),
         }
     }
 
@@ -274,7 +280,7 @@
             .iter()
             .filter_map(|(zone, z)| Some((zone.clone(), z.snapshot(now)?)));
         let zones: Vec<PeerMessage> = zones
-            .map(|(zone, told)| PeerMessage::ZoneUpdate { zone, told })
+            .map(|(zone, told)| PeerMessage::ZoneUpdate { zone, update: told })
             .collect();
         drop(inner);
         std::iter::once(self.sessions()).chain(zones).collect()
--- a/crates/control-plane/src/server/sessions.rs
+++ b/crates/control-plane/src/server/sessions.rs
@@ -127,7 +127,7 @@
         {
             let config = serde_json::from_str(&self.agreed.config);
             let config = config.inspect_err(|cause| tracing::error!(%cause, "the configuration"));
-            self.compact = Some((index, Arc::new(CompactConfig::of(&config.ok()?))));
+            self.compact = Some((index, Arc::new(CompactConfig::from_config(&config.ok()?))));
         }
         self.compact.clone()
     }
@@ -144,14 +144,14 @@
             let zones = agreed.evacuated().map(|(zone, _)| zone.clone()).collect();
             news.evacuated_zones = Some((agreed.evacuations_index, zones));
         }
-        if agreed.keys_index > has.keys_index {
+        if agreed.keys_index > has.key_ranges_index {
             let rows = |(service, slices): (&String, &KeyRangeMap)| {
-                let rows = slices.changed_since(has.keys_index);
+                let rows = slices.changed_since(has.key_ranges_index);
                 (!rows.is_empty()).then(|| (service.clone(), rows))
             };
             let rows = agreed.keys.iter().filter_map(rows).collect();
-            has.keys_index = agreed.keys_index;
-            news.keys = Some((agreed.keys_index, rows));
+            has.key_ranges_index = agreed.keys_index;
+            news.key_ranges = Some((agreed.keys_index, rows));
         }
     }
 }
--- a/crates/control-plane/src/server/zones.rs
+++ b/crates/control-plane/src/server/zones.rs
@@ -52,7 +52,7 @@
         if let Some(told) = told {
             self.tell_all(&PeerMessage::ZoneUpdate {
                 zone: zone.into(),
-                told,
+                update: told,
             });
         }
         self.notify_changed();
--- a/crates/control-plane/tests/common/balancers.rs
+++ b/crates/control-plane/tests/common/balancers.rs
@@ -10,7 +10,7 @@
 use data_plane::change_notifier::{ChangeNotifier, ChangeWatcher};
 use data_plane::control_client::{CONNECT_TIMEOUT, ControlClient, Network, UpdateHandler};
 use data_plane::upstream_pool::AbortOnDrop;
-use protocol::key_ranges::WorkCounts;
+use protocol::key_ranges::KeyLoadReport;
 use protocol::wire::{Balancer, FleetView, WatchRequest, WatchUpdate};
 use tokio::io::{DuplexStream, duplex};
 use tokio::time::{Instant, sleep};
@@ -66,7 +66,7 @@
         if let Some((index, config)) = &news.config {
             assert!(!news.out_of_contact, "told without contact");
             if *index > self.config() {
-                let config = config.config();
+                let config = config.to_config();
                 let target = config.routes.first().map_or(0, |route| route.target_ms);
                 let told = (Instant::now(), *index, format!("\"target_ms\":{target},"));
                 self.versions.borrow_mut().push(told);
@@ -76,8 +76,8 @@
         false
     }
 
-    fn work(&self) -> WorkCounts {
-        WorkCounts::new()
+    fn work(&self) -> KeyLoadReport {
+        KeyLoadReport::new()
     }
 
     fn bank(&self, bank: FleetView) {
@@ -157,7 +157,7 @@
         node,
         zone,
         region,
-        http,
+        http_addr: http,
     };
     let way = Way {
         net: net.clone(),
--- a/crates/control-plane/tests/validity.rs
+++ b/crates/control-plane/tests/validity.rs
@@ -258,7 +258,7 @@
     );
     let config: Config = serde_json::from_str(&agreed.config).expect("it was taken");
     prop_assert_eq!(
-        CompactConfig::of(&config).config(),
+        CompactConfig::from_config(&config).to_config(),
         config,
         "as balancers are told it"
     );
--- a/crates/data-plane/src/control_client.rs
+++ b/crates/data-plane/src/control_client.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 use crate::change_notifier::ChangeWatcher;
-use protocol::key_ranges::WorkCounts;
+use protocol::key_ranges::KeyLoadReport;
 use protocol::wire::{
     self, Balancer, ControlNode, FleetView, Handshake, PROTOCOL_VERSION, SessionMessage,
     WatchRequest, WatchUpdate,
@@ -94,7 +94,7 @@
     /// Takes news in; what is not newer changes nothing. Whether something has to be told anew.
     fn take(&self, news: &WatchUpdate) -> bool;
     /// The work on keys that upstreams divide, since this was asked last.
-    fn work(&self) -> WorkCounts;
+    fn work(&self) -> KeyLoadReport;
     /// The bank as the sessions tell it.
     fn bank(&self, bank: FleetView);
     /// Wakes when there is something else to ask.
@@ -329,7 +329,7 @@
         let (reader, writer) = tokio::io::split(self.network.dial(at).await?);
         let (mut reader, mut writer) = (BufReader::new(reader), BufWriter::new(writer));
         let hello = Handshake::DataPlane {
-            protocol: PROTOCOL_VERSION,
+            protocol_version: PROTOCOL_VERSION,
             balancer: self.me.clone(),
         };
         wire::send_message(&mut writer, &hello).await?;
@@ -353,9 +353,9 @@
                             let first = !ask.is_secondary;
                             self.say(&mut writer, &mut said, ask).await?;
                             next = Instant::now() + HEARTBEAT_INTERVAL;
-                            let work = if first { self.follower.work() } else { WorkCounts::new() };
+                            let work = if first { self.follower.work() } else { KeyLoadReport::new() };
                             if !work.is_empty() {
-                                wire::send_message(&mut writer, &SessionMessage::Work(work)).await?;
+                                wire::send_message(&mut writer, &SessionMessage::KeyLoad(work)).await?;
                                 let flushed = timeout(IDLE_TIMEOUT, writer.flush()).await;
                                 flushed.map_err(io::Error::from)??;
                             }
--- a/crates/data-plane/src/routes.rs
+++ b/crates/data-plane/src/routes.rs
@@ -17,8 +17,8 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 use load_balancing::interface::{self as d, MembershipKind, Span};
-use protocol::config::{Config, Limits, RequestKind, Route};
-use protocol::key_ranges::{KeyRangeView, WORK_UNIT_MS, WorkCounts};
+use protocol::config::{Config, RequestKind, RequestLimits, Route};
+use protocol::key_ranges::{KeyLoadReport, KeyRangeView, WORK_UNIT_MS};
 use protocol::settings::{Bounds, Settings};
 use protocol::upstream_list::{UpdateOutcome, Upstream, UpstreamList};
 use protocol::wire::{FleetView, WatchRequest, WatchUpdate};
@@ -131,7 +131,7 @@
 #[derive(Default)]
 struct Told {
     config_index: u64,
-    limits: Limits,
+    limits: RequestLimits,
     evacuated_index: u64,
     evacuated: Vec<String>,
     keys_index: u64,
@@ -166,14 +166,14 @@
     version: ChangeNotifier,
     metrics: Metrics,
     /// Holds the front to the limits that clients have.
-    limited: Box<dyn Fn(&Limits)>,
+    limited: Box<dyn Fn(&RequestLimits)>,
 }
 
 impl Routes {
     pub fn new(
         settings: &Settings,
         engine: EngineHandle,
-        limited: Box<dyn Fn(&Limits)>,
+        limited: Box<dyn Fn(&RequestLimits)>,
     ) -> Rc<Self> {
         let zones: Vec<String> = settings.zone_map.keys().cloned().collect();
         let zone = zones.iter().position(|z| *z == settings.zone).unwrap_or(0) as u32;
--- a/crates/data-plane/src/routes/configuring.rs
+++ b/crates/data-plane/src/routes/configuring.rs
@@ -5,7 +5,7 @@
 impl Routes {
     pub(super) fn configure(&self, index: u64, config: &Config) {
         tracing::info!(
-            rev = config.rev,
+            rev = config.revision,
             index,
             routes = config.routes.len(),
             "in force"
@@ -67,7 +67,7 @@
             .retain_routes(config.routes.iter().map(|r| r.name.as_str()));
         self.metrics
             .version
-            .set(i64::try_from(config.rev).unwrap_or(i64::MAX));
+            .set(i64::try_from(config.revision).unwrap_or(i64::MAX));
         let mut told = self.told.borrow_mut();
         (told.config_index, told.limits) = (index, config.limits);
         (self.limited)(&config.limits);
@@ -81,7 +81,7 @@
             homes.map(|(z, _)| z as u32).collect()
         });
         d::RequestClass {
-            value: 1.0 / f64::from(1 + route.prio.min(1000)),
+            value: 1.0 / f64::from(1 + route.priority.min(1000)),
             late_value: LATE_WORTH,
             effect: match route.kind {
                 RequestKind::Idempotent => d::Effect::Safe,
--- a/crates/data-plane/src/routes/following.rs
+++ b/crates/data-plane/src/routes/following.rs
@@ -16,7 +16,7 @@
         WatchRequest {
             config_index: told.config_index,
             evacuations_index: told.evacuated_index,
-            keys_index: told.keys_index,
+            key_ranges_index: told.keys_index,
             zone_versions: told.zones.iter().map(has).collect(),
             ready: told.config_index > 0 && self.engine.ready(),
             draining: self.leaving.get(),
@@ -28,7 +28,7 @@
         let (mut settings, mut lists, mut gap) = (false, false, false);
         let known = self.told.borrow().config_index;
         if let Some((index, told)) = news.config.as_ref().filter(|(index, _)| *index > known) {
-            self.configure(*index, &told.config());
+            self.configure(*index, &told.to_config());
             (settings, lists) = (true, true);
         }
         let mut changed = Vec::new();
@@ -67,7 +67,7 @@
             lists = true;
         }
         let known = self.told.borrow().keys_index;
-        let keys = news.keys.as_ref().filter(|(index, _)| *index > known);
+        let keys = news.key_ranges.as_ref().filter(|(index, _)| *index > known);
         if let Some((index, services)) = keys {
             let mut told = self.told.borrow_mut();
             told.keys_index = *index;
@@ -98,9 +98,9 @@
         gap
     }
 
-    fn work(&self) -> WorkCounts {
+    fn work(&self) -> KeyLoadReport {
         let services = self.services.borrow();
-        let mut counts = WorkCounts::new();
+        let mut counts = KeyLoadReport::new();
         for ((service, run), took) in self.engine.work() {
             let spent = (took.as_millis() / u128::from(WORK_UNIT_MS)).min(u128::from(u16::MAX));
             let of = counts.entry(services[service].name.clone()).or_default();
--- a/crates/data-plane/src/routes/listing.rs
+++ b/crates/data-plane/src/routes/listing.rs
@@ -13,7 +13,7 @@
         let told = self.told.borrow();
         for (zone, list) in &told.zones {
             for upstream in list.upstreams(now) {
-                let Some(service) = self.service(&upstream.svc) else {
+                let Some(service) = self.service(&upstream.service) else {
                     continue;
                 };
                 placed.insert(upstream.id.clone(), service);
@@ -40,7 +40,7 @@
         for id in ids {
             let (service, entry) = match list.upstream(&id, now) {
                 Some(upstream) => {
-                    let Some(service) = self.service(&upstream.svc) else {
+                    let Some(service) = self.service(&upstream.service) else {
                         continue;
                     };
                     placed.insert(id, service);
@@ -118,10 +118,10 @@
         let services = self.services.borrow();
         let mut started = self.started.borrow_mut();
         let cold = ids.iter().filter_map(|id| list.upstream(id, now));
-        for u in cold.filter(|u| u.warm_left_ms > 0) {
-            let service = services.iter().find(|s| s.name == u.svc);
+        for u in cold.filter(|u| u.warmup_remaining_ms > 0) {
+            let service = services.iter().find(|s| s.name == u.service);
             let warmup = service.map_or(Duration::ZERO, |s| s.warmup);
-            let passed = warmup.saturating_sub(Duration::from_millis(u.warm_left_ms));
+            let passed = warmup.saturating_sub(Duration::from_millis(u.warmup_remaining_ms));
             let at = clock.checked_sub(passed).unwrap_or(clock);
             let known = started.entry(u.id.clone()).or_insert(at);
             if at
--- a/crates/data-plane/src/routes/tests.rs
+++ b/crates/data-plane/src/routes/tests.rs
@@ -57,11 +57,11 @@
     let mut routes = Vec::new();
     for place in (0..40).filter(|_| below(3) > 0).collect::<Vec<_>>() {
         let mut part = || TrafficSplit {
-            svc: services[below(services.len() as u64)].name.clone(),
+            service: services[below(services.len() as u64)].name.clone(),
             weight: 1,
         };
         let (one, other) = (part(), part());
-        let shared = one.svc != other.svc && below(3) == 0;
+        let shared = one.service != other.service && below(3) == 0;
         routes.push(Route {
             name: format!("r{}-{place}", below(3)),
             host: format!("Host{}.example", place % 4),
@@ -70,18 +70,18 @@
             kind: RequestKind::Idempotent,
             deadline_ms: 1 + place as u64,
             target_ms: 1,
-            prio: 0,
-            svc: (!shared).then(|| one.svc.clone()),
+            priority: 0,
+            service: (!shared).then(|| one.service.clone()),
             split: shared.then(|| vec![one, other]),
             max_attempts: 1,
             home_regions: Vec::new(),
         });
     }
     Config {
-        rev,
+        revision: rev,
         routes,
         services,
-        limits: Limits::default(),
+        limits: RequestLimits::default(),
     }
 }
 
@@ -112,7 +112,7 @@
             // At times one comes late that is older than what is in force.
             let late = round > 5 && rng.rand_range(0..4) == 0;
             let config = drawn(&mut rng, round);
-            let told = Arc::new(CompactConfig::of(&config));
+            let told = Arc::new(CompactConfig::from_config(&config));
             let index = if late { round - 5 } else { 10 * round };
             routes.take_news(index, told);
             if !late {
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderName;
 use hyper::{Request, StatusCode};
-use protocol::config::Limits;
+use protocol::config::RequestLimits;
 use protocol::settings::Settings;
 use protocol::wire::Balancer;
 use tokio::net::TcpListener;
@@ -86,7 +86,7 @@
     }
 }
 
-fn times(limits: &Limits) -> ClientTimeouts {
+fn times(limits: &RequestLimits) -> ClientTimeouts {
     ClientTimeouts {
         head: Duration::from_millis(limits.header_timeout_ms.max(1)),
         idle: Duration::from_millis(limits.idle_timeout_ms.max(1)),
@@ -95,7 +95,7 @@
 
 /// What the clients' side holds to, with so many connections and so much time from SIGTERM to the end.
 fn client_bounds(connections: usize, grace: Duration) -> ListenerLimits {
-    let limits = Limits::default();
+    let limits = RequestLimits::default();
     let linger = grace
         .mul_f64(LINGER_OF_GRACE)
         .min(TAKES - FINAL_REQUEST_WAIT);
@@ -181,7 +181,7 @@
         node: settings.node.clone(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        http,
+        http_addr: http,
     };
     let watch = ControlClient::new(me, routes.clone());
     watch.add_seeds(settings.internal_seeds());
--- a/crates/protocol/src/compact_config.rs
+++ b/crates/protocol/src/compact_config.rs
@@ -4,11 +4,17 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::config::{Config, Limits, RequestKind, Route, Service, TrafficSplit};
+use crate::config::{Config, RequestKind, RequestLimits, Route, Service, TrafficSplit};
 
 /// A configuration in rows.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct CompactConfig(u64, Limits, Vec<ServiceRow>, Vec<String>, Vec<RouteRow>);
+pub struct CompactConfig(
+    u64,
+    RequestLimits,
+    Vec<ServiceRow>,
+    Vec<String>,
+    Vec<RouteRow>,
+);
 
 /// Name, health path, connections, length of a cold spell and requests a second in it, whether its keys are divided.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -40,20 +46,20 @@
 
 impl CompactConfig {
     /// The version of the configuration.
-    pub fn rev(&self) -> u64 {
+    pub fn revision(&self) -> u64 {
         self.0
     }
 
     /// The rows of a valid configuration; what names a service that is not there is left out.
-    pub fn of(config: &Config) -> Self {
+    pub fn from_config(config: &Config) -> Self {
         let service = |name: &str| config.services.iter().position(|s| s.name == name);
         let mut hosts: Vec<String> = config.routes.iter().map(|r| r.host.clone()).collect();
         hosts.sort_unstable();
         hosts.dedup();
         let row = |r: &Route| {
-            let parts = match (&r.split, &r.svc) {
+            let parts = match (&r.split, &r.service) {
                 (Some(parts), _) => {
-                    let known = |p: &TrafficSplit| Some((service(&p.svc)?, p.weight));
+                    let known = |p: &TrafficSplit| Some((service(&p.service)?, p.weight));
                     Parts::Split(parts.iter().filter_map(known).collect())
                 }
                 (None, svc) => Parts::One(service(svc.as_deref()?)?),
@@ -72,7 +78,7 @@
                 repeatable,
                 r.deadline_ms,
                 r.target_ms,
-                r.prio,
+                r.priority,
                 parts,
                 r.max_attempts,
                 regions,
@@ -91,11 +97,11 @@
             )
         };
         let services = config.services.iter().map(row).collect();
-        Self(config.rev, config.limits, services, hosts, routes)
+        Self(config.revision, config.limits, services, hosts, routes)
     }
 
     /// The configuration that it was made of; a row that points nowhere is left out.
-    pub fn config(&self) -> Config {
+    pub fn to_config(&self) -> Config {
         let Self(rev, limits, services, hosts, routes) = self;
         let name = |place: usize| services.get(place).map(|s| s.0.clone());
         let route = |row: &RouteRow| {
@@ -116,7 +122,7 @@
                 Parts::Split(parts) => {
                     let part = |(place, weight): &(usize, u32)| {
                         Some(TrafficSplit {
-                            svc: name(*place)?,
+                            service: name(*place)?,
                             weight: *weight,
                         })
                     };
@@ -134,8 +140,8 @@
                 },
                 deadline_ms: *deadline,
                 target_ms: *target,
-                prio: *prio,
-                svc,
+                priority: *prio,
+                service: svc,
                 split,
                 max_attempts: *tries,
                 home_regions: homes.clone(),
@@ -150,7 +156,7 @@
             sharded: *sharded,
         };
         Config {
-            rev: *rev,
+            revision: *rev,
             routes: routes.iter().filter_map(route).collect(),
             services: services.iter().map(service).collect(),
             limits: *limits,
--- a/crates/protocol/src/compact_tests.rs
+++ b/crates/protocol/src/compact_tests.rs
@@ -36,10 +36,10 @@
     for routes in [0, 1, 7, 1500] {
         let text = text(routes);
         let config: Config = serde_json::from_str(&text).expect("valid");
-        let frame = encode_frame(&CompactConfig::of(&config)).expect("a frame");
+        let frame = encode_frame(&CompactConfig::from_config(&config)).expect("a frame");
         let told: CompactConfig = decode_body(&frame[4..]).expect("rows");
-        assert_eq!(told.config(), config, "{routes} routes");
-        assert_eq!(told.rev(), config.rev);
+        assert_eq!(told.to_config(), config, "{routes} routes");
+        assert_eq!(told.revision(), config.revision);
         let least = routes < 1000 || 3 * frame.len() < text.len();
         assert!(least, "{} bytes for {}", frame.len(), text.len());
         assert!(
--- a/crates/protocol/src/config.rs
+++ b/crates/protocol/src/config.rs
@@ -6,11 +6,12 @@
 /// A whole configuration. What it holds beyond this is kept and handed back as it came.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Config {
-    pub rev: u64,
+    #[serde(rename = "rev")]
+    pub revision: u64,
     pub routes: Vec<Route>,
     pub services: Vec<Service>,
     #[serde(default)]
-    pub limits: Limits,
+    pub limits: RequestLimits,
 }
 
 /// What clients may ask for, and how.
@@ -24,9 +25,11 @@
     pub deadline_ms: u64,
     pub target_ms: u64,
     #[serde(default)]
-    pub prio: u32,
+    #[serde(rename = "prio")]
+    pub priority: u32,
     #[serde(default)]
-    pub svc: Option<String>,
+    #[serde(rename = "svc")]
+    pub service: Option<String>,
     #[serde(default)]
     pub split: Option<Vec<TrafficSplit>>,
     #[serde(default = "one")]
@@ -38,14 +41,16 @@
 
 /// One of the services that share a route.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(rename = "Part")]
 pub struct TrafficSplit {
-    pub svc: String,
+    #[serde(rename = "svc")]
+    pub service: String,
     pub weight: u32,
 }
 
 /// What repeating a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
+#[serde(rename = "Kind", rename_all = "lowercase")]
 pub enum RequestKind {
     /// Nothing: it may run more than once.
     Idempotent,
@@ -73,15 +78,15 @@
 
 /// What a client may send, and how long it may take.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(default)]
-pub struct Limits {
+#[serde(rename = "Limits", default)]
+pub struct RequestLimits {
     pub max_header_bytes: usize,
     pub max_body_bytes: usize,
     pub header_timeout_ms: u64,
     pub idle_timeout_ms: u64,
 }
 
-impl Default for Limits {
+impl Default for RequestLimits {
     fn default() -> Self {
         Self {
             max_header_bytes: 16 << 10,
@@ -99,8 +104,11 @@
 impl Route {
     /// Its services with their weights.
     pub fn weighted_services(&self) -> Vec<(&str, u32)> {
-        match (&self.split, &self.svc) {
-            (Some(parts), _) => parts.iter().map(|p| (p.svc.as_str(), p.weight)).collect(),
+        match (&self.split, &self.service) {
+            (Some(parts), _) => parts
+                .iter()
+                .map(|p| (p.service.as_str(), p.weight))
+                .collect(),
             (None, Some(service)) => vec![(service, 1)],
             (None, None) => Vec::new(),
         }
--- a/crates/protocol/src/key_ranges.rs
+++ b/crates/protocol/src/key_ranges.rs
@@ -16,7 +16,7 @@
 pub const WORK_UNIT_MS: u64 = 10;
 
 /// How much work there was on which runs of keys, by service.
-pub type WorkCounts = BTreeMap<String, Vec<(u16, u16)>>;
+pub type KeyLoadReport = BTreeMap<String, Vec<(u16, u16)>>;
 
 /// An upstream that holds keys, or held them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -35,7 +35,7 @@
     #[serde(default)]
     pub quorum_member: bool,
     #[serde(default)]
-    pub limits: Limits,
+    pub limits: MachineLimits,
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
     #[serde(default = "heartbeat")]
@@ -60,13 +60,13 @@
 
 /// The machine's figures.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-#[serde(default)]
-pub struct Limits {
+#[serde(rename = "Limits", default)]
+pub struct MachineLimits {
     pub mem_mb: usize,
     pub max_fds: usize,
 }
 
-impl Default for Limits {
+impl Default for MachineLimits {
     fn default() -> Self {
         Self {
             mem_mb: 256,
@@ -131,6 +131,7 @@
 
 /// Who lists the upstreams.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(rename = "Platform")]
 pub struct PlatformApi {
     pub addr: SocketAddr,
     #[serde(default)]
--- a/crates/protocol/src/upstream_list.rs
+++ b/crates/protocol/src/upstream_list.rs
@@ -27,12 +27,12 @@
 #[serde(from = "Row", into = "Row")]
 pub struct Upstream {
     pub id: String,
-    pub svc: String,
+    pub service: String,
     pub addr: SocketAddr,
     pub slots: u32,
     pub draining: bool,
     /// It is cold for so many milliseconds longer, as of when it is told.
-    pub warm_left_ms: u64,
+    pub warmup_remaining_ms: u64,
 }
 
 /// Without the names of the fields: on a narrow link they would be most of it.
@@ -43,18 +43,25 @@
     fn from(Row(id, svc, addr, slots, draining, warm_left_ms): Row) -> Self {
         Self {
             id,
-            svc,
+            service: svc,
             addr,
             slots,
             draining,
-            warm_left_ms,
+            warmup_remaining_ms: warm_left_ms,
         }
     }
 }
 
 impl From<Upstream> for Row {
     fn from(u: Upstream) -> Self {
-        Self(u.id, u.svc, u.addr, u.slots, u.draining, u.warm_left_ms)
+        Self(
+            u.id,
+            u.service,
+            u.addr,
+            u.slots,
+            u.draining,
+            u.warmup_remaining_ms,
+        )
     }
 }
 
@@ -138,7 +145,9 @@
         let u = &known.upstream;
         Upstream {
             draining: u.draining || self.drained.contains(&u.id),
-            warm_left_ms: u.warm_left_ms.saturating_sub(now.saturating_sub(known.at)),
+            warmup_remaining_ms: u
+                .warmup_remaining_ms
+                .saturating_sub(now.saturating_sub(known.at)),
             ..u.clone()
         }
     }
@@ -175,11 +184,11 @@
             upstream.draining |= self.drained.contains(&upstream.id);
             // A cold spell is told once; that it gets shorter is no news.
             let same = self.known.get(&upstream.id).filter(|k| {
-                let left = self.as_of(k, now).warm_left_ms;
-                let warm_left_ms = k.upstream.warm_left_ms;
-                left + SAME_SPELL >= upstream.warm_left_ms
+                let left = self.as_of(k, now).warmup_remaining_ms;
+                let warm_left_ms = k.upstream.warmup_remaining_ms;
+                left + SAME_SPELL >= upstream.warmup_remaining_ms
                     && Upstream {
-                        warm_left_ms,
+                        warmup_remaining_ms: warm_left_ms,
                         ..upstream.clone()
                     } == k.upstream
             });
@@ -288,9 +297,9 @@
     /// As it was told here: the digest is of that. What is known besides to drain, its own teller tells.
     fn told(&self, id: &str, now: u64) -> Option<Upstream> {
         let known = self.known.get(id)?;
-        let warm_left_ms = self.as_of(known, now).warm_left_ms;
+        let warm_left_ms = self.as_of(known, now).warmup_remaining_ms;
         Some(Upstream {
-            warm_left_ms,
+            warmup_remaining_ms: warm_left_ms,
             ..known.upstream.clone()
         })
     }
@@ -354,7 +363,7 @@
 fn digest(known: &BTreeMap<String, Known>) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     for Known { upstream: u, .. } in known.values() {
-        for text in [&u.id, &u.svc] {
+        for text in [&u.id, &u.service] {
             hasher.update(&(text.len() as u32).to_be_bytes());
             hasher.update(text.as_bytes());
         }
@@ -375,11 +384,11 @@
     fn upstream(id: usize, draining: bool) -> Upstream {
         Upstream {
             id: format!("i-{id}"),
-            svc: "s".into(),
+            service: "s".into(),
             addr: SocketAddr::from(([10, 0, 0, id as u8], 80)),
             slots: 4,
             draining,
-            warm_left_ms: 0,
+            warmup_remaining_ms: 0,
         }
     }
 
@@ -488,16 +497,19 @@
         let mut cell = UpstreamList::default();
         let cold = |left| {
             vec![Upstream {
-                warm_left_ms: left,
+                warmup_remaining_ms: left,
                 ..upstream(1, false)
             }]
         };
         assert!(cell.set_platform_list(cold(3000), 0, 1, 1));
         assert!(!cell.set_platform_list(cold(2100), 1000, 1001, 1));
-        let left = cell.upstream("i-1", 2000).expect("known").warm_left_ms;
+        let left = cell
+            .upstream("i-1", 2000)
+            .expect("known")
+            .warmup_remaining_ms;
         assert_eq!(left, 1000);
         assert!(
-            matches!(cell.snapshot(2000), Some(UpstreamUpdate::Snapshot(_, all)) if all[0].warm_left_ms == 1000)
+            matches!(cell.snapshot(2000), Some(UpstreamUpdate::Snapshot(_, all)) if all[0].warmup_remaining_ms == 1000)
         );
         assert!(
             cell.set_platform_list(cold(3000), 2000, 2001, 1),
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 use crate::compact_config::CompactConfig;
-use crate::key_ranges::{KeyRangeRow, WorkCounts};
+use crate::key_ranges::{KeyLoadReport, KeyRangeRow};
 use crate::upstream_list::UpstreamUpdate;
 
 /// This build's protocol. A process that speaks another is turned away by its first frame.
@@ -23,12 +23,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Handshake {
     /// A data-plane balancer opens its session.
-    DataPlane { protocol: u32, balancer: Balancer },
+    DataPlane {
+        #[serde(rename = "protocol")]
+        protocol_version: u32,
+        balancer: Balancer,
+    },
     /// A control balancer, at this address for others to call back.
     Control {
-        protocol: u32,
-        id: NodeId,
-        at: ControlNode,
+        #[serde(rename = "protocol")]
+        protocol_version: u32,
+        #[serde(rename = "id")]
+        node_id: NodeId,
+        #[serde(rename = "at")]
+        control_node: ControlNode,
     },
 }
 
@@ -43,7 +50,7 @@
     pub region: String,
     /// Where clients reach it.
     #[serde(rename = "h")]
-    pub http: SocketAddr,
+    pub http_addr: SocketAddr,
 }
 
 /// A control balancer.
@@ -71,7 +78,7 @@
     KeepAlive,
     /// The work on keys that upstreams divide, since it said so last.
     #[serde(rename = "w")]
-    Work(WorkCounts),
+    KeyLoad(KeyLoadReport),
 }
 
 /// A data-plane balancer asks for news of what it does not have.
@@ -85,7 +92,7 @@
     pub evacuations_index: u64,
     /// The place in the log of the last change that it has of who holds which keys.
     #[serde(rename = "h", skip_serializing_if = "none")]
-    pub keys_index: u64,
+    pub key_ranges_index: u64,
     /// The version it has of each zone's upstreams; 0 where it wants the whole list.
     #[serde(rename = "z", skip_serializing_if = "BTreeMap::is_empty")]
     pub zone_versions: BTreeMap<String, u64>,
@@ -131,7 +138,7 @@
     pub evacuated_zones: Option<(u64, Vec<String>)>,
     /// What changed of who holds which keys, by service, and the place in the log.
     #[serde(rename = "h", skip_serializing_if = "Option::is_none")]
-    pub keys: Option<(u64, BTreeMap<String, Vec<KeyRangeRow>>)>,
+    pub key_ranges: Option<(u64, BTreeMap<String, Vec<KeyRangeRow>>)>,
     /// Zones' upstreams.
     #[serde(rename = "z", skip_serializing_if = "BTreeMap::is_empty")]
     pub zone_updates: BTreeMap<String, UpstreamUpdate>,
@@ -161,21 +168,31 @@
     #[serde(rename = "Log")]
     Raft(Message),
     /// Who wants to take part in it.
-    Join { id: NodeId, inner: SocketAddr },
+    Join {
+        #[serde(rename = "id")]
+        node_id: NodeId,
+        #[serde(rename = "inner")]
+        internal_addr: SocketAddr,
+    },
     /// All sessions that stand with the sender, and who it knows to serve control.
     Sessions {
         sessions: Vec<Session>,
-        controls: Vec<ControlNode>,
+        #[serde(rename = "controls")]
+        control_nodes: Vec<ControlNode>,
     },
     /// Those that are other than it told last, and who serves control if that is other.
     #[serde(rename = "Moved")]
     SessionChanges {
-        sessions: Vec<Session>,
-        gone: Vec<String>,
-        controls: Option<Vec<ControlNode>>,
+        #[serde(rename = "sessions")]
+        changed: Vec<Session>,
+        #[serde(rename = "gone")]
+        removed: Vec<String>,
+        #[serde(rename = "controls")]
+        control_nodes: Option<Vec<ControlNode>>,
     },
     /// What balancers counted of the work on keys that upstreams divide; told to the leader.
-    Work(WorkCounts),
+    #[serde(rename = "Work")]
+    KeyLoad(KeyLoadReport),
     /// It is there, and takes this one for the leader.
     #[serde(rename = "Alive")]
     Heartbeat { leader: Option<SocketAddr> },
@@ -188,7 +205,11 @@
     LeadershipConfirmed { token: u64 },
     /// A zone's upstreams.
     #[serde(rename = "Zone")]
-    ZoneUpdate { zone: String, told: UpstreamUpdate },
+    ZoneUpdate {
+        zone: String,
+        #[serde(rename = "told")]
+        update: UpstreamUpdate,
+    },
     /// What was told of the zone built on something that is not here: the whole list is wanted.
     #[serde(rename = "Want")]
     ZoneSnapshotRequest { zone: String },
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use protocol::compact_config::CompactConfig;
-use protocol::config::{Config, Limits, RequestKind, Route, Service, TrafficSplit};
+use protocol::config::{Config, RequestKind, RequestLimits, Route, Service, TrafficSplit};
 use protocol::key_ranges::{KeyRangeChange, KeyRangeMap, KeyRangeRow, LeaseHolder, Ownership};
 use protocol::upstream_list::{Upstream, UpstreamList, UpstreamUpdate};
 use protocol::wire::{
@@ -66,13 +66,13 @@
         node: "edge-1".into(),
         zone: "zone-a".into(),
         region: "region-1".into(),
-        http: address("10.1.2.3:8080"),
+        http_addr: address("10.1.2.3:8080"),
     }
 }
 
 fn sample_balancer_with_ipv6() -> Balancer {
     Balancer {
-        http: address("[2001:db8::7]:8080"),
+        http_addr: address("[2001:db8::7]:8080"),
         ..sample_balancer()
     }
 }
@@ -128,7 +128,7 @@
     WatchRequest {
         config_index: 7,
         evacuations_index: 300,
-        keys_index: 70_000,
+        key_ranges_index: 70_000,
         zone_versions: BTreeMap::from([("zone-a".into(), 5_000_000_000), ("zone-b".into(), 0)]),
         fleet: Some(sample_bank()),
         control_nodes_digest: u32::MAX,
@@ -146,15 +146,15 @@
         kind: RequestKind::Mutating,
         deadline_ms: u64::MAX,
         target_ms: 250,
-        prio: 3,
-        svc: None,
+        priority: 3,
+        service: None,
         split: Some(vec![
             TrafficSplit {
-                svc: "one".into(),
+                service: "one".into(),
                 weight: 3,
             },
             TrafficSplit {
-                svc: "two".into(),
+                service: "two".into(),
                 weight: 0,
             },
         ]),
@@ -166,7 +166,7 @@
         host: "a.example".into(),
         path_prefix: "/p/".into(),
         kind: RequestKind::Idempotent,
-        svc: Some("two".into()),
+        service: Some("two".into()),
         split: None,
         max_attempts: 3,
         home_regions: Vec::new(),
@@ -184,14 +184,14 @@
         name: "two".into(),
         ..Service::default()
     };
-    let limits = Limits {
+    let limits = RequestLimits {
         max_header_bytes: 8192,
         max_body_bytes: 1 << 20,
         header_timeout_ms: 700,
         idle_timeout_ms: 15_001,
     };
     Config {
-        rev: 41,
+        revision: 41,
         routes: vec![shared, single],
         services: vec![one, two],
         limits,
@@ -199,17 +199,17 @@
 }
 
 fn sample_compact_config() -> CompactConfig {
-    CompactConfig::of(&sample_config())
+    CompactConfig::from_config(&sample_config())
 }
 
 fn sample_upstream(number: u8) -> Upstream {
     Upstream {
         id: format!("i-{number}"),
-        svc: "one".into(),
+        service: "one".into(),
         addr: SocketAddr::from(([10, 0, 0, number], 80)),
         slots: 4,
         draining: false,
-        warm_left_ms: 0,
+        warmup_remaining_ms: 0,
     }
 }
 
@@ -226,8 +226,8 @@
     };
     let cold = Upstream {
         addr: address("[2001:db8::9]:8443"),
-        svc: "two".into(),
-        warm_left_ms: 3000,
+        service: "two".into(),
+        warmup_remaining_ms: 3000,
         ..sample_upstream(9)
     };
     let next = vec![sample_upstream(1), draining, sample_upstream(4), cold];
@@ -256,7 +256,7 @@
         out_of_contact: true,
         config: Some((8, Arc::new(sample_compact_config()))),
         evacuated_zones: Some((9, vec!["zone-b".into(), "zone-c".into()])),
-        keys: Some((10, BTreeMap::from([("one".into(), sample_rows())]))),
+        key_ranges: Some((10, BTreeMap::from([("one".into(), sample_rows())]))),
         zone_updates: BTreeMap::from([
             ("zone-a".into(), sample_told_whole()),
             ("zone-b".into(), sample_told_change()),
@@ -319,19 +319,19 @@
     let controls = vec![sample_control(), sample_control_without_disk()];
     vec![
         PeerMessage::Join {
-            id: u64::MAX,
-            inner: address("10.1.2.4:7000"),
+            node_id: u64::MAX,
+            internal_addr: address("10.1.2.4:7000"),
         },
         PeerMessage::Sessions {
             sessions: sessions.clone(),
-            controls: controls.clone(),
+            control_nodes: controls.clone(),
         },
         PeerMessage::SessionChanges {
-            sessions,
-            gone: vec!["edge-9".into()],
-            controls: Some(controls),
+            changed: sessions,
+            removed: vec!["edge-9".into()],
+            control_nodes: Some(controls),
         },
-        PeerMessage::Work(sample_counts()),
+        PeerMessage::KeyLoad(sample_counts()),
         PeerMessage::Heartbeat {
             leader: Some(address("10.1.2.4:7000")),
         },
@@ -339,7 +339,7 @@
         PeerMessage::LeadershipConfirmed { token: 77 },
         PeerMessage::ZoneUpdate {
             zone: "zone-a".into(),
-            told: sample_told_change(),
+            update: sample_told_change(),
         },
         PeerMessage::ZoneSnapshotRequest {
             zone: "zone-a".into(),
@@ -360,7 +360,7 @@
     match word {
         SessionMessage::Watch(_) => "word-ask",
         SessionMessage::KeepAlive => "word-same",
-        SessionMessage::Work(_) => "word-work",
+        SessionMessage::KeyLoad(_) => "word-work",
     }
 }
 
@@ -387,7 +387,7 @@
         PeerMessage::Join { .. } => Some("tell-join"),
         PeerMessage::Sessions { .. } => Some("tell-sessions"),
         PeerMessage::SessionChanges { .. } => Some("tell-moved"),
-        PeerMessage::Work(_) => Some("tell-work"),
+        PeerMessage::KeyLoad(_) => Some("tell-work"),
         PeerMessage::Heartbeat { .. } => Some("tell-alive"),
         PeerMessage::ConfirmLeadership { .. } => Some("tell-confirm"),
         PeerMessage::LeadershipConfirmed { .. } => Some("tell-confirmed"),
@@ -413,13 +413,13 @@
 fn hello_frames_are_unchanged() {
     let balancer = sample_balancer();
     let data_plane = Handshake::DataPlane {
-        protocol: 5,
+        protocol_version: 5,
         balancer,
     };
     let control = Handshake::Control {
-        protocol: 5,
-        id: u64::MAX,
-        at: sample_control(),
+        protocol_version: 5,
+        node_id: u64::MAX,
+        control_node: sample_control(),
     };
     for hello in [data_plane, control] {
         assert_golden(hello_fixture(&hello), &hello);
@@ -431,7 +431,7 @@
     for word in [
         SessionMessage::Watch(sample_ask()),
         SessionMessage::KeepAlive,
-        SessionMessage::Work(sample_counts()),
+        SessionMessage::KeyLoad(sample_counts()),
     ] {
         assert_golden(word_fixture(&word), &word);
     }
@@ -439,7 +439,7 @@
         "word-ask-default",
         &SessionMessage::Watch(WatchRequest::default()),
     );
-    assert_golden("word-work-empty", &SessionMessage::Work(BTreeMap::new()));
+    assert_golden("word-work-empty", &SessionMessage::KeyLoad(BTreeMap::new()));
     assert_golden("ask", &sample_ask());
     assert_golden("ask-default", &WatchRequest::default());
 }
@@ -475,9 +475,9 @@
         &PeerMessage::Heartbeat { leader: None },
     );
     let moved = PeerMessage::SessionChanges {
-        sessions: Vec::new(),
-        gone: Vec::new(),
-        controls: None,
+        changed: Vec::new(),
+        removed: Vec::new(),
+        control_nodes: None,
     };
     assert_golden("tell-moved-empty", &moved);
 }
@@ -497,7 +497,7 @@
 fn compact_config_frame_is_unchanged() {
     assert_golden("compact-config", &sample_compact_config());
     assert_golden("compact-config-default", &CompactConfig::default());
-    assert_eq!(sample_compact_config().config(), sample_config());
+    assert_eq!(sample_compact_config().to_config(), sample_config());
 }
 
 #[test]
--- a/crates/shorefront/src/operate.rs
+++ b/crates/shorefront/src/operate.rs
@@ -134,7 +134,7 @@
         ConfigCommand::Check { file } => {
             let config = valid(file)?.1;
             let (routes, services) = (config.routes.len(), config.services.len());
-            let (file, rev) = (file.display(), config.rev);
+            let (file, rev) = (file.display(), config.revision);
             Ok(format!(
                 "{file}: good (rev {rev}, {routes} routes, {services} services)"
             ))
--- a/crates/simulation/tests/cells/balancers.rs
+++ b/crates/simulation/tests/cells/balancers.rs
@@ -12,7 +12,7 @@
 use data_plane::control_client::{CONNECT_TIMEOUT, ControlClient, Network, UpdateHandler};
 use data_plane::upstream_pool::AbortOnDrop;
 use protocol::config::Config;
-use protocol::key_ranges::WorkCounts;
+use protocol::key_ranges::KeyLoadReport;
 use protocol::upstream_list::{UpdateOutcome, UpstreamList};
 use protocol::wire::{Balancer, FleetView, WatchRequest, WatchUpdate};
 use tokio::io::{DuplexStream, duplex};
@@ -79,7 +79,7 @@
             index,
             config.routes.first().map_or(0, |route| route.target_ms),
         );
-        let rev = config.rev;
+        let rev = config.revision;
         let before = self.rev.replace(rev);
         let went_back = || format!("a balancer went back from {before} to {rev}");
         self.history.require(rev >= before, went_back);
@@ -143,7 +143,7 @@
             self.history
                 .require(!news.out_of_contact, || "told without contact".into());
             if *index > self.config.get() {
-                self.take_config(*index, &config.config());
+                self.take_config(*index, &config.to_config());
             }
         }
         let has_gap = self.take_zones(news);
@@ -151,8 +151,8 @@
         has_gap
     }
 
-    fn work(&self) -> WorkCounts {
-        WorkCounts::new()
+    fn work(&self) -> KeyLoadReport {
+        KeyLoadReport::new()
     }
 
     fn bank(&self, bank: FleetView) {
@@ -224,7 +224,7 @@
             node,
             zone: "a".into(),
             region: "r".into(),
-            http,
+            http_addr: http,
         };
         let watch = ControlClient::with_network(Path(self.net.clone()), me, memory.clone());
         // Three at first, as a settings file names them: of the core, or any others that serve control.
--- a/crates/simulation/tests/cells/platform.rs
+++ b/crates/simulation/tests/cells/platform.rs
@@ -62,11 +62,11 @@
         let number = self.next.replace(self.next.get() + 1);
         let upstream = Upstream {
             id: format!("i-{number}"),
-            svc: "s".into(),
+            service: "s".into(),
             addr: SocketAddr::from(([10, 1, (number / 250) as u8, (number % 250) as u8], 80)),
             slots: 4,
             draining: false,
-            warm_left_ms: 0,
+            warmup_remaining_ms: 0,
         };
         Listed {
             upstream,
