--- a/crates/data-plane/src/engine/membership.rs
+++ b/crates/data-plane/src/engine/membership.rs
@@ -65,9 +65,9 @@
         let Some(known) = self.services.get(service) else {
             return;
         };
-        let to_owned_range = |KeyRangeRow(since, to, owner): &KeyRangeRow| OwnedKeyRange {
-            since: *since,
-            to: *to,
+        let to_owned_range = |KeyRangeRow(first, last, owner): &KeyRangeRow| OwnedKeyRange {
+            first: *first,
+            last: *last,
             server: owner.as_ref().and_then(|id| known.upstreams.server_id(id)),
         };
         let owned: Vec<OwnedKeyRange> = known.key_ranges.iter().map(to_owned_range).collect();
--- a/crates/data-plane/src/engine/pending_request.rs
+++ b/crates/data-plane/src/engine/pending_request.rs
@@ -121,7 +121,7 @@
     /// Whether an upstream may have run it, as far as its last attempt tells. What may run only once is not retried
     /// after an attempt that may have run.
     pub(super) fn may_have_run(&self) -> bool {
-        self.last_outcome.is_some_and(|last| !last.never_ran())
+        self.last_outcome.is_some_and(|last| !last.has_not_run())
     }
 
     /// Marks an attempt as reported, and returns its upstream and how long it took; `None` if it is unknown or was
--- a/crates/data-plane/src/upstream_pool/attempt.rs
+++ b/crates/data-plane/src/upstream_pool/attempt.rs
@@ -16,7 +16,7 @@
 
 /// How an attempt ended, and with what.
 pub struct AttemptResult {
-    /// How it ended; says too whether the request may have run ([`AttemptOutcome::never_ran`]).
+    /// How it ended; says too whether the request may have run ([`AttemptOutcome::has_not_run`]).
     pub outcome: AttemptOutcome,
     /// The load that the upstream reported.
     pub report: LoadReport,
@@ -140,7 +140,7 @@
 
     /// Whether the upstream may have run the request. If not, it may be sent again whatever it does.
     pub fn may_have_run(&self) -> bool {
-        !self.outcome().never_ran()
+        !self.outcome().has_not_run()
     }
 }
 
--- a/crates/data-plane/src/upstream_pool/load_report.rs
+++ b/crates/data-plane/src/upstream_pool/load_report.rs
@@ -2,7 +2,7 @@
 
 use hyper::header::{HeaderMap, HeaderName};
 use load_balancing::interface::LoadReport;
-use load_balancing::settings::Field;
+use load_balancing::settings::LoadReportField;
 
 /// A figure outside of this is taken for an error and ignored.
 const PLAUSIBLE_VALUES: std::ops::RangeInclusive<f64> = 0.0..=1e6;
@@ -10,7 +10,7 @@
 /// The form of load reports.
 pub enum LoadReportFormat {
     /// `X-Load: TEXT name=value, ...`, and the field that each name stands for.
-    Named(Vec<(String, Field)>),
+    Named(Vec<(String, LoadReportField)>),
     /// Requests running, requests waiting and slots, joined by commas, in this header.
     Slots(HeaderName),
 }
@@ -25,7 +25,7 @@
     }
 }
 
-fn parse_named(fields: &[(String, Field)], headers: &HeaderMap) -> LoadReport {
+fn parse_named(fields: &[(String, LoadReportField)], headers: &HeaderMap) -> LoadReport {
     let mut report = LoadReport::default();
     let text = header_text(headers, "x-load").and_then(|text| text.trim().strip_prefix("TEXT"));
     for pair in text.unwrap_or_default().split(',') {
@@ -54,7 +54,7 @@
     // The fields are initialized in the order of the text.
     LoadReport {
         inflight: next(),
-        queue: next(),
+        queued: next(),
         ..LoadReport::default()
     }
 }
