--- a/crates/data-plane/src/engine/upstreams/tests.rs
+++ b/crates/data-plane/src/engine/upstreams/tests.rs
@@ -31,13 +31,13 @@
 }
 
 #[tokio::test]
-async fn upstreams_come_and_go_and_no_handle_is_used_twice() {
+async fn no_server_id_is_used_twice() {
     let pool = tokio::task::LocalSet::new()
         .run_until(async { pool() })
         .await;
     let mut upstreams = UpstreamRegistry::new(Duration::from_millis(400));
     let mut next = 0;
-    let mut told = |id: &str, status, kind| {
+    let mut update = |id: &str, status, kind| {
         let list = [upstream(id, status)];
         let members = upstreams.update(&list, kind, &pool, &mut next);
         upstreams.remove_gone(&pool);
@@ -51,22 +51,25 @@
     for i in 0..2000 {
         // New ids at one address, gone by word or by being left out.
         let name = format!("s-{i}");
-        let (id, ids, targets) = told(&name, Status::Live, MembershipKind::Complete);
+        let (id, ids, targets) = update(&name, Status::Live, MembershipKind::Complete);
         assert_eq!((ids, targets), (1, 1));
-        assert!(seen.insert(id.expect("a member")), "a handle is used again");
+        assert!(
+            seen.insert(id.expect("a member")),
+            "a server id is used again"
+        );
         if i % 2 == 0 {
-            let (_, ids, targets) = told(&name, Status::Gone, MembershipKind::Update);
+            let (_, ids, targets) = update(&name, Status::Gone, MembershipKind::Update);
             assert_eq!((ids, targets), (0, 0));
         }
     }
     assert_eq!(
-        told("never-seen", Status::Gone, MembershipKind::Update).0,
+        update("never-seen", Status::Gone, MembershipKind::Update).0,
         None
     );
 }
 
 #[tokio::test]
-async fn what_an_attempt_still_looks_at_is_kept_and_stays_closed() {
+async fn upstream_in_use_is_kept_and_stays_closed() {
     let pool = tokio::task::LocalSet::new()
         .run_until(async { pool() })
         .await;
--- a/crates/data-plane/src/upstream_connection/tests.rs
+++ b/crates/data-plane/src/upstream_connection/tests.rs
@@ -1,4 +1,4 @@
-//! One connection to an upstream over loopback: whose each answer is, and what is none.
+//! One connection to an upstream: which request each response answers, and what is not a response.
 
 use hyper::header::{HeaderName, HeaderValue};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, ReadBuf};
@@ -15,14 +15,14 @@
     format!("HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-async fn pair() -> (UpstreamConnection, TcpStream) {
+async fn loopback_connection() -> (UpstreamConnection, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
     let stream = TcpStream::connect(at).await.expect("a connection");
-    let (far, _) = listener.accept().await.expect("accepted");
+    let (peer, _) = listener.accept().await.expect("accepted");
     (
         UpstreamConnection::new(stream, at, Duration::ZERO, Duration::from_secs(8)),
-        far,
+        peer,
     )
 }
 
@@ -36,69 +36,79 @@
     }
 }
 
-async fn receive(link: &mut UpstreamConnection, id: &str) -> Option<Bytes> {
+async fn receive(connection: &mut UpstreamConnection, id: &str) -> Option<Bytes> {
     let id = HeaderValue::from_str(id).expect("an id");
     let all = BodyBudget::new(1 << 20);
     let mut sent = SendProgress::default();
     let mut request = OutgoingRequest::new(b"x", b"", &mut sent);
     request.progress.bytes_sent = 1;
-    link.receive(&awaited(&id), &mut request, &all)
+    connection
+        .receive(&awaited(&id), &mut request, &all)
         .await
         .ok()
         .map(Response::into_body)
 }
 
-/// What comes on the wire, in pieces; whether `b` gets its answer, and may be followed.
-async fn told(pieces: &[&str]) -> (Option<String>, bool) {
-    let (mut link, mut far) = pair().await;
-    link.carried_ids.insert(&HeaderValue::from_static("a"));
-    let pieces: Vec<String> = pieces.iter().map(ToString::to_string).collect();
+/// Sends these chunks on the wire; the body that request `b` gets, and whether the connection is reusable then.
+async fn receive_chunks(chunks: &[&str]) -> (Option<String>, bool) {
+    let (mut connection, mut peer) = loopback_connection().await;
+    connection
+        .carried_ids
+        .insert(&HeaderValue::from_static("a"));
+    let chunks: Vec<String> = chunks.iter().map(ToString::to_string).collect();
     let upstream = async move {
-        for piece in pieces {
-            far.write_all(piece.as_bytes()).await.expect("written");
-            far.flush().await.expect("flushed");
+        for chunk in chunks {
+            peer.write_all(chunk.as_bytes()).await.expect("written");
+            peer.flush().await.expect("flushed");
             tokio::task::yield_now().await;
         }
     };
-    let (body, ()) = tokio::join!(receive(&mut link, "b"), upstream);
+    let (body, ()) = tokio::join!(receive(&mut connection, "b"), upstream);
     (
         body.map(|b| String::from_utf8_lossy(&b).into_owned()),
-        link.reusable,
+        connection.reusable,
     )
 }
 
 #[tokio::test]
-async fn an_answer_belongs_to_a_request_by_its_id_wherever_it_stands() {
+async fn response_is_matched_by_its_id() {
     let (own, surplus) = (answer("b", "own"), answer("a", "other"));
     let chunked = "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n\
         3\r\nxyz\r\n2;x=1\r\nab\r\n0\r\nTrail: 1\r\n\r\n";
     let hints = "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
     let own_text = Some("own".to_string());
-    assert_eq!(told(&[&own]).await, (own_text.clone(), true));
-    assert_eq!(told(&[hints, &own]).await, (own_text.clone(), true));
-    // Whole, split within its head and its body, in one piece with the next, chunked, twice.
+    assert_eq!(receive_chunks(&[&own]).await, (own_text.clone(), true));
+    assert_eq!(
+        receive_chunks(&[hints, &own]).await,
+        (own_text.clone(), true)
+    );
+    // Whole, split within its head and its body, in one chunk with the next, chunked, twice.
     let both = format!("{surplus}{own}");
-    for pieces in [
+    for chunks in [
         vec![&surplus[..], &own],
         vec![&surplus[..20], &surplus[20..], &own[..54], &own[54..]],
         vec![&both],
         vec![chunked, &own],
         vec![&surplus, &surplus, hints, &own],
     ] {
-        assert_eq!(told(&pieces).await, (own_text.clone(), false), "{pieces:?}");
+        assert_eq!(
+            receive_chunks(&chunks).await,
+            (own_text.clone(), false),
+            "{chunks:?}"
+        );
     }
     // What follows is not the next one's either.
     let after = format!("{own}{surplus}");
-    assert_eq!(told(&[&after]).await, (own_text.clone(), false));
+    assert_eq!(receive_chunks(&[&after]).await, (own_text.clone(), false));
     let more = format!("{own}\r\n");
-    assert_eq!(told(&[&more]).await, (own_text, false));
+    assert_eq!(receive_chunks(&[&more]).await, (own_text, false));
 }
 
 #[tokio::test]
-async fn what_is_cut_short_garbled_or_nobodys_is_no_answer() {
-    let nameless = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown";
+async fn incomplete_or_malformed_response_is_refused() {
+    let without_id = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown";
     let cases = [
-        nameless.to_string(),
+        without_id.to_string(),
         answer("a", "other"),
         answer("b", "own")[..54].to_string(),
         format!("{}noise\r\n\r\n", answer("a", "other")),
@@ -116,12 +126,12 @@
         "HTTP/1.1 103 Early Hints\r\n\r\n".repeat(MAX_OTHER_RESPONSES + 1),
     ];
     for text in cases {
-        assert_eq!(told(&[&text]).await, (None, false), "{text:?}");
+        assert_eq!(receive_chunks(&[&text]).await, (None, false), "{text:?}");
     }
 }
 
-/// What a request without an id is answered on this connection.
-async fn receive_unnamed(link: &mut UpstreamConnection) -> Option<Bytes> {
+/// The body that a request without an id gets on this connection.
+async fn receive_without_id(connection: &mut UpstreamConnection) -> Option<Bytes> {
     let mut sent = SendProgress::default();
     let mut request = OutgoingRequest::new(b"x", b"", &mut sent);
     request.progress.bytes_sent = 1;
@@ -133,35 +143,43 @@
         }),
     };
     let all = BodyBudget::new(1 << 20);
-    link.receive(&awaited, &mut request, &all)
+    connection
+        .receive(&awaited, &mut request, &all)
         .await
         .ok()
         .map(Response::into_body)
 }
 
 #[tokio::test]
-async fn an_answer_without_an_echo_is_only_that_to_a_request_without_an_id() {
-    let nameless = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown";
-    let (mut link, mut far) = pair().await;
-    far.write_all(nameless).await.expect("written");
+async fn response_without_id_answers_only_a_request_without_id() {
+    let without_id = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown";
+    let (mut connection, mut peer) = loopback_connection().await;
+    peer.write_all(without_id).await.expect("written");
     assert_eq!(
-        receive(&mut link, "b").await,
+        receive(&mut connection, "b").await,
         None,
-        "it does not say whose it is"
+        "it does not say which request it answers"
     );
-    assert!(!link.reusable);
+    assert!(!connection.reusable);
 
-    let (mut link, mut far) = pair().await;
-    far.write_all(nameless).await.expect("written");
-    assert_eq!(receive_unnamed(&mut link).await.expect("the first"), "own");
+    let (mut connection, mut peer) = loopback_connection().await;
+    peer.write_all(without_id).await.expect("written");
+    assert_eq!(
+        receive_without_id(&mut connection)
+            .await
+            .expect("the first"),
+        "own"
+    );
     assert!(
-        !link.reusable,
+        !connection.reusable,
         "the next answer could be the surplus of this one"
     );
 
     // After another exchange it could be the surplus of that one.
-    let (mut link, mut far) = pair().await;
-    link.carried_ids.insert(&HeaderValue::from_static("a"));
+    let (mut connection, mut peer) = loopback_connection().await;
+    connection
+        .carried_ids
+        .insert(&HeaderValue::from_static("a"));
     let awaited = AwaitedResponse {
         method: &Method::GET,
         echoed_id: Some(EchoedId {
@@ -169,52 +187,55 @@
             value: None,
         }),
     };
-    assert!(!link.can_carry(&awaited));
-    far.write_all(nameless).await.expect("written");
-    drop(far);
-    assert_eq!(receive_unnamed(&mut link).await, None);
+    assert!(!connection.can_carry(&awaited));
+    peer.write_all(without_id).await.expect("written");
+    drop(peer);
+    assert_eq!(receive_without_id(&mut connection).await, None);
 }
 
 #[tokio::test]
-async fn a_connection_is_not_used_again_for_the_same_id_or_with_something_on_it() {
-    let (mut link, mut far) = pair().await;
-    far.write_all(answer("b", "own").as_bytes())
+async fn connection_is_not_reused_for_the_same_id_or_with_unread_bytes() {
+    let (mut connection, mut peer) = loopback_connection().await;
+    peer.write_all(answer("b", "own").as_bytes())
         .await
         .expect("written");
-    assert!(receive(&mut link, "b").await.is_some() && link.reusable);
+    assert!(receive(&mut connection, "b").await.is_some() && connection.reusable);
     let (b, c) = (HeaderValue::from_static("b"), HeaderValue::from_static("c"));
     assert!(
-        !link.can_carry(&awaited(&b)),
-        "its first answer may come again"
+        !connection.can_carry(&awaited(&b)),
+        "its response may come again"
     );
-    assert!(link.can_carry(&awaited(&c)));
-    far.write_all(answer("b", "own").as_bytes())
+    assert!(connection.can_carry(&awaited(&c)));
+    peer.write_all(answer("b", "own").as_bytes())
         .await
         .expect("written");
-    far.flush().await.expect("flushed");
-    link.stream.readable().await.expect("it came");
+    peer.flush().await.expect("flushed");
+    connection.stream.readable().await.expect("it came");
     assert!(
-        !link.can_carry(&awaited(&c)),
-        "something unasked for has come"
+        !connection.can_carry(&awaited(&c)),
+        "an unexpected response has come"
     );
 }
 
 #[tokio::test]
-async fn what_the_upstream_says_before_all_is_written_is_heard() {
-    let (mut link, mut far) = pair().await;
+async fn response_before_the_request_is_written_is_received() {
+    let (mut connection, mut peer) = loopback_connection().await;
     let mut sent = SendProgress::default();
     let large = vec![b'x'; 64 << 20];
-    far.write_all(answer("b", "full").as_bytes())
+    peer.write_all(answer("b", "full").as_bytes())
         .await
         .expect("written");
     let mut request = OutgoingRequest::new(b"head", &large, &mut sent);
-    link.send(&mut request).await.expect("it spoke");
+    connection.send(&mut request).await.expect("it spoke");
     assert!(sent.is_incomplete() && !sent.is_unsent());
-    assert_eq!(receive(&mut link, "b").await.expect("its word"), "full");
+    assert_eq!(
+        receive(&mut connection, "b").await.expect("its word"),
+        "full"
+    );
 }
 
 #[test]
-fn only_what_is_certainly_not_whole_never_ran() {
+fn only_an_incomplete_request_is_proof_of_not_run() {
     let mut sent = SendProgress::default();
     assert!(
         sent.is_unsent() && sent.is_incomplete(),
@@ -232,10 +253,10 @@
     assert!(!sent.is_incomplete());
 }
 
-/// A connection within this process, whose far side takes in no more than `room` bytes unread.
-struct Memory(DuplexStream);
+/// A connection within this process.
+struct MemoryTransport(DuplexStream);
 
-impl AsyncRead for Memory {
+impl AsyncRead for MemoryTransport {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -245,7 +266,7 @@
     }
 }
 
-impl AsyncWrite for Memory {
+impl AsyncWrite for MemoryTransport {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -261,38 +282,42 @@
     }
 }
 
-impl Transport for Memory {
+impl Transport for MemoryTransport {
     fn is_idle(&self) -> bool {
         true
     }
 }
 
-/// A connection that has carried these ids, and its far side.
-fn memory(room: usize, carried: &[&str]) -> (UpstreamConnection<Memory>, DuplexStream) {
-    let (near, far) = tokio::io::duplex(room);
+/// A connection that has carried these ids, and its peer, which buffers no more than `capacity` unread bytes.
+fn memory_connection(
+    capacity: usize,
+    carried: &[&str],
+) -> (UpstreamConnection<MemoryTransport>, DuplexStream) {
+    let (own_end, peer) = tokio::io::duplex(capacity);
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
-    let mut link = UpstreamConnection::new(
-        Memory(near),
+    let mut connection = UpstreamConnection::new(
+        MemoryTransport(own_end),
         address,
         Duration::ZERO,
         Duration::from_secs(8),
     );
     for id in carried {
-        link.carried_ids
+        connection
+            .carried_ids
             .insert(&HeaderValue::from_str(id).expect("an id"));
     }
-    (link, far)
+    (connection, peer)
 }
 
-/// What became of a request by `b`: its answer's body, how far it was sent, whether another may follow.
-type Became = (Option<String>, SendProgress, bool);
+/// What ended of request `b`: the body of its response, how much of it was sent, whether another may follow.
+type ExchangeEnd = (Option<String>, SendProgress, bool);
 
 /// Sends a request of a head and a body, and reads its answer; gives up after a minute of paused time.
 async fn exchange<S: Transport>(
-    link: &mut UpstreamConnection<S>,
+    connection: &mut UpstreamConnection<S>,
     method: &Method,
     body: &[u8],
-) -> Became {
+) -> ExchangeEnd {
     let (id, mut sent) = (HeaderValue::from_static("b"), SendProgress::default());
     let awaited = AwaitedResponse {
         method,
@@ -301,33 +326,36 @@
     let all = BodyBudget::new(2 << 20);
     let answer = async {
         let mut request = OutgoingRequest::new(b"head", body, &mut sent);
-        link.send(&mut request).await.ok()?;
-        link.receive(&awaited, &mut request, &all).await.ok()
+        connection.send(&mut request).await.ok()?;
+        connection.receive(&awaited, &mut request, &all).await.ok()
     };
     let answer = timeout(Duration::from_secs(60), answer)
         .await
         .ok()
         .flatten();
     let body = answer.map(|a| String::from_utf8_lossy(a.body()).into_owned());
-    (body, sent, link.reusable)
+    (body, sent, connection.reusable)
 }
 
 #[tokio::test]
-async fn no_connection_carries_an_id_twice_or_more_ids_than_it_remembers() {
-    let (mut link, mut far) = pair().await;
+async fn connection_carries_each_id_once_and_a_limited_number() {
+    let (mut connection, mut peer) = loopback_connection().await;
     for n in 1..=MAX_EXCHANGES {
         let id = HeaderValue::from_str(&n.to_string()).expect("an id");
-        assert!(link.can_carry(&awaited(&id)), "{n}");
-        far.write_all(answer(&n.to_string(), "own").as_bytes())
+        assert!(connection.can_carry(&awaited(&id)), "{n}");
+        peer.write_all(answer(&n.to_string(), "own").as_bytes())
             .await
             .expect("written");
-        assert!(receive(&mut link, &n.to_string()).await.is_some(), "{n}");
-        assert_eq!(link.reusable, n < MAX_EXCHANGES, "{n}");
+        assert!(
+            receive(&mut connection, &n.to_string()).await.is_some(),
+            "{n}"
+        );
+        assert_eq!(connection.reusable, n < MAX_EXCHANGES, "{n}");
         if n == 3 {
             for earlier in ["1", "2", "3"].map(HeaderValue::from_static) {
                 assert!(
-                    !link.can_carry(&awaited(&earlier)),
-                    "its surplus would answer its next try"
+                    !connection.can_carry(&awaited(&earlier)),
+                    "its surplus would answer its next attempt"
                 );
             }
         }
@@ -335,49 +363,50 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_has_carried_a_request_carries_none_by_head() {
+async fn used_connection_carries_no_head_request() {
     // A surplus answer is read by the method of the request that is awaited.
     let (id, method) = (HeaderValue::from_static("b"), Method::HEAD);
     let head = AwaitedResponse {
         method: &method,
         ..awaited(&id)
     };
-    let (mut link, mut far) = memory(4096, &[]);
-    assert!(link.can_carry(&head));
-    far.write_all(b"HTTP/1.1 200 OK\r\nAttempt-Id: b\r\nContent-Length: 9\r\n\r\n")
+    let (mut connection, mut peer) = memory_connection(4096, &[]);
+    assert!(connection.can_carry(&head));
+    peer.write_all(b"HTTP/1.1 200 OK\r\nAttempt-Id: b\r\nContent-Length: 9\r\n\r\n")
         .await
         .expect("written");
-    let (body, _, reusable) = exchange(&mut link, &method, b"").await;
+    let (body, _, reusable) = exchange(&mut connection, &method, b"").await;
     assert_eq!((body.as_deref(), reusable), (Some(""), false));
-    assert!(!memory(1, &["a"]).0.can_carry(&head));
+    assert!(!memory_connection(1, &["a"]).0.can_carry(&head));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_surplus_answer_during_the_writing_settles_nothing_of_the_request() {
+async fn surplus_response_during_writing_does_not_end_the_request() {
     let (surplus, large) = (answer("a", "other"), vec![b'x'; 10_000]);
     let whole = large.len() + b"head".len();
     // The surplus comes at once and in two halves; the rest of the request is read only after it.
     for cut in [1, 20, surplus.len() - 1, surplus.len()] {
-        let (mut link, mut far) = memory(128, &["a"]);
+        let (mut connection, mut peer) = memory_connection(128, &["a"]);
         let upstream = async {
-            far.write_all(&surplus.as_bytes()[..cut])
+            peer.write_all(&surplus.as_bytes()[..cut])
                 .await
                 .expect("written");
-            far.read_exact(&mut vec![0; 1000]).await.expect("a part");
-            far.write_all(&surplus.as_bytes()[cut..])
+            peer.read_exact(&mut vec![0; 1000]).await.expect("a part");
+            peer.write_all(&surplus.as_bytes()[cut..])
                 .await
                 .expect("written");
-            far.read_exact(&mut vec![0; whole - 1000])
+            peer.read_exact(&mut vec![0; whole - 1000])
                 .await
                 .expect("all of it");
-            far.write_all(answer("b", "own").as_bytes())
+            peer.write_all(answer("b", "own").as_bytes())
                 .await
                 .expect("written");
         };
         let upstream = timeout(Duration::from_secs(60), upstream);
-        let (became, read) = tokio::join!(exchange(&mut link, &Method::POST, &large), upstream);
+        let (ended, read) =
+            tokio::join!(exchange(&mut connection, &Method::POST, &large), upstream);
         assert!(read.is_ok(), "the rest was never written");
-        let (body, sent, reusable) = became;
+        let (body, sent, reusable) = ended;
         assert_eq!(
             (body.as_deref(), reusable),
             (Some("own"), false),
@@ -386,20 +415,20 @@
         assert!(!sent.is_incomplete() && !sent.proves_not_run());
     }
     // The upstream breaks off after the surplus: nobody has had the whole request.
-    let (mut link, mut far) = memory(128, &["a"]);
+    let (mut connection, mut peer) = memory_connection(128, &["a"]);
     let upstream = async {
-        far.write_all(surplus.as_bytes()).await.expect("written");
-        far.read_exact(&mut vec![0; 1000]).await.expect("a part");
-        far.shutdown().await.expect("closed");
+        peer.write_all(surplus.as_bytes()).await.expect("written");
+        peer.read_exact(&mut vec![0; 1000]).await.expect("a part");
+        peer.shutdown().await.expect("closed");
     };
-    let (became, ()) = tokio::join!(exchange(&mut link, &Method::POST, &large), upstream);
-    assert!(became.0.is_none() && became.1.proves_not_run() && !became.1.is_unsent());
+    let (ended, ()) = tokio::join!(exchange(&mut connection, &Method::POST, &large), upstream);
+    assert!(ended.0.is_none() && ended.1.proves_not_run() && !ended.1.is_unsent());
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_own_answer_during_the_writing_ends_it_and_may_mean_that_it_ran() {
+async fn own_response_during_writing_stops_it_and_counts_as_run() {
     let (own, large) = (answer("b", "own"), vec![b'x'; 10_000]);
-    let unechoed = "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
+    let without_id = "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
     let cases = [
         (&[][..], own.clone(), Some("own")),
         (
@@ -407,11 +436,11 @@
             format!("{}{own}", answer("a", "other")),
             Some("own"),
         ),
-        // Begun and cut short, in its body or its head; not said whose it is; garbled.
+        // Begun and cut short, in its body or its head; not response whose it is; garbled.
         (&["a"][..], own[..own.len() - 1].to_string(), None),
         (&["a"][..], own[..9].to_string(), None),
-        (&[][..], unechoed.to_string(), None),
-        (&["a"][..], unechoed.to_string(), None),
+        (&[][..], without_id.to_string(), None),
+        (&["a"][..], without_id.to_string(), None),
         (
             &["a"][..],
             format!("{}noise\r\n\r\n", answer("a", "other")),
@@ -419,23 +448,23 @@
         ),
     ];
     for (carried, text, expected) in cases {
-        let (mut link, mut far) = memory(128, carried);
+        let (mut connection, mut peer) = memory_connection(128, carried);
         let upstream = async {
-            far.write_all(&text.as_bytes()[..text.len() - 1])
+            peer.write_all(&text.as_bytes()[..text.len() - 1])
                 .await
                 .expect("written");
             // Whatever still comes of the request is taken, once the head says whose the answer is.
-            let rest = async { while far.read(&mut [0; 512]).await.is_ok_and(|n| n > 0) {} };
+            let rest = async { while peer.read(&mut [0; 512]).await.is_ok_and(|n| n > 0) {} };
             if expected.is_some() {
                 let _ = timeout(Duration::from_secs(1), rest).await;
             }
-            far.write_all(&text.as_bytes()[text.len() - 1..])
+            peer.write_all(&text.as_bytes()[text.len() - 1..])
                 .await
                 .expect("written");
-            far.shutdown().await.expect("closed");
+            peer.shutdown().await.expect("closed");
         };
-        let (became, ()) = tokio::join!(exchange(&mut link, &Method::POST, &large), upstream);
-        let (body, sent, reusable) = became;
+        let (ended, ()) = tokio::join!(exchange(&mut connection, &Method::POST, &large), upstream);
+        let (body, sent, reusable) = ended;
         assert_eq!(body.as_deref(), expected, "{text:?}");
         assert!(
             sent.is_incomplete() && !sent.proves_not_run() && !reusable,
@@ -444,19 +473,19 @@
     }
 }
 
-/// The answer to a request that was written, and whether another may follow; the far side then closes.
-async fn outcome(carried: &[&str], method: &Method, text: &str) -> (Option<String>, bool) {
-    let (mut link, mut far) = memory(4 << 20, carried);
-    far.write_all(text.as_bytes()).await.expect("written");
-    far.shutdown().await.expect("closed");
-    let (body, sent, reusable) = exchange(&mut link, method, b"").await;
+/// The body of this response to a request, and whether another may follow; the peer then closes.
+async fn exchange_with(carried: &[&str], method: &Method, text: &str) -> (Option<String>, bool) {
+    let (mut connection, mut peer) = memory_connection(4 << 20, carried);
+    peer.write_all(text.as_bytes()).await.expect("written");
+    peer.shutdown().await.expect("closed");
+    let (body, sent, reusable) = exchange(&mut connection, method, b"").await;
     assert!(!sent.is_incomplete(), "{text:?}");
     (body, reusable)
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_echo_counts_once_and_as_it_was_sent() {
-    let said = |lines: &str| format!("HTTP/1.1 200 OK\r\n{lines}Content-Length: 3\r\n\r\nown");
+async fn echoed_id_must_match_exactly_and_once() {
+    let response = |lines: &str| format!("HTTP/1.1 200 OK\r\n{lines}Content-Length: 3\r\n\r\nown");
     let own = Some("own".to_string());
     for carried in [&[][..], &["a"][..]] {
         let cases = [
@@ -473,7 +502,9 @@
         ];
         for (lines, expected) in cases {
             assert_eq!(
-                outcome(carried, &Method::GET, &said(lines)).await.0,
+                exchange_with(carried, &Method::GET, &response(lines))
+                    .await
+                    .0,
                 expected,
                 "{lines:?}"
             );
@@ -488,10 +519,10 @@
         for text in [
             interim(""),
             interim("Attempt-Id: a\r\n"),
-            answer("b", "own") + &said(""),
+            answer("b", "own") + &response(""),
         ] {
             assert_eq!(
-                outcome(carried, &Method::GET, &text).await.0,
+                exchange_with(carried, &Method::GET, &text).await.0,
                 own,
                 "{text:?}"
             );
@@ -499,14 +530,18 @@
     }
     // Ahead of an own one, what may be the own one ends it all; another's does so where there was no other.
     for (ahead, fresh, used) in [
-        (said(""), None, None),
-        (said("Attempt-Id: a\r\nAttempt-Id: a\r\n"), None, None),
-        (said("Attempt-Id: a\r\n"), None, own.clone()),
+        (response(""), None, None),
+        (response("Attempt-Id: a\r\nAttempt-Id: a\r\n"), None, None),
+        (response("Attempt-Id: a\r\n"), None, own.clone()),
     ] {
         let text = ahead + &answer("b", "own");
-        assert_eq!(outcome(&[], &Method::GET, &text).await.0, fresh, "{text:?}");
         assert_eq!(
-            outcome(&["a"], &Method::GET, &text).await.0,
+            exchange_with(&[], &Method::GET, &text).await.0,
+            fresh,
+            "{text:?}"
+        );
+        assert_eq!(
+            exchange_with(&["a"], &Method::GET, &text).await.0,
             used,
             "{text:?}"
         );
@@ -514,7 +549,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_could_end_elsewhere_is_no_answer() {
+async fn ambiguously_framed_response_is_refused() {
     let head = |version: &str, status: &str, lines: &str| {
         format!("HTTP/{version} {status}\r\nAttempt-Id: b\r\n{lines}\r\n")
     };
@@ -590,7 +625,7 @@
     for text in refused {
         for carried in [&[][..], &["a"][..]] {
             assert_eq!(
-                outcome(carried, &Method::GET, &text).await,
+                exchange_with(carried, &Method::GET, &text).await,
                 (None, false),
                 "{text:?}"
             );
@@ -604,7 +639,11 @@
         chunked("3\r\nown\r\n0\r\n\r\n"),
         chunked("1;x\r\no\r\n002 ;x=\"y\"\r\nwn\r\n0;z\r\nTrail: 1\r\nTrail: 2\r\n\r\n"),
     ] {
-        assert_eq!(outcome(&[], &Method::GET, &text).await.0, own, "{text:?}");
+        assert_eq!(
+            exchange_with(&[], &Method::GET, &text).await.0,
+            own,
+            "{text:?}"
+        );
     }
     // Whether another request may follow.
     for (text, follows) in [
@@ -616,7 +655,7 @@
         ),
     ] {
         assert_eq!(
-            outcome(&[], &Method::GET, &text).await,
+            exchange_with(&[], &Method::GET, &text).await,
             (own.clone(), follows),
             "{text:?}"
         );
@@ -630,7 +669,7 @@
         (Method::HEAD, ok("Transfer-Encoding: chunked\r\n", "")),
     ] {
         assert_eq!(
-            outcome(&[], &method, &text).await,
+            exchange_with(&[], &method, &text).await,
             (none.clone(), false),
             "{text:?}"
         );
@@ -641,7 +680,7 @@
     ] {
         let text = head("1.1", lines, "");
         assert_eq!(
-            outcome(&[], &Method::GET, &text).await,
+            exchange_with(&[], &Method::GET, &text).await,
             (none.clone(), true),
             "{text:?}"
         );
@@ -649,7 +688,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_is_as_large_as_any_may_be_and_as_there_is_room_for() {
+async fn body_is_limited_by_size_and_budget() {
     for (size, fits) in [(MAX_RESPONSE_BYTES, true), (MAX_RESPONSE_BYTES + 1, false)] {
         let body = "x".repeat(size);
         let chunked = format!(
@@ -657,7 +696,7 @@
              {size:x}\r\n{body}\r\n0\r\n\r\n"
         );
         for text in [answer("b", &body), chunked] {
-            let read = outcome(&[], &Method::GET, &text).await.0;
+            let read = exchange_with(&[], &Method::GET, &text).await.0;
             assert!(read == fits.then(|| body.clone()), "{size}");
         }
     }
@@ -670,16 +709,16 @@
              1\r\nx\r\n{size:x}\r\n{body}\r\n0\r\n\r\n"
         )
     };
-    for (said, whole) in [
+    for (response, whole) in [
         (text("b", 1000), false),
         (text("a", 1000) + &text("b", 99), true),
     ] {
-        let (mut link, mut far) = memory(1 << 16, &["a"]);
-        far.write_all(said.as_bytes()).await.expect("written");
+        let (mut connection, mut peer) = memory_connection(1 << 16, &["a"]);
+        peer.write_all(response.as_bytes()).await.expect("written");
         let (id, mut sent) = (HeaderValue::from_static("b"), SendProgress::default());
         let mut request = OutgoingRequest::new(b"head", b"", &mut sent);
-        link.send(&mut request).await.expect("written");
-        let answer = link.receive(&awaited(&id), &mut request, &half).await;
+        connection.send(&mut request).await.expect("written");
+        let answer = connection.receive(&awaited(&id), &mut request, &half).await;
         assert_eq!(answer.as_ref().is_ok_and(|a| a.body().len() == 100), whole);
         assert!(
             answer.is_ok() || !sent.proves_not_run(),
@@ -690,10 +729,10 @@
     }
 }
 
-/// Failure: an upstream that broke off in the middle of an answer without closing, and then wrote the late second
-/// answer to an earlier request, had the two taken for one.
+/// Once an upstream stopped in the middle of a response without closing, and then wrote a late second response to an
+/// earlier request: the two were taken for one.
 #[tokio::test]
-async fn an_answer_that_another_one_breaks_into_is_none() {
+async fn response_with_another_one_inside_is_refused() {
     let (own, surplus) = (
         answer("b", &"own".repeat(100)),
         answer("a", &"other".repeat(40)),
@@ -709,9 +748,13 @@
         own.len() - 20,
     ] {
         let mixed = format!("{}{surplus}", &own[..cut]);
-        assert_eq!(told(&[&mixed]).await, (None, false), "cut at {cut}");
         assert_eq!(
-            told(&[&own[..cut], &surplus]).await,
+            receive_chunks(&[&mixed]).await,
+            (None, false),
+            "cut at {cut}"
+        );
+        assert_eq!(
+            receive_chunks(&[&own[..cut], &surplus]).await,
             (None, false),
             "cut at {cut}"
         );
@@ -720,7 +763,7 @@
     for cut in 0..head {
         for (first, second) in [(&own, &surplus), (&surplus, &own)] {
             let mixed = format!("{}{second}", &first[..cut.min(first.len())]);
-            let (body, _) = told(&[&mixed]).await;
+            let (body, _) = receive_chunks(&[&mixed]).await;
             let uncut = cut == 0 && std::ptr::eq(second, &own);
             assert_eq!(
                 body.as_deref(),
@@ -732,10 +775,10 @@
     // A body may speak of answers all the same: it is not one that this connection has carried.
     let told_of = answer("b", &format!("seen: {}", answer("c", "x")));
     let body = told_of[told_of.find("\r\n\r\n").expect("a head") + 4..].to_string();
-    assert_eq!(told(&[&told_of]).await, (Some(body), true));
+    assert_eq!(receive_chunks(&[&told_of]).await, (Some(body), true));
     let protocol = "asked over HTTP/1.1";
     assert_eq!(
-        told(&[&answer("b", protocol)]).await,
+        receive_chunks(&[&answer("b", protocol)]).await,
         (Some(protocol.to_string()), true)
     );
 }
--- a/crates/data-plane/src/upstream_pool/tests.rs
+++ b/crates/data-plane/src/upstream_pool/tests.rs
@@ -8,7 +8,7 @@
 use super::*;
 
 #[test]
-fn a_load_report_is_read_as_far_as_it_is_understood() {
+fn named_load_report_is_read_as_far_as_understood() {
     let fields = ["eps", "qps", "inflight"].map(|n| (n.to_string(), LoadReportField::from_name(n)));
     let load = LoadReportFormat::Named(fields.to_vec());
     let read = |text: &str| {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn load_told_by_slots_is_read_as_far_as_it_is_understood() {
+fn load_report_by_slots_is_read_as_far_as_understood() {
     let load = LoadReportFormat::Slots(HeaderName::from_static("upstream-load"));
     let read = |text: &str| {
         let mut headers = HeaderMap::new();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_head_goes_on_with_what_is_left_of_its_time_and_the_name_of_who_is_meant() {
+fn forwarded_head_has_remaining_time_and_target() {
     let mut headers = HeaderMap::new();
     headers.insert("host", HeaderValue::from_static("h"));
     headers.insert(
--- a/crates/data-plane/tests/model/main.rs
+++ b/crates/data-plane/tests/model/main.rs
@@ -1,8 +1,8 @@
-//! Models of the life of a connection to an upstream ([`upstream_connection`]) and of a request over several attempts
-//! ([`max_attempts`]), against a scripted upstream on loopback sockets ([`stand_in`]) that keeps account of what it ran
-//! and what it answered.
+//! Models of the life of a connection to an upstream ([`connection`]) and of a request over several attempts
+//! ([`attempts`]), against scripted upstreams on loopback sockets ([`scripted_upstream`]) that record what they ran and
+//! what they responded. [`schedule`] generates the scripts.
 
-mod link;
+mod attempts;
+mod connection;
 mod schedule;
-mod stand_in;
-mod tries;
+mod scripted_upstream;
--- a/crates/data-plane/tests/model/schedule.rs
+++ b/crates/data-plane/tests/model/schedule.rs
@@ -1,18 +1,20 @@
-//! Schedules: calls to two upstreams, and what the upstreams do with each of them.
+//! Strategies that generate schedules: calls to two upstreams, and what the upstreams do with each of them.
 
 use hyper::Method;
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-use crate::stand_in::{Answer, Behaviour, Echo, End, Framing, LARGE_BODY, Pieces, Step};
+use crate::scripted_upstream::{
+    Behaviour, Echo, End, Framing, LARGE_BODY_BYTES, ScriptedResponse, Step, Writes,
+};
 
-/// So many ids come again and again, the others hardly ever.
-const IDS: usize = 3;
+/// So many ids are used again and again, the others hardly ever.
+const REUSED_IDS: usize = 3;
 const ALL_IDS: usize = 10_000;
-/// Fills the buffers on the way, so that writing has to wait.
-pub const SOME_BODY: usize = 3 << 20;
+/// A body that fills the buffers on the way, so that writing has to wait.
+pub const SLOW_BODY_BYTES: usize = 3 << 20;
 
-/// Bytes that nobody asked for and that answer nothing.
+/// Bytes that nobody asked for and that are no response to a request.
 const GARBAGE: [&[u8]; 8] = [
     b"\r\n",
     b"0\r\n\r\n",
@@ -32,18 +34,18 @@
     pub method: Method,
     pub body: usize,
     pub behaviour: Behaviour,
-    /// The upstream begins a new life before it.
-    pub renews: bool,
-    /// It goes to the upstream by its former name.
-    pub stale: bool,
-    /// Its client has left before it is sent.
-    pub over: bool,
-    /// Its client leaves once it has been sent.
-    pub leaves: bool,
-    /// It is under way at the same time as the one before it.
-    pub beside: bool,
-    /// What comes late has come before the next call begins.
-    pub settles: bool,
+    /// Another incarnation of the upstream starts before it.
+    pub restarts_upstream: bool,
+    /// It names the incarnation before the present one.
+    pub to_former_incarnation: bool,
+    /// Its client has disconnected before it is sent.
+    pub is_abandoned: bool,
+    /// Its client disconnects once it has arrived.
+    pub disconnects: bool,
+    /// It runs at the same time as the one before it.
+    pub is_concurrent: bool,
+    /// Delayed steps have been played before the next call begins.
+    pub flushes_delayed: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -55,19 +57,19 @@
     format!("id-{number}")
 }
 
-fn chance(of_hundred: u32) -> impl Strategy<Value = bool> {
-    prop::bool::weighted(f64::from(of_hundred) / 100.0)
+fn percent(percentage: u32) -> impl Strategy<Value = bool> {
+    prop::bool::weighted(f64::from(percentage) / 100.0)
 }
 
 fn body() -> impl Strategy<Value = usize> {
     prop_oneof![6 => 0..40usize, 3 => 40..9000usize, 1 => 9000..200_000usize]
 }
 
-fn pieces() -> impl Strategy<Value = Pieces> {
+fn writes() -> impl Strategy<Value = Writes> {
     prop_oneof![
-        4 => Just(Pieces::One),
-        3 => (1..1000u16).prop_map(Pieces::At),
-        1 => Just(Pieces::EachByte),
+        4 => Just(Writes::One),
+        3 => (1..1000u16).prop_map(Writes::SplitAt),
+        1 => Just(Writes::EachByte),
     ]
 }
 
@@ -87,13 +89,13 @@
     prop_oneof![
         12 => Just(Echo::Own),
         3 => Just(Echo::Missing),
-        1 => (0..IDS).prop_map(|other| Echo::OwnThen(id(other))),
-        1 => (0..IDS).prop_map(|other| Echo::OwnAfter(id(other))),
+        1 => (0..REUSED_IDS).prop_map(|other| Echo::OwnThen(id(other))),
+        1 => (0..REUSED_IDS).prop_map(|other| Echo::OwnAfter(id(other))),
     ]
 }
 
-/// What an answer says: its status, and whether it claims that the request was not run.
-fn word() -> impl Strategy<Value = (u16, bool)> {
+/// The status of a response, and whether it claims that the request was not run.
+fn status_and_claim() -> impl Strategy<Value = (u16, bool)> {
     prop_oneof![
         10 => Just((200, false)),
         2 => prop::sample::select(vec![(201, false), (204, false), (304, false), (404, false)]),
@@ -104,17 +106,17 @@
     ]
 }
 
-/// Whether an upstream that says this has begun work on the request.
-fn runs((status, not_run): (u16, bool)) -> bool {
+/// Whether an upstream that says this has run the request.
+fn implies_run((status, not_run): (u16, bool)) -> bool {
     status != 421 && !(not_run && [503, 429, 400].contains(&status))
 }
 
-/// An answer without any doubt to whom it belongs and where it ends.
-fn clear_answer() -> impl Strategy<Value = Answer> {
+/// A response without any doubt about its request and its end.
+fn unambiguous_response() -> impl Strategy<Value = ScriptedResponse> {
     let framing = prop::sample::select(vec![Framing::Length, Framing::Chunked, Framing::Trailers]);
-    (word(), framing, body(), pieces(), chance(5)).prop_map(
-        |((status, not_run), framing, body, pieces, closes)| {
-            let body = if matches!(pieces, Pieces::EachByte) {
+    (status_and_claim(), framing, body(), writes(), percent(5)).prop_map(
+        |((status, not_run), framing, body, writes, closes)| {
+            let body = if matches!(writes, Writes::EachByte) {
                 body.min(20)
             } else {
                 body
@@ -124,43 +126,45 @@
             } else {
                 framing
             };
-            Answer {
+            ScriptedResponse {
                 not_run,
                 framing,
-                pieces,
+                writes,
                 closes,
-                ..Answer::plain(status, body)
+                ..ScriptedResponse::new(status, body)
             }
         },
     )
 }
 
-fn any_answer() -> impl Strategy<Value = Answer> {
+fn any_response() -> impl Strategy<Value = ScriptedResponse> {
     let cut = prop::option::weighted(0.2, 0..1000u16);
     let glued = prop::option::weighted(0.2, prop::sample::select(GARBAGE.to_vec()));
     (
-        clear_answer(),
+        unambiguous_response(),
         framing(),
         echo(),
-        chance(10),
-        chance(15),
+        percent(10),
+        percent(15),
         cut,
         glued,
     )
         .prop_map(|(answer, framing, echo, http10, unsealed, cut, glued)| {
-            let pieces = match glued {
-                Some(more) if cut.is_none() && framing != Framing::Close => Pieces::Glued(more),
-                _ => answer.pieces.clone(),
+            let writes = match glued {
+                Some(more) if cut.is_none() && framing != Framing::Close => {
+                    Writes::WithTrailing(more)
+                }
+                _ => answer.writes.clone(),
             };
             // HTTP/1.0 knows no chunks.
             let http10 = http10 && [Framing::Length, Framing::Close].contains(&framing);
-            Answer {
+            ScriptedResponse {
                 framing,
                 echo,
                 http10,
                 sealed: !unsealed,
                 cut,
-                pieces,
+                writes,
                 ..answer
             }
         })
@@ -170,22 +174,22 @@
     prop::sample::select(GARBAGE.to_vec()).prop_map(|bytes| Step::Garbage(bytes.to_vec()))
 }
 
-fn surplus(answer: impl Strategy<Value = Answer>) -> impl Strategy<Value = Step> {
+fn surplus(answer: impl Strategy<Value = ScriptedResponse>) -> impl Strategy<Value = Step> {
     let back = prop_oneof![3 => Just(0), 3 => Just(1), 2 => 2..5usize];
     (back, answer).prop_map(|(back, answer)| Step::Surplus { back, answer })
 }
 
-/// A step that harms nobody who goes by the ids.
-fn tame() -> impl Strategy<Value = Step> {
+/// A step that does not disturb a balancer that matches responses by id.
+fn harmless_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => surplus(clear_answer()),
+        3 => surplus(unambiguous_response()),
         1 => Just(Step::Interim(103)),
         1 => Just(Step::Interim(100)),
     ]
 }
 
-fn wild() -> impl Strategy<Value = Step> {
-    prop_oneof![2 => tame(), 3 => surplus(any_answer()), 2 => garbage(), 1 => Just(Step::AfterCall)]
+fn any_step() -> impl Strategy<Value = Step> {
+    prop_oneof![2 => harmless_step(), 3 => surplus(any_response()), 2 => garbage(), 1 => Just(Step::AfterCall)]
 }
 
 fn end() -> impl Strategy<Value = End> {
@@ -198,9 +202,9 @@
     ]
 }
 
-fn plain() -> impl Strategy<Value = Behaviour> {
-    clear_answer().prop_map(|answer| {
-        let runs = runs((answer.status, answer.not_run));
+fn plain_behaviour() -> impl Strategy<Value = Behaviour> {
+    unambiguous_response().prop_map(|answer| {
+        let runs = implies_run((answer.status, answer.not_run));
         Behaviour {
             runs,
             ..Behaviour::answers(answer)
@@ -208,16 +212,16 @@
     })
 }
 
-/// A clear answer among surplus ones: before, after, and late.
-fn stutters() -> impl Strategy<Value = Behaviour> {
+/// An unambiguous response among surplus ones: before it, after it, and delayed.
+fn behaviour_with_surplus() -> impl Strategy<Value = Behaviour> {
     (
-        plain(),
-        vec(tame(), 0..2),
-        vec(tame(), 0..2),
-        vec(surplus(clear_answer()), 0..3),
+        plain_behaviour(),
+        vec(harmless_step(), 0..2),
+        vec(harmless_step(), 0..2),
+        vec(surplus(unambiguous_response()), 0..3),
     )
-        .prop_map(|(plain, early, before, late)| {
-            // Nothing may answer this request before its own answer does.
+        .prop_map(|(plain, before_body, before, late)| {
+            // No surplus response to this request may precede its own.
             let own = |step: &Step| !matches!(step, Step::Surplus { back: 0, .. });
             let mut steps: Vec<Step> = before.into_iter().filter(own).collect();
             steps.extend(plain.steps);
@@ -225,56 +229,56 @@
                 steps.push(Step::AfterCall);
             }
             steps.extend(late);
-            let early = early.into_iter().filter(own).collect();
+            let before_body = before_body.into_iter().filter(own).collect();
             Behaviour {
-                early,
+                before_body,
                 steps,
                 ..plain
             }
         })
 }
 
-/// Anything else: cut, garbled, reset, silent, before the request is whole.
-fn strays() -> impl Strategy<Value = Behaviour> {
-    let own = prop::option::weighted(0.8, any_answer());
-    let around = (vec(wild(), 0..2), vec(wild(), 0..3));
-    (own, around, chance(20), chance(70), chance(60), end()).prop_map(
-        |(own, (before, after), early, reads_body, ran, end)| {
-            // A second answer is one that comes after the first.
+/// Anything else: cut off, garbled, reset, silent, before the request is complete.
+fn faulty_behaviour() -> impl Strategy<Value = Behaviour> {
+    let own = prop::option::weighted(0.8, any_response());
+    let around = (vec(any_step(), 0..2), vec(any_step(), 0..3));
+    (own, around, percent(20), percent(70), percent(60), end()).prop_map(
+        |(own, (before, after), before_body, reads_body, ran, end)| {
+            // A second response comes after the first.
             let first =
                 |step: &Step| !matches!(step, Step::Surplus { back: 0, .. } | Step::AfterCall);
             let mut steps: Vec<Step> = before.into_iter().filter(first).collect();
             let shown = steps.iter().all(|step| match step {
-                Step::Surplus { answer, .. } => answer.clear(),
+                Step::Surplus { answer, .. } => answer.is_unambiguous(),
                 _ => true,
             });
             let runs = own
                 .as_ref()
-                .map_or(ran && reads_body, |o| runs((o.status, o.not_run)));
+                .map_or(ran && reads_body, |o| implies_run((o.status, o.not_run)));
             let cut = own.as_ref().is_some_and(|o| o.cut.is_some());
             let close = own.as_ref().is_some_and(|o| o.framing == Framing::Close);
             let answered = own.is_some();
-            steps.extend(own.map(Step::Own));
-            // What follows a cut answer would be read as the rest of it.
+            steps.extend(own.map(Step::Respond));
+            // What follows a cut-off response would be read as the rest of it.
             if !cut && !close && answered {
                 steps.extend(after);
             }
-            let over = end == End::Keep && (cut || close || !answered || !reads_body);
-            let end = if over { End::Reset } else { end };
-            // Answered from its head, or left before it is whole.
-            let (early, steps) = if early {
+            let is_abandoned = end == End::Keep && (cut || close || !answered || !reads_body);
+            let end = if is_abandoned { End::Reset } else { end };
+            // The response comes after the request's head, or the request is not read to its end.
+            let (before_body, steps) = if before_body {
                 (steps, Vec::new())
             } else {
                 (Vec::new(), steps)
             };
-            let reads_body = reads_body && (early.is_empty() || !cut);
-            // Work that began on a part of a request shows in its answer, unless a reset or what came before
-            // that answer hides it.
+            let reads_body = reads_body && (before_body.is_empty() || !cut);
+            // That a part of a request was run shows in its response, unless a reset or what came before the
+            // response hides it.
             let stays = reads_body || [End::HalfClose, End::Silent].contains(&end);
-            let whole = reads_body && early.is_empty();
+            let whole = reads_body && before_body.is_empty();
             let runs = runs && (whole || (answered && !cut && shown && stays));
             Behaviour {
-                early,
+                before_body,
                 reads_body,
                 runs,
                 steps,
@@ -285,7 +289,7 @@
 }
 
 fn behaviour() -> impl Strategy<Value = Behaviour> {
-    prop_oneof![5 => plain(), 4 => stutters(), 6 => strays()]
+    prop_oneof![5 => plain_behaviour(), 4 => behaviour_with_surplus(), 6 => faulty_behaviour()]
 }
 
 fn call() -> impl Strategy<Value = Call> {
@@ -293,29 +297,36 @@
         50 => Just((Method::GET, 0)),
         10 => Just((Method::HEAD, 0)),
         30 => (0..3000usize).prop_map(|body| (Method::POST, body)),
-        2 => Just((Method::POST, SOME_BODY)),
-        1 => Just((Method::POST, LARGE_BODY)),
+        2 => Just((Method::POST, SLOW_BODY_BYTES)),
+        1 => Just((Method::POST, LARGE_BODY_BYTES)),
     ];
     let flags = (
-        chance(4),
-        chance(30),
-        chance(3),
-        chance(4),
-        chance(15),
-        chance(70),
+        percent(4),
+        percent(30),
+        percent(3),
+        percent(4),
+        percent(15),
+        percent(70),
     );
-    let id = prop_oneof![1 => 0..IDS, 2 => IDS..ALL_IDS];
-    (chance(25), id, request, behaviour(), flags).prop_map(
+    let id = prop_oneof![1 => 0..REUSED_IDS, 2 => REUSED_IDS..ALL_IDS];
+    (percent(25), id, request, behaviour(), flags).prop_map(
         |(second, id, (method, body), behaviour, flags)| {
-            let (renews, stale, over, leaves, beside, settles) = flags;
+            let (
+                restarts_upstream,
+                to_former_incarnation,
+                is_abandoned,
+                disconnects,
+                is_concurrent,
+                flushes_delayed,
+            ) = flags;
             let upstream = usize::from(second);
-            // What is said while the request is written must meet one that takes its time.
+            // Surplus responses during the writing need a request that takes long to write.
             let meets = behaviour
-                .early
+                .before_body
                 .iter()
                 .any(|step| matches!(step, Step::Surplus { .. }));
             let body = if meets && body > 0 {
-                body.max(SOME_BODY)
+                body.max(SLOW_BODY_BYTES)
             } else {
                 body
             };
@@ -325,12 +336,12 @@
                 method,
                 body,
                 behaviour,
-                renews,
-                stale,
-                over,
-                leaves,
-                beside,
-                settles,
+                restarts_upstream,
+                to_former_incarnation,
+                is_abandoned,
+                disconnects,
+                is_concurrent,
+                flushes_delayed,
             }
         },
     )
--- a/crates/data-plane/tests/model/stand_in.rs
+++ b/crates/data-plane/tests/model/scripted_upstream.rs
@@ -1,5 +1,5 @@
-//! An upstream that does what a script says and keeps account of it: which requests it was handed, which it ran,
-//! and what its own answer to each was. Nothing here waits on the clock.
+//! Upstreams that do what a script says and record it: which requests came, which were run, and what the response to
+//! each was. Nothing here waits on the clock.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,19 +16,19 @@
 use tokio::sync::Notify;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// More than the buffers on the way to an upstream that reads nothing can take.
-pub const LARGE_BODY: usize = 6 << 20;
+/// More than the buffers on the way to an upstream that reads nothing can hold.
+pub const LARGE_BODY_BYTES: usize = 6 << 20;
 
-/// Goes into a socket's buffer in one piece.
-const SHORT_BODY: usize = 1000;
+/// Fits into a socket's buffer.
+const SHORT_BODY_BYTES: usize = 1000;
 
-/// A body of so many bytes.
+/// A request's body of `length` bytes.
 pub fn request_body(length: usize) -> Bytes {
-    static LARGE: LazyLock<Bytes> = LazyLock::new(|| Bytes::from(vec![b'b'; LARGE_BODY]));
+    static LARGE: LazyLock<Bytes> = LazyLock::new(|| Bytes::from(vec![b'b'; LARGE_BODY_BYTES]));
     LARGE.slice(..length)
 }
 
-/// How an answer names the request that it answers.
+/// How a response names its request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Echo {
     Own,
@@ -47,30 +47,30 @@
     Trailers,
     /// The body ends with the connection.
     Close,
-    /// What can be read in two ways is no answer.
+    /// The length can be read in two ways.
     TwoLengths,
     LengthAndChunked,
 }
 
 impl Framing {
-    fn ambiguous(self) -> bool {
+    fn is_ambiguous(self) -> bool {
         matches!(self, Framing::TwoLengths | Framing::LengthAndChunked)
     }
 }
 
-/// How an answer is cut into writes.
+/// How a response is split into writes.
 #[derive(Clone, Debug)]
-pub enum Pieces {
+pub enum Writes {
     One,
-    /// At this many thousandths.
-    At(u16),
+    /// Into two, after so many thousandths.
+    SplitAt(u16),
     EachByte,
-    /// In one write with what nobody asked for.
-    Glued(&'static [u8]),
+    /// In one write with bytes that nobody asked for.
+    WithTrailing(&'static [u8]),
 }
 
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct ScriptedResponse {
     pub status: u16,
     pub not_run: bool,
     pub sealed: bool,
@@ -80,13 +80,13 @@
     /// `Connection: close`.
     pub closes: bool,
     pub body: usize,
-    /// Only so many thousandths are sent.
+    /// Only so many thousandths of it are sent.
     pub cut: Option<u16>,
-    pub pieces: Pieces,
+    pub writes: Writes,
 }
 
-impl Answer {
-    pub fn plain(status: u16, body: usize) -> Self {
+impl ScriptedResponse {
+    pub fn new(status: u16, body: usize) -> Self {
         Self {
             status,
             not_run: false,
@@ -97,38 +97,38 @@
             closes: false,
             body,
             cut: None,
-            pieces: Pieces::One,
+            writes: Writes::One,
         }
     }
 
-    pub fn promise(status: u16) -> Self {
+    pub fn rejection(status: u16) -> Self {
         Self {
             not_run: true,
             sealed: false,
-            ..Self::plain(status, 0)
+            ..Self::new(status, 0)
         }
     }
 
-    /// Whether whoever reads it can tell whose it is and where it ends, on any connection.
-    pub fn clear(&self) -> bool {
+    /// Whether its reader can tell which request it answers and where it ends, on any connection.
+    pub fn is_unambiguous(&self) -> bool {
         let framed = [Framing::Length, Framing::Chunked, Framing::Trailers].contains(&self.framing);
-        // What has no body announces none.
+        // A response without a body must announce none.
         let measured = ![204, 304].contains(&self.status) || self.framing == Framing::Length;
-        let alone = !matches!(self.pieces, Pieces::Glued(_));
+        let alone = !matches!(self.writes, Writes::WithTrailing(_));
         framed && measured && alone && self.echo == Echo::Own && self.cut.is_none()
     }
 
-    pub fn bodiless(&self, method: &Method) -> bool {
+    pub fn has_no_body(&self, method: &Method) -> bool {
         method == Method::HEAD || [204, 304].contains(&self.status)
     }
 
-    /// Whether its reader can know that the connection is not to be used again.
-    fn ends_the_connection(&self) -> bool {
-        let short = self.body < SHORT_BODY && self.cut.is_none();
-        self.closes || self.http10 || (short && matches!(self.pieces, Pieces::Glued(_)))
+    /// Whether its reader can know that the connection must not be used again.
+    fn closes_connection(&self) -> bool {
+        let short = self.body < SHORT_BODY_BYTES && self.cut.is_none();
+        self.closes || self.http10 || (short && matches!(self.writes, Writes::WithTrailing(_)))
     }
 
-    /// Its bytes, all of them, and the body that a reader is to get.
+    /// All of its bytes, and the body that a reader has to get.
     fn render(&self, id: &str, serial: usize, method: &Method) -> (Vec<u8>, Vec<u8>) {
         let mut body = format!("{serial}.{id}.").into_bytes();
         body.extend_from_slice(&request_body(self.body));
@@ -153,7 +153,7 @@
         let length = body.len();
         let chunked = "Transfer-Encoding: chunked\r\n";
         match self.framing {
-            // Without a body there is none to be measured (RFC 9110, 8.6).
+            // Without a body there is no length (RFC 9110, 8.6).
             Framing::Length => {
                 line(self.status != 204, &format!("Content-Length: {length}\r\n"));
             }
@@ -175,7 +175,7 @@
         }
         head.push_str("\r\n");
         let mut bytes = head.into_bytes();
-        if self.bodiless(method) {
+        if self.has_no_body(method) {
             return (bytes, Vec::new());
         }
         match self.framing {
@@ -200,16 +200,16 @@
 
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// The answer to the request: the first such step is the one that counts.
-    Own(Answer),
-    /// A further answer to this request (0), or to the one so many before it on the connection.
+    /// The response to the request; the first such step counts.
+    Respond(ScriptedResponse),
+    /// A further response to this request (0), or to the one so many before it on the connection.
     Surplus {
         back: usize,
-        answer: Answer,
+        answer: ScriptedResponse,
     },
     Interim(u16),
     Garbage(Vec<u8>),
-    /// Goes on only after the call has ended for its caller.
+    /// The following steps are played once the call has ended for its caller.
     AfterCall,
 }
 
@@ -219,30 +219,30 @@
     Keep,
     Close,
     Reset,
-    /// Nothing more is said, but what comes is still read and run.
+    /// Nothing more is sent, but what comes is still read and run.
     HalfClose,
-    /// Neither: it reads on, and forgets what it reads.
+    /// It reads on, and drops what it reads.
     Silent,
 }
 
-/// What is done with one request.
+/// What an upstream does with one request.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
-    /// Before the body is read.
-    pub early: Vec<Step>,
+    /// Steps before the body is read.
+    pub before_body: Vec<Step>,
     pub reads_body: bool,
-    /// Work begins on it: with its early answer, or once it is whole.
+    /// It is run: with its response before the body, or once it is complete.
     pub runs: bool,
     pub steps: Vec<Step>,
     pub end: End,
 }
 
 impl Behaviour {
-    pub fn answers(answer: Answer) -> Self {
+    pub fn answers(answer: ScriptedResponse) -> Self {
         let runs = !answer.not_run && answer.status != 421;
-        let steps = vec![Step::Own(answer)];
+        let steps = vec![Step::Respond(answer)];
         Self {
-            early: Vec::new(),
+            before_body: Vec::new(),
             reads_body: true,
             runs,
             steps,
@@ -250,13 +250,13 @@
         }
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &Step> {
-        self.early.iter().chain(&self.steps)
+    pub fn all_steps(&self) -> impl Iterator<Item = &Step> {
+        self.before_body.iter().chain(&self.steps)
     }
 
-    pub fn own(&self) -> Option<&Answer> {
-        self.all().find_map(|step| {
-            if let Step::Own(answer) = step {
+    pub fn response(&self) -> Option<&ScriptedResponse> {
+        self.all_steps().find_map(|step| {
+            if let Step::Respond(answer) = step {
                 Some(answer)
             } else {
                 None
@@ -265,9 +265,9 @@
     }
 }
 
-/// A request as the stand-in read it.
+/// A request as the upstream read it.
 pub struct Request {
-    /// Which call of the test it is, by its path.
+    /// Which call of the schedule it is, by its path.
     pub call: usize,
     method: Method,
     id: String,
@@ -304,9 +304,9 @@
     }
 }
 
-/// The upstream's own answer to a request.
+/// The upstream's response to a request.
 #[derive(Clone, Debug)]
-pub struct Given {
+pub struct GivenResponse {
     pub status: u16,
     pub serial: usize,
     pub body: Vec<u8>,
@@ -315,42 +315,42 @@
     pub sealed: bool,
 }
 
-/// What became of one call.
+/// What the upstreams saw of one call.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
-    /// Heads of requests that came.
-    pub heads: usize,
+pub struct CallRecord {
+    /// How many requests came for it.
+    pub requests: usize,
     pub runs: usize,
-    /// It came on a connection that had served another.
+    /// It came on a connection that had carried another.
     pub reused: bool,
-    /// The body was left unread and no answer given.
-    pub left_unread: bool,
-    /// Its answers to it, one for each time that it came.
-    pub given: Vec<Given>,
+    /// The body was left unread and no response sent.
+    pub body_left_unread: bool,
+    /// The responses to it, one for each time that it came.
+    pub given: Vec<GivenResponse>,
 }
 
 type Script = Box<dyn Fn(&Request) -> Behaviour>;
 
-/// Some upstreams of one script.
-pub struct StandIn {
+/// Upstreams that follow one script.
+pub struct ScriptedUpstreams {
     script: Script,
     addresses: RefCell<Vec<SocketAddr>>,
     names: RefCell<Vec<String>>,
     accepting: RefCell<Vec<JoinHandle<()>>>,
-    /// By upstream.
+    /// With the upstream that each belongs to.
     connections: RefCell<Vec<(usize, JoinHandle<()>)>>,
-    accounts: RefCell<HashMap<usize, Account>>,
+    records: RefCell<HashMap<usize, CallRecord>>,
     serial: Cell<usize>,
     /// Calls that have ended for their callers.
-    ended: RefCell<Vec<usize>>,
-    /// Steps that wait for that.
-    late: Cell<usize>,
+    ended_calls: RefCell<Vec<usize>>,
+    /// How many steps wait for a call to end.
+    delayed_steps: Cell<usize>,
     changed: Notify,
-    /// What no script explains: requests that nobody sent, or changed ones.
-    pub wrong: RefCell<Vec<String>>,
+    /// What no script explains: requests that nobody sent, or that were changed.
+    pub violations: RefCell<Vec<String>>,
 }
 
-impl StandIn {
+impl ScriptedUpstreams {
     pub async fn start(upstreams: usize, script: Script) -> Rc<Self> {
         let this = Rc::new(Self {
             script,
@@ -358,12 +358,12 @@
             names: RefCell::new((0..upstreams).map(|u| format!("i-{u}-0")).collect()),
             accepting: RefCell::default(),
             connections: RefCell::default(),
-            accounts: RefCell::default(),
+            records: RefCell::default(),
             serial: Cell::new(0),
-            ended: RefCell::default(),
-            late: Cell::new(0),
+            ended_calls: RefCell::default(),
+            delayed_steps: Cell::new(0),
             changed: Notify::new(),
-            wrong: RefCell::default(),
+            violations: RefCell::default(),
         });
         for upstream in 0..upstreams {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -379,7 +379,7 @@
     async fn accept(self: Rc<Self>, upstream: usize, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
-            // What is dropped without a word is reset.
+            // A connection that is dropped is reset.
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             let task = spawn_local(self.clone().connection(upstream, stream));
             self.connections.borrow_mut().push((upstream, task));
@@ -395,8 +395,8 @@
     }
 
     /// Ends the upstream, and starts another at its address.
-    pub fn renew(&self, upstream: usize, life: usize) {
-        self.names.borrow_mut()[upstream] = format!("i-{upstream}-{life}");
+    pub fn restart(&self, upstream: usize, incarnation: usize) {
+        self.names.borrow_mut()[upstream] = format!("i-{upstream}-{incarnation}");
         self.connections.borrow_mut().retain(|(u, task)| {
             if *u == upstream {
                 task.abort();
@@ -405,47 +405,47 @@
         });
     }
 
-    pub fn account(&self, call: usize) -> Account {
-        self.accounts
+    pub fn record(&self, call: usize) -> CallRecord {
+        self.records
             .borrow()
             .get(&call)
             .cloned()
             .unwrap_or_default()
     }
 
-    fn note(&self, call: usize, note: impl FnOnce(&mut Account)) {
-        note(self.accounts.borrow_mut().entry(call).or_default());
+    fn update_record(&self, call: usize, update: impl FnOnce(&mut CallRecord)) {
+        update(self.records.borrow_mut().entry(call).or_default());
         self.changed.notify_waiters();
     }
 
-    fn wrong(&self, what: String) {
-        self.wrong.borrow_mut().push(what);
+    fn report_violation(&self, what: String) {
+        self.violations.borrow_mut().push(what);
     }
 
-    /// Ends once the request of a call has come.
-    pub async fn came(&self, call: usize) {
-        while self.account(call).heads == 0 {
+    /// Returns once the request of a call has come.
+    pub async fn wait_for_request(&self, call: usize) {
+        while self.record(call).requests == 0 {
             self.changed.notified().await;
         }
     }
 
-    /// The caller of this call has its answer, or has left.
-    pub fn call_ended(&self, call: usize) {
-        self.ended.borrow_mut().push(call);
+    /// The caller of this call has its response, or has disconnected.
+    pub fn on_call_ended(&self, call: usize) {
+        self.ended_calls.borrow_mut().push(call);
         self.changed.notify_waiters();
     }
 
-    /// Gives what was to come late the time to come.
-    pub async fn settle(&self) {
+    /// Gives delayed steps the time to be played.
+    pub async fn flush_delayed(&self) {
         for _ in 0..100 {
-            if self.late.get() == 0 {
+            if self.delayed_steps.get() == 0 {
                 return;
             }
             tokio::task::yield_now().await;
         }
     }
 
-    /// Reads whatever was sent to its end. Nothing runs after that.
+    /// Waits until all that was sent is read. Nothing is run after that.
     pub async fn finish(&self) {
         let all: Vec<_> = self.connections.borrow_mut().drain(..).collect();
         for (_, connection) in all {
@@ -460,38 +460,45 @@
         let (mut silent, mut spent) = (false, false);
         while let Some(head) = next_head(&mut stream, &mut unread).await {
             let Some(request) = Request::parse(&head) else {
-                // Somebody else on this machine may look for what was at this port before.
+                // Another process of this machine may look for what was at this port before.
                 if !served.is_empty() {
-                    self.wrong(format!("no request: {:?}", String::from_utf8_lossy(&head)));
+                    self.report_violation(format!(
+                        "no request: {:?}",
+                        String::from_utf8_lossy(&head)
+                    ));
                 }
                 return;
             };
             if spent {
-                self.wrong("a connection that was to be closed is used again".to_string());
+                self.report_violation(
+                    "a connection that was to be closed is used again".to_string(),
+                );
             }
             let (call, length) = (request.call, request.length);
             let reused = !served.is_empty();
-            self.note(call, |account| {
-                (account.heads, account.reused) = (account.heads + 1, reused)
+            self.update_record(call, |record| {
+                (record.requests, record.reused) = (record.requests + 1, reused)
             });
             let mut behaviour = (self.script)(&request);
             if request.target.is_empty() {
-                self.wrong(format!("call {call} does not say whom it is meant for"));
+                self.report_violation(format!("call {call} does not say whom it is meant for"));
             }
             if request.target != self.name(upstream) {
-                behaviour = Behaviour::answers(Answer::promise(421));
+                behaviour = Behaviour::answers(ScriptedResponse::rejection(421));
             }
             served.push(request);
-            spent = behaviour.own().is_some_and(Answer::ends_the_connection);
+            spent = behaviour
+                .response()
+                .is_some_and(ScriptedResponse::closes_connection);
             if silent {
-                (behaviour.early, behaviour.steps) = (Vec::new(), Vec::new());
+                (behaviour.before_body, behaviour.steps) = (Vec::new(), Vec::new());
             }
             let mut out = Output {
                 stream,
                 runs: behaviour.runs,
                 end: behaviour.end,
             };
-            self.play(&behaviour.early, &mut out, &served).await;
+            self.play(&behaviour.before_body, &mut out, &served).await;
             if behaviour.reads_body || length == 0 {
                 if !read_body(&mut out.stream, &mut unread, length).await {
                     return;
@@ -499,13 +506,13 @@
                 let unchanged = unread[..length] == request_body(length)[..];
                 unread.drain(..length);
                 if !unchanged {
-                    self.wrong(format!("the body of {call} was changed"));
+                    self.report_violation(format!("the body of {call} was changed"));
                 }
-                out.run(&self, call);
-            } else if behaviour.own().is_none()
+                out.begin_work(&self, call);
+            } else if behaviour.response().is_none()
                 && ![End::Silent, End::HalfClose].contains(&behaviour.end)
             {
-                self.note(call, |account| account.left_unread = true);
+                self.update_record(call, |record| record.body_left_unread = true);
             }
             self.play(&behaviour.steps, &mut out, &served).await;
             stream = out.stream;
@@ -533,21 +540,21 @@
         let Some(own) = served.last() else { return };
         for step in steps {
             match step {
-                Step::Own(answer) => {
-                    out.run(self, own.call);
-                    self.answer(answer, own, Some(out.end), &mut out.stream)
+                Step::Respond(answer) => {
+                    out.begin_work(self, own.call);
+                    self.respond(answer, own, Some(out.end), &mut out.stream)
                         .await;
                 }
                 Step::Surplus { back, answer } => {
                     let Some(to) = served.len().checked_sub(back + 1) else {
                         continue;
                     };
-                    // The other id of two is that of the request that is awaited.
+                    // The second of two ids is that of the awaited request.
                     let mut answer = answer.clone();
                     if let Echo::OwnThen(other) | Echo::OwnAfter(other) = &mut answer.echo {
                         other.clone_from(&own.id);
                     }
-                    self.answer(&answer, &served[to], None, &mut out.stream)
+                    self.respond(&answer, &served[to], None, &mut out.stream)
                         .await;
                 }
                 Step::Interim(status) => {
@@ -558,20 +565,20 @@
                     let _ = out.stream.write_all(bytes).await;
                 }
                 Step::AfterCall => {
-                    self.late.set(self.late.get() + 1);
-                    while !self.ended.borrow().contains(&own.call) {
+                    self.delayed_steps.set(self.delayed_steps.get() + 1);
+                    while !self.ended_calls.borrow().contains(&own.call) {
                         self.changed.notified().await;
                     }
-                    self.late.set(self.late.get() - 1);
+                    self.delayed_steps.set(self.delayed_steps.get() - 1);
                 }
             }
         }
     }
 
-    /// Writes an answer; `end` follows the one that counts.
-    async fn answer(
+    /// Writes a response; `end` follows the one that counts.
+    async fn respond(
         &self,
-        answer: &Answer,
+        answer: &ScriptedResponse,
         to: &Request,
         end: Option<End>,
         stream: &mut TcpStream,
@@ -584,33 +591,33 @@
         });
         bytes.truncate(keep);
         if let Some(end) = end {
-            let bodiless = answer.bodiless(&to.method);
+            let bodiless = answer.has_no_body(&to.method);
             let to_the_end = answer.framing != Framing::Close || end == End::Close;
-            let clear = !answer.framing.ambiguous() && to_the_end;
+            let clear = !answer.framing.is_ambiguous() && to_the_end;
             let whole = answer.cut.is_none() && (bodiless || clear);
             let (status, sealed) = (answer.status, answer.sealed);
-            let given = Given {
+            let given = GivenResponse {
                 status,
                 serial,
                 body,
                 whole,
                 sealed,
             };
-            self.note(to.call, |account| account.given.push(given));
+            self.update_record(to.call, |record| record.given.push(given));
         }
-        let pieces: Vec<&[u8]> = match answer.pieces {
-            Pieces::One => vec![&bytes],
-            Pieces::At(permille) => {
+        let writes: Vec<&[u8]> = match answer.writes {
+            Writes::One => vec![&bytes],
+            Writes::SplitAt(permille) => {
                 let (a, b) = bytes.split_at(bytes.len() * usize::from(permille) / 1000);
                 vec![a, b]
             }
-            Pieces::EachByte => bytes.chunks(1).collect(),
-            Pieces::Glued(more) => {
+            Writes::EachByte => bytes.chunks(1).collect(),
+            Writes::WithTrailing(more) => {
                 bytes.extend_from_slice(more);
                 vec![&bytes]
             }
         };
-        for piece in pieces {
+        for piece in writes {
             if stream.write_all(piece).await.is_err() {
                 return;
             }
@@ -619,7 +626,7 @@
     }
 }
 
-/// Where a request's answer goes, and whether work on the request is yet to begin.
+/// Where a request's response goes, and whether the request is yet to be run.
 struct Output {
     stream: TcpStream,
     runs: bool,
@@ -627,14 +634,14 @@
 }
 
 impl Output {
-    fn run(&mut self, of: &StandIn, call: usize) {
+    fn begin_work(&mut self, of: &ScriptedUpstreams, call: usize) {
         if std::mem::take(&mut self.runs) {
-            of.note(call, |account| account.runs += 1);
+            of.update_record(call, |record| record.runs += 1);
         }
     }
 }
 
-async fn more(stream: &mut TcpStream, unread: &mut Vec<u8>) -> bool {
+async fn read_more(stream: &mut TcpStream, unread: &mut Vec<u8>) -> bool {
     matches!(stream.read_buf(unread).await, Ok(n) if n > 0)
 }
 
@@ -648,7 +655,7 @@
         if let Some(end) = unread.windows(4).position(|w| w == b"\r\n\r\n") {
             return Some(unread.drain(..end + 4).collect());
         }
-        if !more(stream, unread).await {
+        if !read_more(stream, unread).await {
             return None;
         }
     }
@@ -656,7 +663,7 @@
 
 async fn read_body(stream: &mut TcpStream, unread: &mut Vec<u8>, length: usize) -> bool {
     while unread.len() < length {
-        if !more(stream, unread).await {
+        if !read_more(stream, unread).await {
             return false;
         }
     }
--- a/crates/data-plane/tests/answers.rs
+++ b/crates/data-plane/tests/upstream_responses.rs
@@ -1,4 +1,4 @@
-//! Attempts at upstreams that stutter, lie and break off, over loopback: what becomes of each answer.
+//! Attempts at faulty upstreams over loopback: what becomes of each response.
 
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use data_plane::engine::{
-    Engine, EngineConfig as EngineTerms, EngineEvent, EngineReply, IncomingRequest, ListedUpstream,
+    Engine, EngineConfig, EngineEvent, EngineReply, IncomingRequest, ListedUpstream,
 };
 use data_plane::headers::forward_response;
 use data_plane::runtime::upstream_protocol;
@@ -22,11 +22,11 @@
 use tokio::time::Instant;
 
 /// Longer than anything takes here.
-const LONG: Duration = Duration::from_secs(120);
+const LONG_TIMEOUT: Duration = Duration::from_secs(120);
 /// The longest wait for what has to happen, wide enough for a busy machine.
-const SOON: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// More than sockets hold between two processes.
-const LARGE: usize = 64 << 20;
+const LARGE_BODY_BYTES: usize = 64 << 20;
 
 /// A connection that an upstream has accepted, and which one it is.
 struct Accepted {
@@ -36,7 +36,7 @@
 
 impl Accepted {
     /// Reads a head, and the body that it announces; `None` at the end of the connection.
-    fn request(&mut self) -> Option<String> {
+    fn read_request(&mut self) -> Option<String> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
@@ -52,13 +52,13 @@
         Some(head)
     }
 
-    fn say(&mut self, text: &str) {
+    fn write(&mut self, text: &str) {
         let _ = self.stream.write_all(text.as_bytes());
     }
 }
 
 /// An upstream that deals with each connection in a thread of its own.
-fn upstream(deal: impl Fn(Accepted) + Send + Sync + Clone + 'static) -> SocketAddr {
+fn start_upstream(deal: impl Fn(Accepted) + Send + Sync + Clone + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -71,17 +71,19 @@
 }
 
 /// An upstream that answers every request by its connection's number and its head.
-fn answering(say: impl Fn(usize, &str) -> String + Send + Sync + Clone + 'static) -> SocketAddr {
-    upstream(move |mut accepted| {
-        while let Some(head) = accepted.request() {
+fn responding_upstream(
+    say: impl Fn(usize, &str) -> String + Send + Sync + Clone + 'static,
+) -> SocketAddr {
+    start_upstream(move |mut accepted| {
+        while let Some(head) = accepted.read_request() {
             let text = say(accepted.number, &head);
-            accepted.say(&text);
+            accepted.write(&text);
         }
     })
 }
 
 /// A whole answer to the request of this head, which bears these lines too.
-fn answer(head: &str, status: &str, lines: &str, body: &str) -> String {
+fn response_text(head: &str, status: &str, lines: &str, body: &str) -> String {
     let id = head
         .lines()
         .find(|l| l.starts_with("attempt-id: "))
@@ -90,10 +92,10 @@
     format!("HTTP/1.1 {status}\r\n{id}\r\n{lines}Content-Length: {length}\r\n\r\n{body}")
 }
 
-fn terms(most: usize) -> PoolConfig {
-    let (keepalive, connect_timeout, answers) = (LONG, LONG, 4 << 20);
+fn pool_config(max_connections: usize) -> PoolConfig {
+    let (keepalive, connect_timeout, answers) = (LONG_TIMEOUT, LONG_TIMEOUT, 4 << 20);
     PoolConfig {
-        max_connections: most,
+        max_connections,
         keepalive,
         connect_timeout,
         max_response_bytes: answers,
@@ -131,21 +133,21 @@
         ServerId(server),
         target,
         &forward,
-        Instant::now() + LONG,
+        Instant::now() + LONG_TIMEOUT,
         || true,
     )
     .await
 }
 
-fn body(ended: &AttemptResult) -> &str {
-    let body = ended.response.as_ref().map_or(&b""[..], |r| r.body());
+fn body(result: &AttemptResult) -> &str {
+    let body = result.response.as_ref().map_or(&b""[..], |r| r.body());
     std::str::from_utf8(body).expect("text")
 }
 
 #[tokio::test]
-async fn an_answer_is_passed_on_by_its_status_its_seal_and_its_promise() {
+async fn response_is_forwarded_by_status_seal_and_not_run_header() {
     const SEAL: &str = "Upstream-Seal: s\r\n";
-    const PROMISE: &str = "Not-Run: 1\r\n";
+    const NOT_RUN: &str = "Not-Run: 1\r\n";
     let cases = [
         ("200 OK", SEAL.to_string(), AttemptOutcome::Ok, true),
         ("204 No Content", SEAL.into(), AttemptOutcome::Ok, true),
@@ -176,32 +178,34 @@
         ("500 Error", SEAL.into(), AttemptOutcome::Error, true),
         ("504 Late", String::new(), AttemptOutcome::Error, true),
         // A promise is believed on some statuses, said once; without it the status promises nothing.
-        ("503 Full", PROMISE.into(), AttemptOutcome::Rejected, false),
-        ("429 Many", PROMISE.into(), AttemptOutcome::Rejected, false),
-        ("400 Bad Request", PROMISE.into(), AttemptOutcome::Ok, true),
+        ("503 Full", NOT_RUN.into(), AttemptOutcome::Rejected, false),
+        ("429 Many", NOT_RUN.into(), AttemptOutcome::Rejected, false),
+        ("400 Bad Request", NOT_RUN.into(), AttemptOutcome::Ok, true),
         ("503 Full", SEAL.into(), AttemptOutcome::Error, false),
         ("429 Many", String::new(), AttemptOutcome::Error, false),
-        ("408 Slow", PROMISE.into(), AttemptOutcome::Error, false),
-        ("503 Full", PROMISE.repeat(2), AttemptOutcome::Error, false),
+        ("408 Slow", NOT_RUN.into(), AttemptOutcome::Error, false),
+        ("503 Full", NOT_RUN.repeat(2), AttemptOutcome::Error, false),
         (
             "503 Full",
             "Not-Run: 0\r\n".into(),
             AttemptOutcome::Error,
             false,
         ),
-        ("500 Error", PROMISE.into(), AttemptOutcome::Error, true),
+        ("500 Error", NOT_RUN.into(), AttemptOutcome::Error, true),
         ("421 Other", String::new(), AttemptOutcome::Rejected, false),
-        ("421 Other", PROMISE.into(), AttemptOutcome::NotOwner, false),
+        ("421 Other", NOT_RUN.into(), AttemptOutcome::NotOwner, false),
     ];
     let run = async {
         for (status, lines, outcome, passes) in cases {
             let said = lines.clone();
-            let pool = UpstreamPool::new(terms(8));
-            let at = target(answering(move |_, head| answer(head, status, &said, "")));
-            let ended = attempt(&pool, 1, &at, "a").await;
-            assert_eq!(ended.outcome, outcome, "{status} {lines:?}");
-            assert_eq!(ended.response.is_some(), passes, "{status} {lines:?}");
-            let Some(response) = ended.response else {
+            let pool = UpstreamPool::new(pool_config(8));
+            let at = target(responding_upstream(move |_, head| {
+                response_text(head, status, &said, "")
+            }));
+            let result = attempt(&pool, 1, &at, "a").await;
+            assert_eq!(result.outcome, outcome, "{status} {lines:?}");
+            assert_eq!(result.response.is_some(), passes, "{status} {lines:?}");
+            let Some(response) = result.response else {
                 continue;
             };
             let passed = forward_response(response, &[]);
@@ -214,24 +218,24 @@
 }
 
 #[tokio::test]
-async fn a_late_second_answer_never_meets_a_further_try_of_its_request() {
+async fn late_second_response_never_meets_a_retry_of_its_request() {
     // The second answer to the first `a` comes where the same connection would carry `a` again.
     let late = "HTTP/1.1 500 Late\r\nattempt-id: a\r\nContent-Length: 0\r\n\r\n";
-    let at = upstream(move |mut accepted| {
+    let at = start_upstream(move |mut accepted| {
         let mut tries = 0;
-        while let Some(head) = accepted.request() {
+        while let Some(head) = accepted.read_request() {
             tries += i32::from(head.contains("attempt-id: a\r\n"));
             let surplus = if tries == 2 { late } else { "" };
-            let text = answer(&head, "200 OK", "Upstream-Seal: s\r\n", "own");
-            accepted.say(&format!("{surplus}{text}"));
+            let text = response_text(&head, "200 OK", "Upstream-Seal: s\r\n", "own");
+            accepted.write(&format!("{surplus}{text}"));
         }
     });
     let run = async {
-        let (pool, at) = (UpstreamPool::new(terms(8)), target(at));
+        let (pool, at) = (UpstreamPool::new(pool_config(8)), target(at));
         for id in ["a", "b", "c", "a", "d"] {
-            let ended = attempt(&pool, 1, &at, id).await;
+            let result = attempt(&pool, 1, &at, id).await;
             assert_eq!(
-                (ended.outcome, body(&ended)),
+                (result.outcome, body(&result)),
                 (AttemptOutcome::Ok, "own"),
                 "{id}"
             );
@@ -241,35 +245,45 @@
 }
 
 #[tokio::test]
-async fn what_is_cut_or_too_large_for_the_room_has_failed_and_may_have_run() {
+async fn truncated_or_too_large_response_counts_as_reset() {
     let (size, room) = (1000, 999);
-    let whole = move |head: &str| answer(head, "200 OK", "Upstream-Seal: s\r\n", &"x".repeat(size));
-    let trickling = upstream(move |mut accepted| {
-        let head = accepted.request().expect("a request");
+    let whole =
+        move |head: &str| response_text(head, "200 OK", "Upstream-Seal: s\r\n", &"x".repeat(size));
+    let trickling = start_upstream(move |mut accepted| {
+        let head = accepted.read_request().expect("a request");
         for byte in whole(&head).as_bytes().chunks(1) {
             let _ = accepted.stream.write_all(byte);
         }
-        accepted.request();
+        accepted.read_request();
     });
-    let cut = upstream(move |mut accepted| {
-        let head = accepted.request().expect("a request");
+    let cut = start_upstream(move |mut accepted| {
+        let head = accepted.read_request().expect("a request");
         let text = whole(&head);
-        accepted.say(&text[..text.len() - 1]);
+        accepted.write(&text[..text.len() - 1]);
     });
     let run = async {
-        let ended = attempt(&UpstreamPool::new(terms(8)), 1, &target(trickling), "a").await;
+        let result = attempt(
+            &UpstreamPool::new(pool_config(8)),
+            1,
+            &target(trickling),
+            "a",
+        )
+        .await;
         assert_eq!(
-            (ended.outcome, body(&ended).len()),
+            (result.outcome, body(&result).len()),
             (AttemptOutcome::Ok, size)
         );
         let scarce = UpstreamPool::new(PoolConfig {
             max_response_bytes: room,
-            ..terms(8)
+            ..pool_config(8)
         });
-        for (pool, at) in [(UpstreamPool::new(terms(8)), cut), (scarce, trickling)] {
-            let ended = attempt(&pool, 1, &target(at), "a").await;
+        for (pool, at) in [
+            (UpstreamPool::new(pool_config(8)), cut),
+            (scarce, trickling),
+        ] {
+            let result = attempt(&pool, 1, &target(at), "a").await;
             assert_eq!(
-                (ended.outcome, ended.response.is_none()),
+                (result.outcome, result.response.is_none()),
                 (AttemptOutcome::Reset, true)
             );
         }
@@ -278,48 +292,48 @@
 }
 
 /// An upstream that reads this much of a request, says something, tells of it, and stays silent.
-fn falls_silent(read: usize, text: &'static str) -> (SocketAddr, Receiver<()>) {
+fn silent_upstream(read: usize, text: &'static str) -> (SocketAddr, Receiver<()>) {
     let (tell, told): (Sender<()>, _) = channel();
-    let address = upstream(move |mut accepted| {
+    let address = start_upstream(move |mut accepted| {
         accepted
             .stream
             .read_exact(&mut vec![0; read])
             .expect("a part");
-        accepted.say(text);
+        accepted.write(text);
         tell.send(()).expect("somebody waits");
-        thread::sleep(LONG);
+        thread::sleep(LONG_TIMEOUT);
     });
     (address, told)
 }
 
 #[tokio::test(start_paused = true)]
-async fn at_the_deadline_only_what_was_never_whole_and_never_answered_has_not_run() {
+async fn deadline_proves_not_run_only_for_incomplete_unanswered_requests() {
     let own = "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nContent-Length: 9\r\n\r\nx";
     let interim = "HTTP/1.1 103 Early Hints\r\n\r\n";
     let cases = [
         (0, "", AttemptOutcome::Timeout),
         (0, own, AttemptOutcome::Timeout),
-        (LARGE, "", AttemptOutcome::ConnectFailed),
-        (LARGE, own, AttemptOutcome::Timeout),
-        (LARGE, &own[..9], AttemptOutcome::Timeout),
-        (LARGE, interim, AttemptOutcome::ConnectFailed),
+        (LARGE_BODY_BYTES, "", AttemptOutcome::ConnectFailed),
+        (LARGE_BODY_BYTES, own, AttemptOutcome::Timeout),
+        (LARGE_BODY_BYTES, &own[..9], AttemptOutcome::Timeout),
+        (LARGE_BODY_BYTES, interim, AttemptOutcome::ConnectFailed),
     ];
     let run = async {
         for (length, text, expected) in cases {
-            let (address, told) = falls_silent(1, text);
+            let (address, told) = silent_upstream(1, text);
             // Paused time stands while something blocks: until the upstream has said its word.
             let waits = tokio::task::spawn_blocking(move || told.recv());
             let (pool, forward) = (
-                UpstreamPool::new(terms(8)),
+                UpstreamPool::new(pool_config(8)),
                 forward("a", Method::POST, length),
             );
             let at = target(address);
-            let until = Instant::now() + Duration::from_secs(1);
-            let ended = pool
-                .attempt(ServerId(1), &at, &forward, until, || true)
+            let deadline = Instant::now() + Duration::from_secs(1);
+            let result = pool
+                .attempt(ServerId(1), &at, &forward, deadline, || true)
                 .await;
-            assert_eq!(ended.outcome, expected, "{length} {text:?}");
-            assert!(ended.response.is_none());
+            assert_eq!(result.outcome, expected, "{length} {text:?}");
+            assert!(result.response.is_none());
             waits.await.expect("joined").expect("it spoke");
         }
     };
@@ -327,30 +341,33 @@
 }
 
 #[tokio::test]
-async fn a_connection_goes_only_to_the_upstream_that_is_meant() {
+async fn connection_is_used_only_for_its_upstream() {
     let sealed = |number: usize, head: &str| {
-        answer(head, "200 OK", "Upstream-Seal: s\r\n", &number.to_string())
+        response_text(head, "200 OK", "Upstream-Seal: s\r\n", &number.to_string())
     };
     let (tell, told) = channel();
-    let closing = upstream(move |mut accepted| {
-        while let Some(head) = accepted.request() {
-            accepted.say(&sealed(accepted.number, &head));
+    let closing = start_upstream(move |mut accepted| {
+        while let Some(head) = accepted.read_request() {
+            accepted.write(&sealed(accepted.number, &head));
         }
         tell.send(accepted.number).expect("somebody waits");
     });
     let run = async {
-        let (pool, at) = (UpstreamPool::new(terms(8)), target(closing));
+        let (pool, at) = (UpstreamPool::new(pool_config(8)), target(closing));
         assert_eq!(body(&attempt(&pool, 1, &at, "a").await), "0");
         // A request that is over by now leaves the connection to the next.
         let over = forward("b", Method::POST, 0);
-        let until = Instant::now() + LONG;
-        let ended = pool.attempt(ServerId(1), &at, &over, until, || false).await;
-        assert_eq!(ended.outcome, AttemptOutcome::NotIssued);
+        let deadline = Instant::now() + LONG_TIMEOUT;
+        let result = pool
+            .attempt(ServerId(1), &at, &over, deadline, || false)
+            .await;
+        assert_eq!(result.outcome, AttemptOutcome::NotIssued);
         assert_eq!(body(&attempt(&pool, 1, &at, "b").await), "0");
         // Another upstream at the same address has connections of its own.
         assert_eq!(body(&attempt(&pool, 2, &at, "c").await), "1");
         // One that moved is not looked for at its old address.
-        at.address.set(answering(move |_, head| sealed(9, head)));
+        at.address
+            .set(responding_upstream(move |_, head| sealed(9, head)));
         assert_eq!(body(&attempt(&pool, 1, &at, "d").await), "9");
         // Nothing goes to one that is gone, and its connections end.
         at.address.set(closing);
@@ -360,8 +377,8 @@
             AttemptOutcome::NotIssued
         );
         let mut closed = [
-            told.recv_timeout(SOON).expect("told"),
-            told.recv_timeout(SOON).expect("told"),
+            told.recv_timeout(TEST_TIMEOUT).expect("told"),
+            told.recv_timeout(TEST_TIMEOUT).expect("told"),
         ];
         closed.sort_unstable();
         assert_eq!(closed, [0, 1]);
@@ -380,38 +397,43 @@
 
 /// In virtual time, so that the speed of the machine does not matter.
 #[tokio::test]
-async fn an_idle_connection_is_closed_before_its_upstream_would() {
+async fn idle_connection_is_closed_before_its_upstream_closes_it() {
     const KEEPALIVE: Duration = Duration::from_secs(4);
     let (tell, closed) = channel();
-    let at = upstream(move |mut accepted| {
-        while let Some(head) = accepted.request() {
-            accepted.say(&answer(&head, "200 OK", "Upstream-Seal: s\r\n", "own"));
+    let at = start_upstream(move |mut accepted| {
+        while let Some(head) = accepted.read_request() {
+            accepted.write(&response_text(
+                &head,
+                "200 OK",
+                "Upstream-Seal: s\r\n",
+                "own",
+            ));
         }
         tell.send(()).expect("somebody waits");
     });
     let run = async {
         let pool = UpstreamPool::new(PoolConfig {
             keepalive: KEEPALIVE,
-            ..terms(8)
+            ..pool_config(8)
         });
         assert_eq!(body(&attempt(&pool, 1, &target(at), "a").await), "own");
         tokio::time::pause();
         tokio::time::sleep(KEEPALIVE.mul_f64(0.7)).await;
         assert!(closed.try_recv().is_err(), "it could be used for longer");
         tokio::time::sleep(KEEPALIVE.mul_f64(0.25)).await;
-        closed.recv_timeout(SOON).expect("closed");
+        closed.recv_timeout(TEST_TIMEOUT).expect("closed");
     };
     LocalSet::new().run_until(run).await;
 }
 
 #[tokio::test]
-async fn the_connection_that_has_idled_longest_makes_room() {
+async fn longest_idle_connection_is_closed_at_the_limit() {
     let at = || {
         let (tell, told) = channel();
-        let address = upstream(move |mut accepted| {
-            while let Some(head) = accepted.request() {
-                let text = answer(&head, "200 OK", "Upstream-Seal: s\r\n", "own");
-                accepted.say(&text);
+        let address = start_upstream(move |mut accepted| {
+            while let Some(head) = accepted.read_request() {
+                let text = response_text(&head, "200 OK", "Upstream-Seal: s\r\n", "own");
+                accepted.write(&text);
             }
             tell.send(()).expect("somebody waits");
         });
@@ -419,11 +441,13 @@
     };
     let ((first, first_closed), (second, second_closed), (third, _third)) = (at(), at(), at());
     let run = async {
-        let pool = UpstreamPool::new(terms(2));
+        let pool = UpstreamPool::new(pool_config(2));
         for (server, at) in [(1, &first), (2, &second), (3, &third)] {
             assert_eq!(body(&attempt(&pool, server, at, "a").await), "own");
         }
-        first_closed.recv_timeout(SOON).expect("it gave way");
+        first_closed
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("it gave way");
         assert!(second_closed.try_recv().is_err());
         assert_eq!(body(&attempt(&pool, 2, &second, "b").await), "own");
     };
@@ -431,18 +455,18 @@
 }
 
 /// What the engine's client gets from two upstreams that say this, as status and seal.
-async fn replies(said: [&'static str; 2]) -> Vec<(u16, Option<String>)> {
-    let (engine_terms, pool) = (
-        EngineTerms {
+async fn forwarded_replies(said: [&'static str; 2]) -> Vec<(u16, Option<String>)> {
+    let (engine_config, pool) = (
+        EngineConfig {
             seed: 1,
             headroom: Duration::ZERO,
             drain_grace: Duration::ZERO,
             timer_granularity: Duration::from_millis(1),
             subscribe: None,
         },
-        UpstreamPool::new(terms(64)),
+        UpstreamPool::new(pool_config(64)),
     );
-    let (mut engine, handle) = Engine::new(engine_terms, pool);
+    let (mut engine, handle) = Engine::new(engine_config, pool);
     let ms = |ms: i64| Span(ms * 1000);
     let mut class = d::RequestClass::safe(ms(5_000), ms(60_000));
     class.max_attempts = Some(2);
@@ -453,8 +477,8 @@
         .expect("settings that can be used");
     let list = (1..).zip(said).map(|(n, status)| ListedUpstream {
         id: format!("i-{n}"),
-        address: Some(answering(move |_, head| {
-            answer(head, status, &format!("Upstream-Seal: s-{n}\r\n"), "")
+        address: Some(responding_upstream(move |_, head| {
+            response_text(head, status, &format!("Upstream-Seal: s-{n}\r\n"), "")
         })),
         zone: 0,
         kind: 0,
@@ -472,14 +496,14 @@
     let running = tokio::task::spawn_local(engine.run());
     let mut seen = Vec::new();
     for n in 0..16 {
-        let until = Instant::now() + LONG;
+        let deadline = Instant::now() + LONG_TIMEOUT;
         let (key, shard, cost_guess) = (None, None, None);
         let arrival = IncomingRequest {
             class: 0,
             tenant: 0,
             key,
             shard,
-            deadline: until,
+            deadline: deadline,
             estimated_work: cost_guess,
             is_client_retry: false,
         };
@@ -496,10 +520,10 @@
 }
 
 #[tokio::test]
-async fn an_error_that_is_kept_for_the_end_stands_with_its_own_seal() {
+async fn upstream_error_is_forwarded_with_its_own_seal() {
     let run = async {
         let pair = |status: u16, seal: &str| (status, Some(seal.to_string()));
-        let seen = replies(["500 Error", "502 Error"]).await;
+        let seen = forwarded_replies(["500 Error", "502 Error"]).await;
         assert!(!seen.is_empty());
         assert!(
             seen.iter()
@@ -507,7 +531,7 @@
             "{seen:?}"
         );
         // A promise that was not made is nobody's answer, whatever came before it.
-        let seen = replies(["500 Error", "503 Full"]).await;
+        let seen = forwarded_replies(["500 Error", "503 Full"]).await;
         assert!(seen.iter().all(|s| *s == pair(500, "s-1")), "{seen:?}");
     };
     LocalSet::new().run_until(run).await;
