--- a/crates/control-plane/src/http_api.rs
+++ b/crates/control-plane/src/http_api.rs
@@ -209,7 +209,7 @@
         answer(
             StatusCode::OK,
             &json!({"node": self.server.settings.node, "id": format!("{:016x}", core.id),
-                "role": format!("{:?}", core.role).to_lowercase(), "term": core.term,
+                "role": core.role.to_string(), "term": core.term,
                 "leader": self.server.leader_address(), "in_contact": self.server.has_quorum_contact(),
                 "contact_age_ms": self.server.quorum_contact_age().map(|age| age.as_millis() as u64),
                 "commit": core.commit_index, "last": core.last_log_index,
--- a/crates/control-plane/src/server/log.rs
+++ b/crates/control-plane/src/server/log.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use protocol::wire::PeerMessage;
-use raft::{Payload, RaftNode, Ready};
+use raft::{Payload, RaftNode, ReadState, Ready};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 
@@ -133,7 +133,7 @@
             // Whatever stands here, it is not what an earlier leader put here.
             inner.orders.remove(&entry.index);
         }
-        for (token, index) in out.read_states {
+        for ReadState { token, index } in out.read_states {
             inner.read_ended(token, index);
         }
         if inner.core.log_len() > COMPACT_AFTER_ENTRIES || inner.logged > COMPACT_AFTER_BYTES {
--- a/crates/control-plane/tests/golden/messages.rs
+++ b/crates/control-plane/tests/golden/messages.rs
@@ -1,7 +1,11 @@
 //! Messages of the log between control processes, as frames.
 
 use protocol::wire::{PeerMessage, decode_body, encode_frame};
-use raft::{Chunk, LogPosition, Message, MessageBody, TransferContent, TransferId};
+use raft::{
+    AppendConflict, AppendEntries, AppendResponse, Chunk, ChunkResponse, LogPosition, Message,
+    MessageBody, QuorumContact, QuorumContactResponse, ReadIndex, ReadIndexResponse, RequestVote,
+    TransferContent, TransferId, VoteResponse,
+};
 
 use crate::{fixture, log};
 
@@ -26,29 +30,29 @@
 
 fn samples() -> Vec<MessageBody> {
     vec![
-        MessageBody::RequestVote {
+        MessageBody::RequestVote(RequestVote {
             pre_vote: true,
             transfer: false,
             last_log_index: 300,
             last_log_term: 2,
-        },
-        MessageBody::RequestVote {
+        }),
+        MessageBody::RequestVote(RequestVote {
             pre_vote: false,
             transfer: true,
             last_log_index: 300,
             last_log_term: 2,
-        },
-        MessageBody::VoteResponse {
+        }),
+        MessageBody::VoteResponse(VoteResponse {
             pre_vote: true,
             granted: true,
-        },
-        MessageBody::AppendEntries {
+        }),
+        MessageBody::AppendEntries(AppendEntries {
             prev_log_index: 299,
             prev_log_term: 2,
             entries: log::entries(),
             leader_commit: 9,
             sequence: 8,
-        },
+        }),
         piece(0, None),
         piece(
             16,
@@ -57,67 +61,73 @@
             }),
         ),
         piece(16, Some(TransferContent::Entry { prev_log_term: 2 })),
-        MessageBody::ChunkResponse {
+        MessageBody::ChunkResponse(ChunkResponse {
             transfer: TRANSFER,
             received_bytes: 70_000,
-        },
-        MessageBody::AppendResponse {
+        }),
+        MessageBody::AppendResponse(AppendResponse {
             accepted: true,
             match_index: 300,
             sequence: 8,
-        },
-        MessageBody::AppendConflict {
+        }),
+        MessageBody::AppendConflict(AppendConflict {
             rejected_index: 300,
             hint: LogPosition {
                 index: 200,
                 term: 2,
             },
             sequence: 8,
-        },
+        }),
         MessageBody::TimeoutNow,
-        MessageBody::ReadIndex { token: u64::MAX },
-        MessageBody::ReadIndexResponse {
+        MessageBody::ReadIndex(ReadIndex { token: u64::MAX }),
+        MessageBody::ReadIndexResponse(ReadIndexResponse {
             token: u64::MAX,
             index: Some(300),
-        },
-        MessageBody::ReadIndexResponse {
+        }),
+        MessageBody::ReadIndexResponse(ReadIndexResponse {
             token: 1,
             index: None,
-        },
-        MessageBody::QuorumContact { token: 5 },
-        MessageBody::QuorumContactResponse {
+        }),
+        MessageBody::QuorumContact(QuorumContact { token: 5 }),
+        MessageBody::QuorumContactResponse(QuorumContactResponse {
             token: 5,
             age_ms: 1000,
             index: 300,
-        },
+        }),
     ]
 }
 
 /// The fixture of a message. A new variant needs one.
 fn fixture_name(body: &MessageBody) -> &'static str {
     match body {
-        MessageBody::RequestVote { pre_vote: true, .. } => "message_request_pre_vote.frame",
-        MessageBody::RequestVote {
+        MessageBody::RequestVote(RequestVote { pre_vote: true, .. }) => {
+            "message_request_pre_vote.frame"
+        }
+        MessageBody::RequestVote(RequestVote {
             pre_vote: false, ..
-        } => "message_request_vote.frame",
-        MessageBody::VoteResponse { .. } => "message_vote_reply.frame",
-        MessageBody::AppendEntries { .. } => "message_append.frame",
+        }) => "message_request_vote.frame",
+        MessageBody::VoteResponse(VoteResponse { .. }) => "message_vote_reply.frame",
+        MessageBody::AppendEntries(AppendEntries { .. }) => "message_append.frame",
         MessageBody::Chunk(piece) => match piece.content {
             None => "message_piece.frame",
             Some(TransferContent::Snapshot { .. }) => "message_last_piece_of_snapshot.frame",
             Some(TransferContent::Entry { .. }) => "message_last_piece_of_entry.frame",
         },
-        MessageBody::ChunkResponse { .. } => "message_piece_reply.frame",
-        MessageBody::AppendResponse { .. } => "message_append_reply.frame",
-        MessageBody::AppendConflict { .. } => "message_conflict.frame",
+        MessageBody::ChunkResponse(ChunkResponse { .. }) => "message_piece_reply.frame",
+        MessageBody::AppendResponse(AppendResponse { .. }) => "message_append_reply.frame",
+        MessageBody::AppendConflict(AppendConflict { .. }) => "message_conflict.frame",
         MessageBody::TimeoutNow => "message_timeout_now.frame",
-        MessageBody::ReadIndex { .. } => "message_read.frame",
-        MessageBody::ReadIndexResponse { index: Some(_), .. } => "message_read_reply.frame",
-        MessageBody::ReadIndexResponse { index: None, .. } => {
+        MessageBody::ReadIndex(ReadIndex { .. }) => "message_read.frame",
+        MessageBody::ReadIndexResponse(ReadIndexResponse { index: Some(_), .. }) => {
+            "message_read_reply.frame"
+        }
+        MessageBody::ReadIndexResponse(ReadIndexResponse { index: None, .. }) => {
             "message_read_reply_without_index.frame"
         }
-        MessageBody::QuorumContact { .. } => "message_contact.frame",
-        MessageBody::QuorumContactResponse { .. } => "message_contact_reply.frame",
+        MessageBody::QuorumContact(QuorumContact { .. }) => "message_contact.frame",
+        MessageBody::QuorumContactResponse(QuorumContactResponse { .. }) => {
+            "message_contact_reply.frame"
+        }
     }
 }
 
--- a/crates/control-plane/tests/outbound.rs
+++ b/crates/control-plane/tests/outbound.rs
@@ -4,7 +4,7 @@
 
 use control_plane::peer_writer::write_all;
 use protocol::wire::{self, PeerMessage};
-use raft::{Message, MessageBody};
+use raft::{AppendEntries, Message, MessageBody};
 use tokio::io::{AsyncReadExt, BufReader, DuplexStream};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
@@ -37,13 +37,13 @@
 
 fn heartbeat(round: u64) -> PeerMessage {
     let (prev_index, prev_term, commit) = (0, 0, 0);
-    let body = MessageBody::AppendEntries {
+    let body = MessageBody::AppendEntries(AppendEntries {
         prev_log_index: prev_index,
         prev_log_term: prev_term,
         entries: Vec::new(),
         leader_commit: commit,
         sequence: round,
-    };
+    });
     PeerMessage::Raft(Message {
         from: 1,
         to: 2,
--- a/crates/raft/src/members.rs
+++ b/crates/raft/src/members.rs
@@ -1,4 +1,4 @@
-//! Who takes part in the log.
+//! The members of the log, and what makes a majority of them.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +6,25 @@
 
 use crate::NodeId;
 
-/// The members, with the address each is known by.
+/// The members, with the address of each. It is stored and sent: written names and order are fixed by golden files.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// Those whose copies count.
+    /// The members that count for a majority.
     pub voters: BTreeMap<NodeId, String>,
-    /// Those that are catching up.
+    /// The members that receive the log and do not count yet (Raft thesis, section 4.2.1).
     pub learners: BTreeMap<NodeId, String>,
 }
 
 impl Members {
-    /// All of them.
+    /// All members with their addresses, voters first, each in the order of ids.
     pub fn all(&self) -> impl Iterator<Item = (NodeId, &str)> {
         self.voters
             .iter()
             .chain(&self.learners)
-            .map(|(id, at)| (*id, at.as_str()))
+            .map(|(id, address)| (*id, address.as_str()))
     }
 
-    /// Whether it is one of them.
+    /// Whether it is a voter or a learner.
     pub fn contains(&self, id: NodeId) -> bool {
         self.voters.contains_key(&id) || self.learners.contains_key(&id)
     }
@@ -34,9 +34,10 @@
         self.voters.len() / 2 + 1
     }
 
-    /// Whether those for which `yes` holds are a majority of the voters.
-    pub fn is_majority(&self, yes: impl Fn(NodeId) -> bool) -> bool {
-        self.voters.keys().filter(|id| yes(**id)).count() * 2 > self.voters.len()
+    /// Whether the voters for which `predicate` holds are a majority.
+    pub fn is_majority(&self, predicate: impl Fn(NodeId) -> bool) -> bool {
+        let count = self.voters.keys().filter(|id| predicate(**id)).count();
+        count * 2 > self.voters.len()
     }
 
     /// The members without this one.
@@ -47,7 +48,7 @@
         next
     }
 
-    /// The members with one more that catches up.
+    /// The members with another learner.
     pub fn with_learner(&self, id: NodeId, address: &str) -> Self {
         let mut next = self.clone();
         next.learners.insert(id, address.to_string());
--- /dev/null
+++ b/crates/raft/src/raft_node.rs
@@ -0,0 +1,369 @@
+//! The state machine of one member: its state, its clock, and the dispatch of messages to their handlers.
+//!
+//! **Owns** the term, the vote and the role, and composes the owners of the rest: the log, the persistence pipeline, the
+//! election timer, the progress of other members, reads, quorum contact. Each handler module adds the messages of one
+//! concern. **Promises** of the Raft paper, figure 3: election safety, leader append-only, log matching, leader
+//! completeness, state machine safety. **Neighbours silent:** a leader that a majority does not answer steps down after an
+//! election timeout, and others campaign. **Neighbours wiped or gone:** see [`crate::MembershipView`].
+
+mod append_entries;
+mod chunked_transfer;
+mod election;
+mod leadership_transfer;
+mod membership;
+mod quorum_contact;
+mod read_index;
+mod replication;
+
+pub use membership::{MemberReport, MembershipReport};
+
+use std::collections::BTreeSet;
+use std::fmt;
+
+use crate::applicants::Applicants;
+use crate::broadcasts::Broadcasts;
+use crate::contact_tracker::ContactTracker;
+use crate::election_timer::ElectionTimer;
+use crate::incoming_transfer::IncomingTransfer;
+use crate::persistence::PersistencePipeline;
+use crate::raft_log::RaftLog;
+use crate::read_only::{ForwardedReads, PendingReads};
+use crate::tracker::ProgressTracker;
+use crate::{
+    Entry, Members, MembershipPolicy, Message, MessageBody, NodeId, PersistRequest,
+    PersistentState, Ready, Snapshot, Timing,
+};
+use election::CampaignType;
+
+/// Voters whose loss is to be tolerated, where the host sets no membership policy.
+const DEFAULT_TOLERATED_LOSSES: usize = 1;
+
+/// The role of a member (Raft paper, figure 4; pre-candidate: Raft thesis, section 9.6).
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Role {
+    /// Follows a leader, or waits for one.
+    Follower,
+    /// Asks whether it would be elected, in its present term.
+    PreCandidate,
+    /// Asks for votes.
+    Candidate,
+    /// Leads its term.
+    Leader,
+}
+
+/// The form in which the control plane's status page shows it: operators' tools read it.
+impl fmt::Display for Role {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(match self {
+            Role::Follower => "follower",
+            Role::PreCandidate => "candidate { pre: true }",
+            Role::Candidate => "candidate { pre: false }",
+            Role::Leader => "leader",
+        })
+    }
+}
+
+/// A member's state, for those who report it.
+#[derive(Clone, Debug)]
+pub struct Status {
+    /// The member's id.
+    pub id: NodeId,
+    /// Its role.
+    pub role: Role,
+    /// Its term.
+    pub term: u64,
+    /// The leader of the term, if known.
+    pub leader: Option<NodeId>,
+    /// The index of the last entry known to be committed.
+    pub commit_index: u64,
+    /// The index of the last entry of its log, committed or not.
+    pub last_log_index: u64,
+}
+
+/// One member of the replicated log.
+#[derive(Debug)]
+pub struct RaftNode {
+    id: NodeId,
+    timing: Timing,
+    /// The host's clock in milliseconds, as of the last call that told it.
+    now: u64,
+
+    // Persistent state (Raft paper, figure 2), together with the log.
+    term: u64,
+    voted_for: Option<NodeId>,
+    log: RaftLog,
+    persistence: PersistencePipeline,
+
+    // Election.
+    role: Role,
+    leader: Option<NodeId>,
+    election_timer: ElectionTimer,
+    votes_granted: BTreeSet<NodeId>,
+    /// The process is about to end: this member must neither campaign nor accept proposals.
+    shutting_down: bool,
+
+    // Leader.
+    tracker: ProgressTracker,
+    broadcasts: Broadcasts,
+    /// The index of the leader's first entry, which covers all that earlier leaders have acknowledged.
+    term_start_index: u64,
+    pending_reads: PendingReads,
+    applicants: Applicants,
+    policy: MembershipPolicy,
+
+    // Follower.
+    incoming_transfer: Option<IncomingTransfer>,
+    forwarded_reads: ForwardedReads,
+    contact: ContactTracker,
+
+    /// What the host has to carry out.
+    ready: Ready,
+}
+
+impl RaftNode {
+    /// A member with the state that its disk holds. `initial_members` are the members before any entry, the same at
+    /// each of them; they count only where the disk holds nothing. `seed` is that of the random election timeouts.
+    pub fn new(
+        id: NodeId,
+        timing: Timing,
+        seed: u64,
+        stored: PersistentState,
+        initial_members: Members,
+    ) -> Self {
+        let snapshot = stored
+            .snapshot
+            .unwrap_or(Snapshot::initial(initial_members));
+        let restored_snapshot = (snapshot.index > 0).then(|| snapshot.clone());
+        let log = RaftLog::new(snapshot, stored.entries);
+        Self {
+            id,
+            timing,
+            now: 0,
+            term: stored.term,
+            voted_for: stored.voted_for,
+            persistence: PersistencePipeline::new(log.last_index()),
+            log,
+            role: Role::Follower,
+            leader: None,
+            election_timer: ElectionTimer::new(timing, seed),
+            votes_granted: BTreeSet::new(),
+            shutting_down: false,
+            tracker: ProgressTracker::default(),
+            broadcasts: Broadcasts::default(),
+            term_start_index: 0,
+            pending_reads: PendingReads::default(),
+            applicants: Applicants::default(),
+            policy: MembershipPolicy::new(timing, DEFAULT_TOLERATED_LOSSES),
+            incoming_transfer: None,
+            forwarded_reads: ForwardedReads::default(),
+            contact: ContactTracker::default(),
+            ready: Ready {
+                restored_snapshot,
+                ..Ready::default()
+            },
+        }
+    }
+
+    /// What the host has to carry out since the last call.
+    pub fn take_ready(&mut self) -> Ready {
+        std::mem::take(&mut self.ready)
+    }
+
+    /// The member's state.
+    pub fn status(&self) -> Status {
+        Status {
+            id: self.id,
+            role: self.role,
+            term: self.term,
+            leader: self.leader,
+            commit_index: self.log.commit_index(),
+            last_log_index: self.log.last_index(),
+        }
+    }
+
+    /// The members as of the last entry, committed or not.
+    pub fn members(&self) -> &Members {
+        self.log.members()
+    }
+
+    /// The members as of an entry that is applied and not covered by the snapshot, or as of the snapshot.
+    pub fn members_at(&self, index: u64) -> &Members {
+        self.log.members_at(index)
+    }
+
+    /// The number of entries since the last snapshot.
+    pub fn log_len(&self) -> usize {
+        self.log.len()
+    }
+
+    /// The host's state as of entry `index` replaces the log up to there, or up to the last applied entry if that is
+    /// less (Raft paper, section 7). The snapshot, which the host writes before it drops the entries; `None` if the last
+    /// snapshot covers them already.
+    pub fn compact(&mut self, index: u64, data: Vec<u8>) -> Option<Snapshot> {
+        self.log.compact(index, data)?;
+        self.trim_retained_entries();
+        Some(self.log.snapshot().clone())
+    }
+
+    /// The time is `now`, in milliseconds of a clock that never goes back. To be called often, at the latest at
+    /// [`RaftNode::next_tick_at`].
+    pub fn tick(&mut self, now: u64) {
+        self.advance_clock(now);
+        if self.role == Role::Leader {
+            self.tick_leader();
+        } else if now >= self.election_timer.election_deadline() {
+            self.campaign(CampaignType::PreElection);
+        } else {
+            self.retry_overdue_read();
+        }
+    }
+
+    fn tick_leader(&mut self) {
+        if !self.has_quorum_responses() {
+            // Check-quorum (Raft thesis, section 6.2): a leader that is cut off would keep its callers waiting.
+            self.become_follower(self.term, None);
+        } else if self.now >= self.broadcasts.heartbeat_deadline() {
+            self.broadcast_heartbeat();
+            self.confirm_broadcasts();
+        }
+        self.maybe_change_members();
+        self.maybe_transfer_leadership();
+    }
+
+    /// The time is `now` for the calls that follow. A host that may have been frozen since the last tick calls this
+    /// before anything else: what arrived meanwhile was not received then.
+    pub fn advance_clock(&mut self, now: u64) {
+        self.now = self.now.max(now);
+    }
+
+    /// When [`RaftNode::tick`] next has something to do, by its clock.
+    pub fn next_tick_at(&self) -> u64 {
+        if self.role == Role::Leader {
+            self.broadcasts.heartbeat_deadline()
+        } else {
+            self.election_timer.election_deadline()
+        }
+    }
+
+    /// Handles a message from another member.
+    pub fn step(&mut self, message: Message) {
+        if message.to != self.id || !self.admit_term_of(&message) {
+            return;
+        }
+        let Message { from, term, .. } = message;
+        match message.body {
+            MessageBody::RequestVote(request) => self.handle_request_vote(from, term, &request),
+            MessageBody::VoteResponse(response) => self.handle_vote_response(from, term, &response),
+            MessageBody::AppendEntries(request) => self.handle_append_entries(from, request),
+            MessageBody::AppendResponse(response) => self.handle_append_response(from, &response),
+            MessageBody::AppendConflict(response) => self.handle_append_conflict(from, &response),
+            MessageBody::Chunk(chunk) => self.handle_chunk(from, chunk),
+            MessageBody::ChunkResponse(response) => self.handle_chunk_response(from, &response),
+            MessageBody::TimeoutNow => self.handle_timeout_now(from),
+            MessageBody::ReadIndex(request) => self.handle_read_index(from, &request),
+            MessageBody::ReadIndexResponse(response) => self.handle_read_index_response(&response),
+            MessageBody::QuorumContact(request) => self.handle_quorum_contact(from, &request),
+            MessageBody::QuorumContactResponse(response) => {
+                self.handle_quorum_contact_response(&response);
+            }
+        }
+    }
+
+    /// Adopts a newer term, and refuses messages of an older one (Raft paper, section 5.1). Whether the message is to be
+    /// handled.
+    fn admit_term_of(&mut self, message: &Message) -> bool {
+        let leader = match &message.body {
+            // Vote requests have rules of their own. Reads and contact carry tokens, which identify their request
+            // whatever the term.
+            MessageBody::RequestVote(_)
+            | MessageBody::ReadIndex(_)
+            | MessageBody::ReadIndexResponse(_)
+            | MessageBody::QuorumContact(_)
+            | MessageBody::QuorumContactResponse(_) => return true,
+            // The term of a granted pre-vote is that in which the candidate would campaign: nobody has it yet.
+            MessageBody::VoteResponse(response) if response.pre_vote && response.granted => {
+                return message.term >= self.term;
+            }
+            MessageBody::AppendEntries(_) | MessageBody::Chunk(_) => Some(message.from),
+            MessageBody::VoteResponse(_)
+            | MessageBody::AppendResponse(_)
+            | MessageBody::AppendConflict(_)
+            | MessageBody::ChunkResponse(_)
+            | MessageBody::TimeoutNow => None,
+        };
+        if message.term > self.term {
+            self.become_follower(message.term, leader);
+        } else if message.term < self.term {
+            self.reject_stale_leader(message);
+            return false;
+        }
+        true
+    }
+
+    /// Adds a request to write and sync these entries, or that snapshot in place of the log, with the present term and
+    /// vote. Its number.
+    fn persist(&mut self, entries: Vec<Entry>, snapshot: Option<Snapshot>) -> u64 {
+        let sequence = self.persistence.enqueue(&entries, snapshot.as_ref());
+        self.ready.persist_requests.push(PersistRequest {
+            sequence,
+            term: self.term,
+            voted_for: self.voted_for,
+            entries,
+            snapshot,
+        });
+        sequence
+    }
+
+    /// All [`PersistRequest`]s up to this number are synced.
+    pub fn on_persisted(&mut self, sequence: u64) {
+        self.persistence.complete(sequence);
+        while let Some(message) = self.persistence.pop_released(sequence) {
+            // A promise of an older term is no longer wanted.
+            if message.term >= self.term {
+                self.ready.messages.push(message);
+            }
+        }
+        self.maybe_commit();
+    }
+
+    /// A message of the present term.
+    fn message(&self, to: NodeId, body: MessageBody) -> Message {
+        Message {
+            from: self.id,
+            to,
+            term: self.term,
+            body,
+        }
+    }
+
+    /// Sends a message of the present term.
+    fn send(&mut self, to: NodeId, body: MessageBody) {
+        let message = self.message(to, body);
+        self.ready.messages.push(message);
+    }
+
+    /// Sends a message once a persist request is synced; at once if it depends on none.
+    fn send_once_persisted(&mut self, request: Option<u64>, message: Message) {
+        match request {
+            Some(sequence) => self.persistence.defer(sequence, message),
+            None => self.ready.messages.push(message),
+        }
+    }
+
+    /// The ids of the other members, voters first.
+    fn other_members(&self) -> Vec<NodeId> {
+        let ids = self.members().all().map(|(id, _)| id);
+        ids.filter(|id| *id != self.id).collect()
+    }
+
+    /// The ids of the other voters.
+    fn other_voters(&self) -> impl Iterator<Item = NodeId> {
+        let ids = self.members().voters.keys().copied();
+        ids.filter(|id| *id != self.id)
+    }
+
+    /// Whether this member has a vote.
+    fn is_voter(&self) -> bool {
+        self.members().voters.contains_key(&self.id)
+    }
+}
--- /dev/null
+++ b/crates/raft/src/raft_node/chunked_transfer.rs
@@ -0,0 +1,158 @@
+//! Transfer of snapshots and large entries in chunks (Raft paper, section 7), one to each member at a time.
+//!
+//! The leader sends no more than the member's window allows and resumes where the member stands when messages were lost;
+//! the member keeps what it has received in memory, and accepts it only complete and with the right checksum.
+
+use std::sync::Arc;
+
+use super::RaftNode;
+use crate::incoming_transfer::IncomingTransfer;
+use crate::tracker::{OutgoingTransfer, Progress, ProgressState, TransferData};
+use crate::{
+    AppendEntries, Chunk, ChunkResponse, Entry, LogPosition, MessageBody, NodeId, Payload,
+    Snapshot, TransferContent, TransferId,
+};
+
+/// A member that has not answered for so long is not there: what it is sent once it is back is newer.
+const ABANDON_TIMEOUT_MS: u64 = 10_000;
+
+impl RaftNode {
+    /// Begins to send a member the snapshot, if it has answered lately: one that is away is sent a newer one once it is
+    /// back.
+    pub(super) fn start_snapshot_transfer(&self, progress: &mut Progress) {
+        let since = self.now.saturating_sub(self.timing.election_timeout_ms);
+        if progress.last_response_at < since {
+            return;
+        }
+        let snapshot = self.log.snapshot();
+        let position = snapshot.position();
+        let data = self.tracker.transfer_data(position).unwrap_or_else(|| {
+            let content = TransferContent::Snapshot {
+                members: snapshot.members.clone(),
+            };
+            TransferData::new(position, content, snapshot.data.clone())
+        });
+        self.start_transfer(progress, data);
+    }
+
+    /// Begins to send a member an entry that is too large for an append.
+    pub(super) fn start_entry_transfer(&self, progress: &mut Progress, index: u64) {
+        let (Some(entry), Some(prev_log_term)) =
+            (self.log.entry(index), self.log.term_at(index - 1))
+        else {
+            return;
+        };
+        let Payload::Data(bytes) = &entry.payload else {
+            return;
+        };
+        let position = entry.position();
+        let data = self.tracker.transfer_data(position).unwrap_or_else(|| {
+            let content = TransferContent::Entry { prev_log_term };
+            TransferData::new(position, content, bytes.clone())
+        });
+        self.start_transfer(progress, data);
+    }
+
+    fn start_transfer(&self, progress: &mut Progress, data: Arc<TransferData>) {
+        progress.become_transfer(OutgoingTransfer::new(data, self.now));
+    }
+
+    /// Sends the chunks that the window has room for. Ends the transfer if the member is not there.
+    pub(super) fn send_chunks(&mut self, to: NodeId, progress: &mut Progress) {
+        let is_abandoned = self.now >= progress.last_response_at + ABANDON_TIMEOUT_MS;
+        let sequence = self.broadcasts.sequence();
+        let ProgressState::Transfer(transfer) = &mut progress.state else {
+            return;
+        };
+        if is_abandoned {
+            let match_index = progress.match_index;
+            return progress.reset(match_index, false, sequence);
+        }
+        transfer.resume_if_stalled(&mut progress.inflights, self.now);
+        while progress.inflights.has_capacity()
+            && let Some(chunk) = transfer.next_chunk(self.log.commit_index(), sequence)
+        {
+            let end = chunk.offset + chunk.bytes.len() as u64;
+            progress.inflights.add(end, chunk.bytes.len(), self.now);
+            self.send(to, MessageBody::Chunk(chunk));
+        }
+    }
+
+    /// A member tells how much it has of a transfer.
+    pub(super) fn handle_chunk_response(&mut self, from: NodeId, response: &ChunkResponse) {
+        let Some(progress) = self.tracker.get_mut(from) else {
+            return;
+        };
+        progress.last_response_at = self.now;
+        if let ProgressState::Transfer(transfer) = &mut progress.state
+            && transfer.id() == response.transfer
+        {
+            transfer.on_response(response.received_bytes, &mut progress.inflights, self.now);
+            self.replicate(from, false);
+        }
+    }
+
+    /// Handles a chunk from the leader of this term.
+    pub(super) fn handle_chunk(&mut self, from: NodeId, chunk: Chunk) {
+        self.accept_leader(from);
+        let id = chunk.transfer;
+        let (leader_commit, sequence) = (chunk.leader_commit, chunk.sequence);
+        let end = LogPosition {
+            index: id.index,
+            term: id.term,
+        };
+        if id.index <= self.log.commit_index() || self.log.contains(end) {
+            return self.acknowledge(from, id.index, sequence, None);
+        }
+        // A chunk of another transfer ends the one before: the leader has one under way.
+        let known = self.incoming_transfer.take();
+        let mut transfer = known
+            .filter(|known| known.id() == id)
+            .unwrap_or_else(|| IncomingTransfer::new(id));
+        let Some(content) = transfer.add(chunk) else {
+            self.send_chunk_response(from, id, transfer.received_bytes());
+            self.incoming_transfer = Some(transfer);
+            return;
+        };
+        if !transfer.has_valid_checksum() {
+            // Asks for it from the beginning.
+            return self.send_chunk_response(from, id, 0);
+        }
+        self.send_chunk_response(from, id, id.total_bytes);
+        let bytes = transfer.into_bytes();
+        match content {
+            TransferContent::Snapshot { members } => {
+                let snapshot = Snapshot {
+                    index: id.index,
+                    term: id.term,
+                    members,
+                    data: bytes,
+                };
+                self.install_snapshot(from, snapshot, sequence);
+            }
+            TransferContent::Entry { prev_log_term } => {
+                let entry = Entry {
+                    term: id.term,
+                    index: id.index,
+                    payload: Payload::Data(bytes),
+                };
+                let request = AppendEntries {
+                    prev_log_index: id.index - 1,
+                    prev_log_term,
+                    entries: vec![entry],
+                    leader_commit,
+                    sequence,
+                };
+                self.append_from_leader(from, request);
+            }
+        }
+    }
+
+    fn send_chunk_response(&mut self, to: NodeId, transfer: TransferId, received_bytes: u64) {
+        let response = ChunkResponse {
+            transfer,
+            received_bytes,
+        };
+        self.send(to, MessageBody::ChunkResponse(response));
+    }
+}
--- a/crates/raft/tests/catching_up.rs
+++ b/crates/raft/tests/catching_up.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use raft::{
-    Members, Message, MessageBody, NodeId, Payload, PersistRequest, PersistentState, RaftNode,
-    Role, Snapshot, Timing,
+    AppendEntries, Members, Message, MessageBody, NodeId, Payload, PersistRequest, PersistentState,
+    RaftNode, Role, Snapshot, Timing,
 };
 
 const TIMING: Timing = Timing {
@@ -79,7 +79,7 @@
         Payload::Empty | Payload::Members(_) => 0,
     };
     let carried: usize = match &message.body {
-        MessageBody::AppendEntries { entries, .. } => {
+        MessageBody::AppendEntries(AppendEntries { entries, .. }) => {
             entries.iter().map(|e| 40 + payload(&e.payload)).sum()
         }
         MessageBody::Chunk(piece) => piece.bytes.len(),
@@ -255,7 +255,10 @@
         for message in arrived {
             let (to, append) = (
                 message.to,
-                matches!(message.body, MessageBody::AppendEntries { .. }),
+                matches!(
+                    message.body,
+                    MessageBody::AppendEntries(AppendEntries { .. })
+                ),
             );
             let machine = self.machine(to);
             let Some(core) = &mut machine.core else {
--- a/crates/raft/tests/contact.rs
+++ b/crates/raft/tests/contact.rs
@@ -3,7 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use oorandom::Rand64;
-use raft::{Members, Message, NodeId, PersistentState, RaftNode, Role, Snapshot, Timing};
+use raft::{
+    AppendEntries, Members, Message, MessageBody, NodeId, PersistentState, RaftNode, ReadState,
+    Role, Snapshot, Timing,
+};
 
 const TIMING: Timing = Timing {
     heartbeat_interval_ms: 300,
@@ -132,7 +135,7 @@
             {
                 self.acknowledged.push((self.now, last.index));
             }
-            for (token, index) in out.read_states {
+            for ReadState { token, index } in out.read_states {
                 let before = self.reads.remove(&token).expect("asked once");
                 assert!(
                     index.is_none_or(|index| index >= before),
@@ -244,9 +247,9 @@
             .iter()
             .filter(|(_, m)| m.from == leader as NodeId + 1);
         rounds.extend(of_leader.filter_map(|(_, m)| match m.body {
-            raft::MessageBody::AppendEntries {
+            MessageBody::AppendEntries(AppendEntries {
                 sequence: round, ..
-            } => Some(round),
+            }) => Some(round),
             _ => None,
         }));
         assert!(group.now < 10_000, "not all were served");
--- a/crates/raft/tests/follower.rs
+++ b/crates/raft/tests/follower.rs
@@ -1,8 +1,9 @@
 //! What one member answers to a leader's messages, one by one.
 
 use raft::{
-    Chunk, Entry, Members, Message, MessageBody, Payload, PersistentState, RaftNode, Ready,
-    Snapshot, Timing, TransferContent, TransferId,
+    AppendEntries, AppendResponse, Chunk, ChunkResponse, Entry, Members, Message, MessageBody,
+    Payload, PersistentState, RaftNode, Ready, RequestVote, Snapshot, Timing, TransferContent,
+    TransferId, VoteResponse,
 };
 
 const TIMING: Timing = Timing {
@@ -38,13 +39,13 @@
 }
 
 fn append(prev: (u64, u64), entries: Vec<Entry>, commit: u64) -> MessageBody {
-    MessageBody::AppendEntries {
+    MessageBody::AppendEntries(AppendEntries {
         prev_log_index: prev.0,
         prev_log_term: prev.1,
         entries,
         leader_commit: commit,
         sequence: 1,
-    }
+    })
 }
 
 fn sync(core: &mut RaftNode, out: &Ready) -> Vec<MessageBody> {
@@ -131,10 +132,10 @@
 fn received(core: &mut RaftNode, piece: &Chunk) -> Option<u64> {
     let out = says(core, 1, MessageBody::Chunk(piece.clone()));
     out.messages.iter().find_map(|m| match m.body {
-        MessageBody::ChunkResponse {
+        MessageBody::ChunkResponse(ChunkResponse {
             received_bytes: received,
             ..
-        } => Some(received),
+        }) => Some(received),
         _ => None,
     })
 }
@@ -164,11 +165,11 @@
         bodies.iter().any(|b| {
             matches!(
                 b,
-                MessageBody::AppendResponse {
+                MessageBody::AppendResponse(AppendResponse {
                     accepted: true,
                     match_index: 9,
                     ..
-                }
+                })
             )
         })
     };
@@ -183,20 +184,20 @@
 #[test]
 fn a_vote_is_given_once_it_is_on_the_disk() {
     let mut core = member();
-    let vote = MessageBody::RequestVote {
+    let vote = MessageBody::RequestVote(RequestVote {
         pre_vote: false,
         transfer: false,
         last_log_index: 9,
         last_log_term: 4,
-    };
+    });
     let out = says(&mut core, 5, vote);
     let gives = |body: &MessageBody| {
         matches!(
             body,
-            MessageBody::VoteResponse {
+            MessageBody::VoteResponse(VoteResponse {
                 pre_vote: false,
                 granted: true
-            }
+            })
         )
     };
     assert!(
--- a/crates/raft/tests/leader.rs
+++ b/crates/raft/tests/leader.rs
@@ -2,8 +2,8 @@
 //! is committed, and nothing once a majority no longer answers.
 
 use raft::{
-    Entry, Members, Message, MessageBody, NodeId, Payload, PersistRequest, PersistentState,
-    RaftNode, Role, Snapshot, Timing,
+    AppendResponse, Entry, Members, Message, MessageBody, NodeId, Payload, PersistRequest,
+    PersistentState, RaftNode, ReadState, Role, Snapshot, Timing, VoteResponse,
 };
 
 const TIMING: Timing = Timing {
@@ -45,18 +45,18 @@
         elected.core.tick(BEGIN);
         elected.hears(
             2,
-            MessageBody::VoteResponse {
+            MessageBody::VoteResponse(VoteResponse {
                 pre_vote: true,
                 granted: true,
-            },
+            }),
         );
         elected.sync();
         elected.hears(
             2,
-            MessageBody::VoteResponse {
+            MessageBody::VoteResponse(VoteResponse {
                 pre_vote: false,
                 granted: true,
-            },
+            }),
         );
         elected.sync();
         assert_eq!(elected.core.status().role, Role::Leader);
@@ -89,11 +89,11 @@
     fn acknowledged(&mut self, index: u64) {
         self.hears(
             2,
-            MessageBody::AppendResponse {
+            MessageBody::AppendResponse(AppendResponse {
                 accepted: true,
                 match_index: index,
                 sequence: 1,
-            },
+            }),
         );
         self.sync();
     }
@@ -147,13 +147,21 @@
     // Whoever answers a round that was under way may have elected another leader since, before the read came.
     let mut elected = Elected::new();
     elected.core.request_read(5);
-    let answer = |round| MessageBody::AppendResponse {
-        accepted: true,
-        match_index: LEFT + 1,
-        sequence: round,
+    let answer = |round| {
+        MessageBody::AppendResponse(AppendResponse {
+            accepted: true,
+            match_index: LEFT + 1,
+            sequence: round,
+        })
     };
     elected.hears(2, answer(1));
     assert!(elected.core.take_ready().read_states.is_empty());
     elected.hears(2, answer(2));
-    assert_eq!(elected.core.take_ready().read_states, [(5, Some(LEFT + 1))]);
+    assert_eq!(
+        elected.core.take_ready().read_states,
+        [ReadState {
+            token: 5,
+            index: Some(LEFT + 1)
+        }]
+    );
 }
--- a/crates/raft/tests/start.rs
+++ b/crates/raft/tests/start.rs
@@ -2,7 +2,10 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use raft::{Members, Message, MessageBody, PersistentState, RaftNode, Role, Snapshot, Timing};
+use raft::{
+    AppendEntries, AppendResponse, Members, Message, MessageBody, PersistentState, RaftNode, Role,
+    Snapshot, Timing, VoteResponse,
+};
 
 const TIMING: Timing = Timing {
     heartbeat_interval_ms: 300,
@@ -115,7 +118,7 @@
         let term = core.status().term
             + u64::from(matches!(
                 body,
-                MessageBody::VoteResponse { pre_vote: true, .. }
+                MessageBody::VoteResponse(VoteResponse { pre_vote: true, .. })
             ));
         core.step(Message {
             from,
@@ -133,9 +136,9 @@
             .for_each(|s| core.on_persisted(s.sequence));
         let sent = out.messages.into_iter().chain(core.take_ready().messages);
         let round = |m: Message| match m.body {
-            MessageBody::AppendEntries {
+            MessageBody::AppendEntries(AppendEntries {
                 sequence: round, ..
-            } => Some(round),
+            }) => Some(round),
             _ => None,
         };
         sent.filter_map(round).collect::<Vec<u64>>()
@@ -146,10 +149,10 @@
             says(
                 &mut core,
                 from,
-                MessageBody::VoteResponse {
+                MessageBody::VoteResponse(VoteResponse {
                     pre_vote: pre,
                     granted: true,
-                },
+                }),
             );
         }
         rounds(&mut core, 500);
@@ -162,10 +165,12 @@
     let first = *rounds(&mut core, 900).last().expect("a heartbeat");
     let second = *rounds(&mut core, 1250).last().expect("another");
     assert!(second > first);
-    let answer = |round| MessageBody::AppendResponse {
-        accepted: true,
-        match_index: 0,
-        sequence: round,
+    let answer = |round| {
+        MessageBody::AppendResponse(AppendResponse {
+            accepted: true,
+            match_index: 0,
+            sequence: round,
+        })
     };
     says(&mut core, 2, answer(first));
     assert_eq!(
--- a/crates/raft/tests/world/mod.rs
+++ b/crates/raft/tests/world/mod.rs
@@ -9,8 +9,8 @@
 
 use oorandom::Rand64;
 use raft::{
-    Members, Message, MessageBody, NodeId, Payload, PersistRequest, PersistentState, RaftNode,
-    Role, Snapshot, Timing,
+    AppendResponse, Members, Message, MessageBody, NodeId, Payload, PersistRequest,
+    PersistentState, RaftNode, ReadState, Role, Snapshot, Timing,
 };
 
 /// A disk: what is synced, and what is on its way.
@@ -304,11 +304,11 @@
             .under_way
             .extend(out.persist_requests.into_iter().map(Write::Save));
         for message in out.messages {
-            if let MessageBody::AppendResponse {
+            if let MessageBody::AppendResponse(AppendResponse {
                 accepted: true,
                 match_index: index,
                 ..
-            } = message.body
+            }) = message.body
             {
                 let has = last_stored(&self.machines[i].disk.stored);
                 assert!(
@@ -346,7 +346,7 @@
                 self.history.push((self.now, entry.index));
             }
         }
-        for (token, index) in out.read_states {
+        for ReadState { token, index } in out.read_states {
             let (Some(asked), Some(index)) = (self.reads.remove(&token), index) else {
                 continue;
             };
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -6,8 +6,8 @@
 use control_plane::configuration::{Command, CommandOutcome, ReplicatedState};
 use control_plane::store::DiskRequest as DiskOrder;
 use raft::{
-    Entry, Members, MembershipPolicy, Message, NodeId, Payload, RaftNode, Ready, Role, Snapshot,
-    Timing,
+    Entry, Members, MembershipPolicy, Message, NodeId, Payload, RaftNode, ReadState, Ready, Role,
+    Snapshot, Timing,
 };
 
 use crate::disk::Disk;
@@ -227,7 +227,7 @@
             effects.push(Effect::Applied(entry.clone()));
             self.apply(entry, effects);
         }
-        for (token, index) in out.read_states {
+        for ReadState { token, index } in out.read_states {
             match (self.reads.remove(&token), index) {
                 (Some(waiting), Some(index)) => self.confirmed.push((index, waiting)),
                 (Some(Waiting::Order { caller, .. }), None) => {
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use oorandom::Rand64;
-use raft::{Message, MessageBody, Payload};
+use raft::{AppendEntries, Message, MessageBody, Payload};
 
 /// A message takes at least and at most so long.
 const FASTEST: u64 = 1;
@@ -131,7 +131,7 @@
     };
     FRAME
         + match &message.body {
-            MessageBody::AppendEntries { entries, .. } => {
+            MessageBody::AppendEntries(AppendEntries { entries, .. }) => {
                 entries.iter().map(|e| data(&e.payload)).sum()
             }
             MessageBody::Chunk(piece) => piece.bytes.len() as u64,
