--- /dev/null
+++ b/crates/load-balancing/src/interface/mod.rs
@@ -0,0 +1,22 @@
+//! The vocabulary that the balancer and its host share: plain data, no decisions.
+//!
+//! A host tells [`Balancer::handle`](crate::policy::Balancer::handle) what happened as an [`Event`] and carries
+//! out the [`Action`]s it gets back. Reading order: [`Time`] and [`Span`], [`Settings`], [`Request`],
+//! [`Endpoint`], [`Event`], [`Action`].
+
+mod actions;
+mod endpoints;
+mod events;
+mod requests;
+mod settings;
+mod time;
+
+pub use actions::Action;
+pub use endpoints::{Endpoint, MembershipKind, OwnedKeyRange, ServerId, Status};
+pub use events::{AttemptOutcome, AttemptResult, Event, LoadReport};
+pub use requests::{Request, RequestId};
+pub use settings::{
+    DedupGroup, Effect, Limits, LoadReportSource, Prices, RequestClass, Rules, ScoringMix,
+    Settings, SettingsError, Tenant,
+};
+pub use time::{Span, Time};
--- a/crates/load-balancing/src/policy/admission.rs
+++ b/crates/load-balancing/src/policy/admission.rs
@@ -1,128 +1,155 @@
-//! Admission: the sum of N_i, the part of each class, and refusals.
+//! Admission: which requests are queued, and which are rejected at once.
+//!
+//! The paper rejects a request when queued and in-flight ones reach the sum of N_i = T_QoS / (2*TP_i + TS_i). Here
+//! T_QoS is one for all: the wait that even the tightest class can bear, or long latency targets would fill the
+//! queue and starve short ones. Classes of less value for their work, and tenants beyond their quota, may use a
+//! smaller part of it.
 
-use super::*;
+use super::Balancer;
+use super::state::request::PendingRequest;
+use crate::interface::{Action, Request, RequestClass, RequestId, Span, Time};
+
+/// Share of the latency target that queue and service may take for a request to be admitted: the rest is for the
+/// spread of service times.
+const MAX_WAIT_SHARE_OF_TARGET: f64 = 0.7;
+/// Part of the bearable wait that the class of least value for its work may use.
+const MIN_QUEUE_SHARE: f64 = 0.2;
+/// A class that asks for less than this share of what another does can't fill the queue of both.
+const MIN_RIVAL_SHARE: f64 = 0.1;
+/// A request leaves the queue so many sweeps before its latency target: its rejection must come while it is still
+/// harmless.
+const SWEEPS_BEFORE_TARGET: i64 = 2;
 
 impl Balancer {
-    /// A client request has arrived; it is sent, held or refused.
-    pub(super) fn request(&mut self, now: Time, r: Request, out: &mut Vec<Action>) {
-        let Some(class) = self.settings.classes.get(r.class) else {
-            return out.push(Action::Reject {
-                request: r.id,
+    /// A client's request has arrived; it is sent, queued or rejected.
+    pub(super) fn on_request(&mut self, now: Time, request: &Request, actions: &mut Vec<Action>) {
+        let Some(class) = self.settings.classes.get(request.class) else {
+            actions.push(Action::Reject {
+                request: request.id,
                 retry_after: Span(0),
             });
+            return;
         };
-        if self.requests.contains_key(&r.id) {
+        if self.requests.contains_key(&request.id) {
             return;
         }
-        // A held request is worth holding only while its aim can be met, also where a late answer keeps some
-        // worth: else, in lasting overload, the whole queue is served late.
-        let aim_at = r.deadline.min(now.plus(class.latency_target));
-        let worth_until = if class.late_value > 0.0 {
-            r.deadline
-        } else {
-            aim_at
-        };
-        // Two sweeps early: a refusal must come while it is still harmless.
-        let hold_until = aim_at.plus(Span(-2 * self.settings.sweep_every().0));
-        let entry = Entry {
-            class: r.class,
-            drop_dead: r.deadline,
-            worth_until,
-            hold_until,
-            held: false,
-            ended: false,
-            attempts: Vec::new(),
-            turn: r.key.filter(|_| class.in_order),
-            shard: r.shard,
-        };
-        self.fleet.budget.requested(now, &self.settings.rules);
-        let ahead = entry
-            .turn
-            .and_then(|k| self.lines.get(&k))
-            .map_or(0, |l| l.waiting.len());
-        self.requests.insert(r.id, entry);
-        let in_share = self.in_share(now, r.tenant);
-        let starts = now.plus(Span::from_micros(ahead as f64 * self.fleet.mean[r.class]));
-        if !self.admits(r.class, in_share, r.is_client_retry) || starts >= hold_until {
-            self.refuse(r.id, out);
+        let pending = self.pending_request(now, request, class);
+        let queue_until = pending.queue_until;
+        let ahead = pending
+            .ordering_key
+            .and_then(|key| self.ordered_queues.get(&key))
+            .map_or(0, |queue| queue.waiting.len());
+        let rules = &self.settings.rules;
+        self.fleet.retry_budget.count_request(now, rules);
+        self.requests.insert(request.id, pending);
+        let is_within_quota = self.is_within_quota(now, request.tenant);
+        let wait_for_turn = ahead as f64 * self.fleet.classes[request.class].mean;
+        let starts_at = now.plus(Span::from_micros(wait_for_turn));
+        if starts_at >= queue_until
+            || !self.is_admitted(request.class, is_within_quota, request.is_client_retry)
+        {
+            self.reject(request.id, actions);
             return;
         }
-        if in_share && let Some(q) = self.quotas.get_mut(r.tenant) {
-            q.tokens -= 1.0;
+        if is_within_quota {
+            self.spend_quota(request.tenant);
         }
-        self.join_line(now, r.id);
-        self.hold(r.id, false);
-        self.dispatch(now, out);
+        self.join_ordered_queue(now, request.id);
+        self.enqueue(request.id, false);
+        self.dispatch(now, actions);
     }
 
-    /// The paper's check: queued plus in-flight stay under the sum of N_i. T_QoS is one for all, the wait
-    /// that even the tightest class can bear, or long aims would fill the queue and starve short ones;
-    /// classes worth less for their work get a smaller part of it.
-    pub(super) fn admits(&self, class: usize, in_share: bool, resent: bool) -> bool {
-        // Failure: a tenant that sent three times its share took the others' part of a full fleet.
-        let part = if in_share { self.part_of(class) } else { 0.0 };
-        let room = &self.rooms[self.room_of[class]];
-        // Failure: in overload the room for bursts went to repeats, who can only be late, and first tries
-        // were refused for it and came again.
-        let n = room.n_per_time * (self.fleet.ts + self.fleet.bearable * part);
-        let n = if resent { n * room.even } else { n };
-        // With no list yet there is no N to sum: hold until an upstream shows or time is up.
-        n == 0.0 || ((room.queued + room.in_flight) as f64) < n.max(1.0)
+    fn pending_request(
+        &self,
+        now: Time,
+        request: &Request,
+        class: &RequestClass,
+    ) -> PendingRequest {
+        let target = request.deadline.min(now.plus(class.latency_target));
+        // A queued request is worth its place only while its latency target can be met, also where a late answer
+        // keeps some value: else, in lasting overload, the whole queue is served late.
+        let margin = Span(-SWEEPS_BEFORE_TARGET * self.settings.sweep_interval().0);
+        PendingRequest {
+            class: request.class,
+            deadline: request.deadline,
+            value_until: if class.late_value > 0.0 {
+                request.deadline
+            } else {
+                target
+            },
+            queue_until: target.plus(margin),
+            is_queued: false,
+            is_ended: false,
+            attempts: Vec::new(),
+            ordering_key: request.key.filter(|_| class.in_order),
+            shard: request.shard,
+        }
     }
 
-    /// The part of the bearable wait that a class may use, by its worth for its work beside those that ask
-    /// for as much. Failure: beside routes hardly asked for, the one with all the traffic had the least part.
-    fn part_of(&self, class: usize) -> f64 {
-        let f = &self.fleet;
-        let value = |c: usize| self.settings.classes[c].value / f.mean[c].max(1.0);
-        let (own, least) = (value(class), f.share[class] * RIVAL);
-        let rivals = (0..f.share.len()).filter(|&c| f.share[c] > least);
-        let rivals: Vec<f64> = rivals.map(value).collect();
-        let below = rivals.iter().filter(|&&rival| rival < own).count() as f64;
-        let rank = if rivals.len() <= 1 {
+    /// The paper's check: queued and in-flight requests stay under the sum of N_i.
+    fn is_admitted(&self, class: usize, is_within_quota: bool, is_client_retry: bool) -> bool {
+        // Over quota there is no part of the wait: a tenant that sent three times its quota took the others' part
+        // of a full fleet.
+        let queue_share = if is_within_quota {
+            self.queue_share(class)
+        } else {
+            0.0
+        };
+        let pool = self.capacity.of_class(class);
+        let qos_time = self.fleet.service_time + self.fleet.max_queue_wait * queue_share;
+        let mut limit = pool.queue_limit_per_us * qos_time;
+        // The headroom for bursts is for first tries: in overload it went to clients' retries, who can only be late,
+        // and first tries were rejected for it and came again.
+        if is_client_retry {
+            limit *= pool.even_share;
+        }
+        // With no list yet there is no N to sum: queue until an upstream shows or time is up.
+        limit == 0.0 || ((pool.queued + pool.in_flight) as f64) < limit.max(1.0)
+    }
+
+    /// The part of the bearable wait that a class may use, by the rank of its value for its work among the classes
+    /// that ask for as much. Ranked among all, the route with all the traffic had the least part beside routes
+    /// hardly asked for.
+    fn queue_share(&self, class: usize) -> f64 {
+        let fleet = &self.fleet;
+        let value_of_work =
+            |c: usize| self.settings.classes[c].value / fleet.classes[c].mean.max(1.0);
+        let own_value = value_of_work(class);
+        let least_share = fleet.class_share[class] * MIN_RIVAL_SHARE;
+        let (mut rivals, mut below) = (0_usize, 0_usize);
+        for rival in 0..fleet.class_share.len() {
+            if fleet.class_share[rival] > least_share {
+                rivals += 1;
+                below += usize::from(value_of_work(rival) < own_value);
+            }
+        }
+        let rank = if rivals <= 1 {
             1.0
         } else {
-            below / (rivals.len() - 1) as f64
+            below as f64 / (rivals - 1) as f64
         };
-        LEAST_PART + (1.0 - LEAST_PART) * rank.min(1.0)
+        MIN_QUEUE_SHARE + (1.0 - MIN_QUEUE_SHARE) * rank.min(1.0)
     }
 
-    pub(super) fn refresh_admission(&mut self) {
-        let f = &mut self.fleet;
-        let known = self
-            .settings
-            .classes
-            .iter()
-            .zip(&f.mean)
-            .filter(|(c, _)| !c.retired);
-        let bear = known.map(|(c, mean)| c.latency_target.as_micros() * HOLD_OF_AIM - mean);
-        f.bearable = bear.fold(f64::MAX, f64::min).max(0.0);
+    /// The longest wait that each class in use can bear.
+    pub(super) fn refresh_max_queue_wait(&mut self) {
+        let fleet = &mut self.fleet;
+        let classes = self.settings.classes.iter().zip(&fleet.classes);
+        let in_use = classes.filter(|(class, _)| !class.retired);
+        let waits = in_use.map(|(class, known)| {
+            class.latency_target.as_micros() * MAX_WAIT_SHARE_OF_TARGET - known.mean
+        });
+        fleet.max_queue_wait = waits.fold(f64::MAX, f64::min).max(0.0);
     }
 
-    pub(super) fn refuse(&mut self, request: RequestId, out: &mut Vec<Action>) {
+    /// Ends a request unserved, with advice on when to retry.
+    pub(super) fn reject(&mut self, request: RequestId, actions: &mut Vec<Action>) {
         // By then all that is queued now has ended: who comes sooner stands behind the same queue.
-        let most = self.settings.limits.max_retry_after;
-        let retry_after = Span::from_micros(self.fleet.ts + self.fleet.bearable).min(most);
-        out.push(Action::Reject {
+        let queue_time = Span::from_micros(self.fleet.service_time + self.fleet.max_queue_wait);
+        actions.push(Action::Reject {
             request,
-            retry_after,
+            retry_after: queue_time.min(self.settings.limits.max_retry_after),
         });
-        self.end(request);
-    }
-
-    /// Nothing is owed to the client any more.
-    pub(super) fn end(&mut self, id: RequestId) {
-        self.unhold(id);
-        let Some(e) = self.requests.get_mut(&id) else {
-            return;
-        };
-        e.ended = true;
-        if e.out() {
-            return;
-        }
-        let line = e.turn.and_then(|k| self.lines.get_mut(&k));
-        line.into_iter()
-            .for_each(|line| line.waiting.retain(|w| *w != id));
-        self.requests.remove(&id);
+        self.end_request(request);
     }
 }
--- a/crates/load-balancing/src/policy/attempts.rs
+++ b/crates/load-balancing/src/policy/attempts.rs
@@ -1,370 +1,197 @@
-//! Attempts: what may be sent (again), what an outcome tells, and what is overdue.
-
-use super::*;
+//! Attempts: which upstream a request may be sent to, and what an outcome means for its request and its upstream.
+
+use super::Balancer;
+use super::state::circuit_breaker::CircuitBreaker;
+use super::state::request::{Attempt, AttemptState, PendingRequest};
+use super::state::upstream::Upstream;
+use crate::interface::{
+    Action, AttemptOutcome, AttemptResult, DedupGroup, Effect, RequestClass, RequestId, Status,
+    Time,
+};
+
+/// An upstream that rejected a request or can't be reached is paused for this share of the mean service time.
+const PAUSE_IN_SERVICE_TIMES: f64 = 0.5;
+/// Most doublings of that: some thirty service times between trials of a dead upstream.
+const MAX_PAUSE_DOUBLINGS: u32 = 6;
+/// Most doublings where one class goes unanswered: a trial costs a request, and no pause outlasts the fault.
+pub(super) const MAX_CLASS_PAUSE_DOUBLINGS: u32 = 10;
 
 impl Balancer {
     /// The one place that says whether a request may be sent (again), to this upstream, now.
-    pub(super) fn may_send(&self, now: Time, id: RequestId, e: &Entry, server: usize) -> bool {
-        self.is_open(now, e, server)
-            && self.has_turn(now, id, e)
-            && self.cold_allows(now, &self.servers[server])
+    pub(super) fn may_send(
+        &self,
+        now: Time,
+        id: RequestId,
+        request: &PendingRequest,
+        upstream: usize,
+    ) -> bool {
+        self.is_eligible(now, request, upstream)
+            && self.has_turn(now, id, request)
+            && self.slow_start_allows(now, &self.upstreams[upstream])
     }
 
-    /// Zones and kinds that a class is bound to.
-    pub(super) fn open_to(&self, class: Option<usize>, s: &Server) -> bool {
-        let Some(c) = class.map(|c| &self.settings.classes[c]) else {
+    /// Zones and kinds that a class is bound to; with `None` for the class, all.
+    pub(super) fn is_allowed_for(&self, class: Option<usize>, upstream: &Upstream) -> bool {
+        let Some(class) = class.map(|class| &self.settings.classes[class]) else {
             return true;
         };
-        c.zones.as_ref().is_none_or(|z| z.contains(&s.zone))
-            && c.kinds.as_ref().is_none_or(|k| k.contains(&s.kind))
+        let is_allowed =
+            |allowed: &Option<Vec<u32>>, i: &u32| allowed.as_ref().is_none_or(|a| a.contains(i));
+        is_allowed(&class.zones, &upstream.zone) && is_allowed(&class.kinds, &upstream.kind)
     }
 
-    /// What does not pass by waiting: drain, placement, effect, group, attempts.
-    pub(super) fn is_open(&self, now: Time, e: &Entry, server: usize) -> bool {
-        let limits = &self.settings.limits;
-        let s = &self.servers[server];
-        if s.status != Status::Live || !self.open_to(Some(e.class), s) {
+    /// What does not pass by waiting: draining, binding, number of attempts, retry budget, effect.
+    pub(super) fn is_eligible(&self, now: Time, request: &PendingRequest, upstream: usize) -> bool {
+        let target = &self.upstreams[upstream];
+        if target.status != Status::Live || !self.is_allowed_for(Some(request.class), target) {
             return false;
         }
-        let most = self.settings.classes[e.class]
-            .max_attempts
-            .unwrap_or(limits.max_attempts);
-        if e.ended || now >= e.drop_dead || e.attempts.len() >= most.min(limits.max_attempts) {
+        let limits = &self.settings.limits;
+        let class = &self.settings.classes[request.class];
+        let max_attempts = class.max_attempts.unwrap_or(limits.max_attempts);
+        let attempts = request.attempts.len();
+        if request.is_ended
+            || now >= request.deadline
+            || attempts >= max_attempts.min(limits.max_attempts)
+        {
             return false;
         }
-        if !e.attempts.is_empty() && !self.fleet.budget.allows(now, &self.settings) {
+        if attempts > 0 && !self.fleet.retry_budget.allows_retry(now, &self.settings) {
             return false;
         }
-        let there = |a: &Attempt| a.fate == Fate::Out && a.server == server;
-        if e.out() && (!limits.hedging || e.attempts.iter().any(there)) {
+        let is_there = |a: &Attempt| a.state == AttemptState::InFlight && a.upstream == upstream;
+        if request.has_attempt_in_flight()
+            && (!limits.hedging || request.attempts.iter().any(is_there))
+        {
             return false;
         }
-        let class = &self.settings.classes[e.class];
         match class.effect {
             Effect::Safe => true,
-            Effect::Unsafe => e.all_never_ran(),
-            Effect::Keyed => e
+            Effect::Unsafe => request.has_not_run(),
+            Effect::Keyed => request
                 .attempts
                 .iter()
-                .filter(|a| a.fate != Fate::NeverRan)
-                .all(|a| {
-                    now.since(a.sent) < class.dedup_window
-                        && self.same_group(class.dedup_group, a.server, server)
-                }),
+                .filter(|attempt| attempt.state != AttemptState::NotRun)
+                .all(|attempt| self.is_repeat_dropped(now, class, attempt, upstream)),
         }
     }
 
-    pub(super) fn same_group(&self, group: DedupGroup, a: usize, b: usize) -> bool {
-        let (a, b) = (&self.servers[a], &self.servers[b]);
-        match group {
+    /// Whether `upstream` would drop a repeat of this attempt of a keyed request.
+    fn is_repeat_dropped(
+        &self,
+        now: Time,
+        class: &RequestClass,
+        attempt: &Attempt,
+        upstream: usize,
+    ) -> bool {
+        let (a, b) = (&self.upstreams[attempt.upstream], &self.upstreams[upstream]);
+        let is_same_group = match class.dedup_group {
             DedupGroup::All => true,
             DedupGroup::Zone => a.zone == b.zone,
             DedupGroup::Cell => a.zone == b.zone && a.cell == b.cell,
-        }
+        };
+        now.since(attempt.sent_at) < class.dedup_window && is_same_group
     }
 
-    /// The one place that says whether a request may be refused.
-    pub(super) fn may_refuse(&self, e: &Entry) -> bool {
-        let class = &self.settings.classes[e.class];
-        let anywhere = class.effect == Effect::Keyed && class.dedup_group == DedupGroup::All;
-        class.effect == Effect::Safe || anywhere || e.all_never_ran()
+    /// The one place that says whether a request may be rejected: whether a repeat by its client does no harm.
+    pub(super) fn may_reject(&self, request: &PendingRequest) -> bool {
+        let class = &self.settings.classes[request.class];
+        let is_dropped_anywhere =
+            class.effect == Effect::Keyed && class.dedup_group == DedupGroup::All;
+        class.effect == Effect::Safe || is_dropped_anywhere || request.has_not_run()
     }
 
-    pub(super) fn outcome(&mut self, now: Time, a: AttemptResult, out: &mut Vec<Action>) {
-        let Some(e) = self.requests.get_mut(&a.request) else {
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now: Time,
+        result: &AttemptResult,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get_mut(&result.request) else {
             return;
         };
-        let Some(attempt) = e
+        let Some(attempt) = request
             .attempts
-            .get_mut(a.attempt)
-            .filter(|t| t.fate == Fate::Out)
+            .get_mut(result.attempt)
+            .filter(|attempt| attempt.state == AttemptState::InFlight)
         else {
             return;
         };
-        attempt.fate = if a.outcome.has_not_run() {
-            Fate::NeverRan
+        attempt.state = if result.outcome.has_not_run() {
+            AttemptState::NotRun
         } else {
-            Fate::MayHaveRun
+            AttemptState::MayHaveRun
         };
         let attempt = *attempt;
-        let server = attempt.server;
-        let (class, turn, shard) = (e.class, e.turn, e.shard);
-        let over = e.ended || a.last;
-        let may_run = matches!(
-            a.outcome,
-            AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled
-        );
-        if let Some(line) = turn
-            .filter(|_| may_run)
-            .and_then(|k| self.lines.get_mut(&k))
-        {
-            line.rest_until = now.plus(self.settings.rules.ordered_retry_delay);
+        let class = request.class;
+        let shard = request.shard;
+        let is_over = request.is_ended || result.last;
+        let ordering_key = request.ordering_key;
+        if let Some(key) = ordering_key {
+            self.block_key(now, key, result.outcome);
         }
         if let Some(key) = shard {
-            self.holders
-                .heard(now, key, &a, self.fleet.ts * PAUSE_OF_TS);
-        }
-        self.learn(now, class, attempt, &a);
-        self.close_idle(now, server, out);
-        if a.outcome == AttemptOutcome::Ok {
-            self.conclude(a.request, out);
-        } else if over {
-            self.end(a.request);
+            let pause = self.fleet.service_time * PAUSE_IN_SERVICE_TIMES;
+            self.key_owners.on_attempt_ended(now, key, result, pause);
+        }
+        self.learn(now, class, attempt, result);
+        self.close_idle(now, attempt.upstream, actions);
+        if result.outcome == AttemptOutcome::Ok {
+            self.finish_request(result.request, actions);
+        } else if is_over {
+            self.end_request(result.request);
         } else {
-            self.settle(now, a.request, out);
-        }
-        self.dispatch(now, out);
-    }
-
-    /// The client has its answer, or has left: nobody reads what further attempts bring. Those of a request
-    /// that may be repeated end at their upstreams; what may run once goes on, since it may be done already.
-    pub(super) fn conclude(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        if let Some(e) = self
-            .requests
-            .get(&id)
-            .filter(|_| self.settings.limits.cancel)
-            && self.settings.classes[e.class].effect == Effect::Safe
-        {
-            let running = (0..e.attempts.len()).filter(|n| e.attempts[*n].fate == Fate::Out);
-            out.extend(running.map(|attempt| Action::Cancel {
-                request: id,
-                attempt,
-            }));
+            self.retry_or_give_up(now, result.request, actions);
         }
-        self.end(id);
+        self.dispatch(now, actions);
     }
 
-    pub(super) fn learn(&mut self, now: Time, class: usize, attempt: Attempt, a: &AttemptResult) {
-        let server = attempt.server;
-        // Failure: one absurd latency put the mean of its class out of reach for good.
-        let latency = a
-            .latency
-            .as_micros()
-            .clamp(1.0, self.settings.classes[class].deadline.as_micros());
-        self.count_level(
-            now,
-            server,
-            (a.outcome == AttemptOutcome::Ok).then_some(class),
+    /// Blocks a key after an attempt that may still be running.
+    fn block_key(&mut self, now: Time, key: u64, outcome: AttemptOutcome) {
+        let may_be_running = matches!(
+            outcome,
+            AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled
         );
-        // Failure: a second lane on trial made an upstream look slow, and drove its proxy into the parts of
-        // others.
-        let tried = self.servers[server].in_flight > self.k(&self.servers[server], 0);
-        if a.outcome == AttemptOutcome::Ok {
-            self.count_served(now, server);
-            if !tried {
-                self.learn_means(class, latency);
-            }
-        }
-        let mean = self.fleet.mean[class];
-        let mean = if mean > 0.0 { mean } else { self.fleet.ts };
-        self.learn_leeway(latency / mean, a.outcome);
-        let s = &mut self.servers[server];
-        if attempt.asked && a.outcome != AttemptOutcome::Cancelled {
-            let hopeless = &mut self.fleet.hopeless[class];
-            *hopeless += (f64::from(a.outcome != AttemptOutcome::Ok) - *hopeless) * TS_GAIN;
+        if !may_be_running {
+            return;
         }
-        let counted = attempt.overdue && a.outcome == AttemptOutcome::Timeout;
-        if !counted && (a.outcome != AttemptOutcome::Ok || !tried) {
-            s.est.learn(a.outcome, latency, mean);
+        if let Some(queue) = self.ordered_queues.get_mut(&key) {
+            queue.blocked_until = now.plus(self.settings.rules.ordered_retry_delay);
         }
-        match a.outcome {
+    }
+
+    /// Opens and closes the breakers of an upstream by an outcome, where the mean latency of its class is
+    /// `class_mean` microseconds.
+    pub(super) fn update_breakers(
+        &mut self,
+        now: Time,
+        class: usize,
+        attempt: Attempt,
+        outcome: AttemptOutcome,
+        class_mean: f64,
+    ) {
+        let upstream = &mut self.upstreams[attempt.upstream];
+        match outcome {
             AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed => {
-                s.breaker
-                    .trip(now, self.fleet.ts * PAUSE_OF_TS, PAUSE_DOUBLINGS);
-                s.silent += u32::from(a.outcome == AttemptOutcome::ConnectFailed);
+                let pause = self.fleet.service_time * PAUSE_IN_SERVICE_TIMES;
+                upstream.breaker.trip(now, pause, MAX_PAUSE_DOUBLINGS);
+                upstream.consecutive_failures +=
+                    u32::from(outcome == AttemptOutcome::ConnectFailed);
             }
             AttemptOutcome::Ok => {
-                s.answered = s.answered.max(attempt.sent);
-                (s.breaker.faults, s.silent) = (0, 0);
-                s.by_class[class] = Breaker::default();
+                upstream.last_answered_sent_at =
+                    upstream.last_answered_sent_at.max(attempt.sent_at);
+                upstream.breaker.reset_faults();
+                upstream.consecutive_failures = 0;
+                upstream.class_breakers[class] = CircuitBreaker::default();
             }
             AttemptOutcome::Error | AttemptOutcome::Timeout | AttemptOutcome::Reset
-                if !attempt.overdue =>
+                if !attempt.is_overdue =>
             {
-                s.by_class[class].trip(now, mean, CLASS_DOUBLINGS);
-                s.silent += 1;
+                upstream.class_breakers[class].trip(now, class_mean, MAX_CLASS_PAUSE_DOUBLINGS);
+                upstream.consecutive_failures += 1;
             }
             _ => {}
         }
-        if !attempt.freed {
-            self.count_in_flight(server, -1);
-        }
-        if let Some(running) = a.report.inflight {
-            let s = &mut self.servers[server];
-            let all = running + a.report.queued.unwrap_or(0.0);
-            (s.others, s.told) = ((all - f64::from(s.in_flight)).max(0.0), now);
-            self.fleet
-                .others
-                .learn(now, s.others / f64::from(s.slots.max(1)));
-        }
-    }
-
-    /// Moves the limit by what an answer tells of the room there. Failure: where a zone was lost with its
-    /// proxies, the rest kept to the parts of a whole bank, and refused beside upstreams that idled.
-    pub(super) fn learn_leeway(&mut self, latency: f64, outcome: AttemptOutcome) {
-        let f = &mut self.fleet;
-        let latency = match outcome {
-            AttemptOutcome::Ok => latency.min(SLOWNESS_MAX),
-            AttemptOutcome::Rejected => SLOWNESS_MAX,
-            _ => return,
-        };
-        f.good += if f.ts < f.good {
-            f.ts - f.good
-        } else {
-            (f.ts - f.good) * GOOD_GAIN
-        };
-        // Failure: it fell with every heavy request and rose only at the limit, so where bursts alone reach
-        // the limit it never left its least value, and proxies refused beside idle upstreams.
-        let idle = self.rooms[0].in_flight as f64 + 1.0 < self.rooms[0].slots;
-        if idle && outcome == AttemptOutcome::Ok {
-            return;
-        }
-        let crowded = latency * f.ts / f.good > CROWDED;
-        let even = self.order.len() as f64 / f64::from(self.settings.balancers);
-        let full = if outcome == AttemptOutcome::Ok {
-            1.0
-        } else {
-            FULL_FALL
-        };
-        let fall = LEEWAY_FALL * (even / FEW).max(1.0) * full;
-        f.leeway *= 1.0 + LEEWAY_GAIN * if crowded { -fall } else { 1.0 };
-        f.leeway = f
-            .leeway
-            .clamp(LEEWAY, LEEWAY.max(f64::from(self.settings.balancers)));
-    }
-
-    /// When an attempt is overdue, past its class's latency; and when a second one must go to be in time.
-    pub(super) fn overdue_at(&self, e: &Entry, a: &Attempt) -> (Time, Time) {
-        let class = &self.settings.classes[e.class];
-        let (mean, dev) = (self.fleet.mean[e.class], self.fleet.dev[e.class]);
-        if mean == 0.0 {
-            return (
-                a.sent.plus(class.latency_target),
-                a.sent.plus(class.latency_target),
-            );
-        }
-        let patience = mean + PATIENCE * dev;
-        let left = e.hold_until.since(a.sent).as_micros() - mean;
-        let again = patience.min(left).max(mean * LEAST_PATIENCE);
-        (
-            a.sent.plus(Span::from_micros(patience)),
-            a.sent.plus(Span::from_micros(again)),
-        )
-    }
-
-    /// Watches what is out. What is overdue is a fault of its upstream in its class; in time for a second
-    /// one, it is sent elsewhere too where that is allowed, promises something and the budget lasts. Guards
-    /// against hung and vanished upstreams, lost answers, stalls, a class that goes unanswered, dead
-    /// connections. May hurt where requests of one class differ widely: a heavy one looks lost.
-    pub(super) fn watch(&mut self, now: Time) {
-        for (id, n) in std::mem::take(&mut self.out) {
-            let Some(e) = self.requests.get(&id) else {
-                continue;
-            };
-            let Some(a) = e.attempts.get(n).filter(|a| a.fate == Fate::Out).copied() else {
-                continue;
-            };
-            self.out.push((id, n));
-            let (late_at, again_at) = self.overdue_at(e, &a);
-            let (late, asked) = (a.overdue || now >= late_at, a.asked || now >= again_at);
-            let room = &self.rooms[self.room_of[e.class]];
-            let idle = room.queued == 0 && (room.in_flight as f64) < room.slots;
-            let likely = self.fleet.hopeless[e.class] > LIKELY;
-            let again = asked && !a.asked && likely && idle && self.extra >= 1.0;
-            let again = again && !e.ended && !e.held && now < e.hold_until && e.shard.is_none();
-            let again = again && self.order.iter().any(|&i| self.is_open(now, e, i));
-            let (class, s) = (e.class, &mut self.servers[a.server]);
-            // Failure: lost answers held their slots for two aims, and the fleet was refused for. What is
-            // overtaken is lost. With a K_i of one nothing overtakes (silent connections held all slots), so
-            // between two answers of an upstream one is given up on time alone.
-            let over = s.answered > Time(i64::MIN) && now >= late_at.plus(late_at.since(a.sent));
-            let lost = late && !a.freed && (s.answered > a.sent || over);
-            if lost && s.answered <= a.sent {
-                s.answered = Time(i64::MIN);
-            }
-            if late && !a.overdue {
-                let mean = self.fleet.mean[class].max(1.0);
-                s.est
-                    .learn(AttemptOutcome::Timeout, now.since(a.sent).as_micros(), mean);
-                s.by_class[class].trip(now, mean, CLASS_DOUBLINGS);
-                s.silent += 1;
-            }
-            if again {
-                self.extra -= 1.0;
-                self.hold(id, true);
-            }
-            if lost {
-                self.count_level(now, a.server, None);
-                self.count_in_flight(a.server, -1);
-            }
-            if let Some(a) = self
-                .requests
-                .get_mut(&id)
-                .and_then(|e| e.attempts.get_mut(n))
-            {
-                (a.overdue, a.asked, a.freed) = (late, asked, a.freed || lost);
-            }
-        }
-    }
-
-    /// After an attempt that did not serve: again, or an end.
-    pub(super) fn settle(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
-        let Some(e) = self.requests.get(&id) else {
-            return;
-        };
-        if e.held || e.out() {
-            return;
-        }
-        let again = self.order.iter().any(|&i| self.is_open(now, e, i));
-        if again && now < e.hold_until {
-            self.hold(id, true);
-        } else {
-            self.give_up(id, out);
-        }
-    }
-
-    pub(super) fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(e) = self.requests.get(&id) else {
-            return;
-        };
-        if self.may_refuse(e) {
-            self.refuse(id, out);
-        } else {
-            out.push(Action::Fail { request: id });
-            self.end(id);
-        }
-    }
-
-    /// What has no holder, or was turned away by it, is refused while that is harmless: nobody knows when
-    /// there is another.
-    fn held_until(&self, now: Time, e: &Entry) -> Time {
-        let tried = |id| e.attempts.iter().any(|a| self.servers[a.server].id == id);
-        let homeless = e
-            .shard
-            .is_some_and(|key| self.holders.of(now, key).is_none_or(tried));
-        let wait = self.settings.classes[e.class].latency_target.as_micros() * (1.0 - HARMLESS);
-        if homeless {
-            e.hold_until.plus(Span::from_micros(-wait))
-        } else {
-            e.hold_until
-        }
-    }
-
-    /// Refuses what was held too long.
-    pub(super) fn expire(&mut self, now: Time, out: &mut Vec<Action>) {
-        let late = |id: &&RequestId| {
-            self.requests
-                .get(id)
-                .is_some_and(|e| e.held && now >= self.held_until(now, e))
-        };
-        let late: Vec<RequestId> = self.queue.iter().filter(late).copied().collect();
-        for id in late {
-            // One with an attempt out waited for a second; the first may still be answered.
-            if self.requests.get(&id).is_some_and(Entry::out) {
-                self.unhold(id);
-            } else {
-                self.give_up(id, out);
-            }
-        }
     }
 }
--- a/crates/load-balancing/src/policy/dispatch.rs
+++ b/crates/load-balancing/src/policy/dispatch.rs
@@ -1,214 +1,215 @@
-//! The queue, and the choice of an upstream with a free slot.
+//! Dispatch: which queued request goes to which upstream.
+//!
+//! The paper's rule is to send only below K_i attempts in flight. Among several upstreams with a free slot the first
+//! in the order of cost is taken; where upstreams report their load, the one from which an answer is expected first.
 
 use std::cell::LazyCell;
 
-use super::*;
+use super::Balancer;
+use super::state::request::{Attempt, AttemptId, PendingRequest};
+use super::state::upstream::Upstream;
+use super::subset;
+use crate::interface::{Action, RequestId, Span, Time};
 
-impl Balancer {
-    pub(super) fn hold(&mut self, id: RequestId, at_head: bool) {
-        let Some(e) = self.requests.get_mut(&id) else {
-            return;
-        };
-        e.held = true;
-        let class = e.class;
-        self.count_queued(class, 1);
-        if at_head {
-            self.queue.push_front(id);
-        } else {
-            self.queue.push_back(id);
-        }
-    }
+/// With so large a share of the fleet closed to a class it is the fleet that is slow, and none is closed to it.
+const PANIC_THRESHOLD: f64 = 0.75;
+/// How many mean service times longer an answer may take within the zone than from another zone or region, where
+/// upstreams report their load.
+const OTHER_ZONE_PENALTY: f64 = 0.25;
+const OTHER_REGION_PENALTY: f64 = 1.0;
+/// The same for an upstream outside the subset that this balancer knows by its answers.
+const OUTSIDE_SUBSET_PENALTY: f64 = 0.5;
 
-    /// Takes it out of the count of the queue; its place there is passed over.
-    pub(super) fn unhold(&mut self, id: RequestId) {
-        if let Some(e) = self.requests.get_mut(&id).filter(|e| e.held) {
-            e.held = false;
-            let class = e.class;
-            self.count_queued(class, -1);
-        }
-    }
-
-    pub(super) fn count_queued(&mut self, class: usize, change: isize) {
-        let own = self.room_of[class];
-        for (r, room) in self.rooms.iter_mut().enumerate() {
-            if r == 0 || r == own {
-                room.queued = room.queued.saturating_add_signed(change);
-            }
-        }
-    }
-
-    /// Takes or frees slots of an upstream, in every room that it belongs to.
-    pub(super) fn count_in_flight(&mut self, server: usize, change: i32) {
-        let s = &mut self.servers[server];
-        s.in_flight = s.in_flight.saturating_add_signed(change);
-        for r in 0..self.rooms.len() {
-            if self.counts(&self.rooms[r], &self.servers[server]) {
-                let n = &mut self.rooms[r].in_flight;
-                *n = n.saturating_add_signed(change as isize);
-            }
-        }
-    }
-
-    /// An ordered request goes to the back of its key's line.
-    pub(super) fn join_line(&mut self, now: Time, id: RequestId) {
-        let Some(key) = self.requests.get(&id).and_then(|e| e.turn) else {
-            return;
-        };
-        let new = || Line {
-            waiting: VecDeque::new(),
-            rest_until: now,
-        };
-        self.lines
-            .entry(key)
-            .or_insert_with(new)
-            .waiting
-            .push_back(id);
-    }
-
-    /// Whether it is at the head of its key's line and the key has rested; always, once it was sent.
-    pub(super) fn has_turn(&self, now: Time, id: RequestId, e: &Entry) -> bool {
-        let Some(line) = e.turn.and_then(|k| self.lines.get(&k)) else {
-            return true;
-        };
-        !e.attempts.is_empty() || (line.waiting.front() == Some(&id) && now >= line.rest_until)
-    }
-
-    /// First come, first served, while some upstream has a free slot. One that waits for its key's turn, or
-    /// finds no slot among the upstreams it is bound to, holds up only its like.
-    pub(super) fn dispatch(&mut self, now: Time, out: &mut Vec<Action>) {
+impl Balancer {
+    /// First come, first served, while some upstream has a free slot. One that waits for its key's turn, or finds
+    /// no slot among the upstreams it is bound to, holds up only its like.
+    pub(super) fn dispatch(&mut self, now: Time, actions: &mut Vec<Action>) {
         let mut i = 0;
-        let mut shut = vec![false; self.rooms.len()];
+        // By capacity pool: a new request has found no free slot there.
+        let mut is_exhausted = vec![false; self.capacity.pools.len()];
         while let Some(&id) = self.queue.get(i) {
-            let Some(e) = self.requests.get(&id).filter(|e| e.held) else {
+            let Some(request) = self.requests.get(&id).filter(|r| r.is_queued) else {
                 self.queue.remove(i);
                 continue;
             };
-            let fresh = e.attempts.is_empty() && e.shard.is_none();
-            let r = self.room_of[e.class];
-            if (fresh && shut[r]) || !self.has_turn(now, id, e) {
+            let is_new = request.attempts.is_empty() && request.shard.is_none();
+            let pool = self.capacity.by_class[request.class];
+            if (is_new && is_exhausted[pool]) || !self.has_turn(now, id, request) {
                 i += 1;
                 continue;
             }
-            let full = self.rooms[r].in_flight as f64 >= self.rooms[r].slots.max(1.0);
-            match self.pick(now, id, full) {
-                Some(server) => {
-                    self.queue.remove(i);
-                    self.send(now, id, server, out);
-                }
-                // Nothing is free. A repeat may merely be bound to other upstreams: look behind it.
-                None => {
-                    shut[r] |= fresh;
-                    if shut.iter().all(|s| *s) {
-                        break;
-                    }
-                    i += 1;
-                }
+            let is_pool_full = self.capacity.pools[pool].is_full();
+            if let Some(upstream) = self.choose_upstream(now, id, request, is_pool_full) {
+                self.queue.remove(i);
+                self.send(now, id, upstream, actions);
+                continue;
+            }
+            // Nothing is free. A retry may merely be bound to other upstreams: look behind it.
+            is_exhausted[pool] |= is_new;
+            if is_exhausted.iter().all(|is_exhausted| *is_exhausted) {
+                break;
             }
+            i += 1;
         }
     }
 
-    /// Whether so much of the fleet is shut to a class that it is open to it all the same. Failure: looked at
-    /// for every class again and again, a thousand routes took all the time of a small machine.
-    fn panics(&self, now: Time, class: usize) -> bool {
-        let open = self.order.iter().map(|&i| &self.servers[i]);
-        let open = open.filter(|s| self.open_to(Some(class), s));
-        let (all, shut) = open.fold((0.0, 0.0), |(all, shut), s| {
-            (all + 1.0, shut + f64::from(now < s.by_class[class].until))
-        });
-        shut > all * PANIC
-    }
-
-    /// The first upstream in the order of cost that has a free slot. One that already failed this request
-    /// comes last. Lanes on trial are filled once the ordinary slots are all taken.
-    pub(super) fn pick(&self, now: Time, id: RequestId, full: bool) -> Option<usize> {
-        let e = self.requests.get(&id)?;
-        let panics = LazyCell::new(|| self.panics(now, e.class));
-        let only = e.shard.map(|key| self.holders.of(now, key));
-        let mut last: Option<(bool, f64, usize)> = None;
+    /// The upstream with a free slot that a request goes to, if there is one. An upstream that has already failed
+    /// this request comes last.
+    fn choose_upstream(
+        &self,
+        now: Time,
+        id: RequestId,
+        request: &PendingRequest,
+        is_pool_full: bool,
+    ) -> Option<usize> {
+        // Looked at only where needed, and once: for every class again and again, a thousand routes took all the
+        // time of a small machine.
+        let is_panicking = LazyCell::new(|| self.is_panicking(now, request.class));
+        let owner = request.shard.map(|key| self.key_owners.owner_of(now, key));
+        let mut best: Option<(bool, f64, usize)> = None;
         for &i in &self.order {
-            let s = &self.servers[i];
-            let tried = e.attempts.iter().any(|a| a.server == i);
-            // Failure: where no holder had its keys any more, each request went to its own twice.
-            if only.is_some_and(|only| only != Some(s.id) || tried) {
+            let upstream = &self.upstreams[i];
+            let has_attempted = request.has_attempted(i);
+            // Each request goes to its owner once: where no owner had its keys any more, each went there twice.
+            if owner.is_some_and(|owner| owner != Some(upstream.id) || has_attempted) {
                 continue;
             }
-            let trial = if full { s.trial } else { s.trial.min(0) };
-            let load = f64::from(s.in_flight) + self.others(now, s);
-            // Failure: in overload all that found no slot elsewhere went to the upstreams of a lost zone.
-            let most = if s.silent >= SILENT {
-                1
-            } else {
-                self.k(s, trial)
-            };
-            // Failure: a proxy at its limit sent on trial to upstreams that it had left idle as slow.
-            let taken = load >= f64::from(most) || (full && s.in_flight < self.k(s, 0));
-            let shut = now < s.by_class[e.class].until && !*panics;
-            if taken || shut || now < s.breaker.until || !self.may_send(now, id, e, i) {
+            if !self.has_free_slot(now, upstream, is_pool_full) {
+                continue;
+            }
+            let is_closed_to_class =
+                upstream.class_breakers[request.class].is_open(now) && !*is_panicking;
+            if is_closed_to_class
+                || upstream.breaker.is_open(now)
+                || !self.may_send(now, id, request, i)
+            {
                 continue;
             }
-            if s.slots == 0 && !tried {
+            if !upstream.has_reported_slots() && !has_attempted {
                 return Some(i);
             }
-            let cost = if s.slots == 0 {
-                0.0
+            let cost = if upstream.has_reported_slots() {
+                self.reported_cost(now, upstream)
             } else {
-                self.told_cost(now, s)
+                0.0
             };
-            if last.is_none_or(|(t, c, _)| (tried, cost) < (t, c)) {
-                last = Some((tried, cost, i));
+            if best.is_none_or(|(attempted, least, _)| (has_attempted, cost) < (attempted, least)) {
+                best = Some((has_attempted, cost, i));
+            }
+        }
+        best.map(|(.., upstream)| upstream)
+    }
+
+    /// Whether an upstream is below its K_i. Slots on trial are filled once the ordinary slots of the pool are all
+    /// taken.
+    fn has_free_slot(&self, now: Time, upstream: &Upstream, is_pool_full: bool) -> bool {
+        // A balancer at its limit sends on trial only to upstreams that it fills: not to those that it had left
+        // idle as slow.
+        if is_pool_full && upstream.in_flight < self.max_in_flight(upstream, 0) {
+            return false;
+        }
+        // One at a time, or in overload all that found no slot elsewhere went to the upstreams of a lost zone.
+        let most = if upstream.is_unresponsive() {
+            1
+        } else {
+            let trial = upstream.concurrency_trial;
+            self.max_in_flight(upstream, if is_pool_full { trial } else { trial.min(0) })
+        };
+        let load = f64::from(upstream.in_flight) + self.peers_in_flight(now, upstream);
+        load < f64::from(most)
+    }
+
+    /// Whether so much of the fleet is closed to a class that it is open to it all the same.
+    fn is_panicking(&self, now: Time, class: usize) -> bool {
+        let (mut all, mut closed) = (0.0, 0.0);
+        for &i in &self.order {
+            let upstream = &self.upstreams[i];
+            if self.is_allowed_for(Some(class), upstream) {
+                all += 1.0;
+                closed += f64::from(upstream.class_breakers[class].is_open(now));
             }
         }
-        last.map(|(.., i)| i)
+        closed > all * PANIC_THRESHOLD
     }
 
-    /// Others' requests at an upstream, as far as those that it told of have not ended by now.
-    pub(super) fn others(&self, now: Time, s: &Server) -> f64 {
-        s.others * (-now.since(s.told).as_micros() / self.ts(s)).exp()
+    /// Peers' requests at an upstream, as far as those that it reported have not ended by now.
+    fn peers_in_flight(&self, now: Time, upstream: &Upstream) -> f64 {
+        let age = now.since(upstream.reported.at).as_micros();
+        upstream.reported.peers * (-age / self.service_time(upstream)).exp()
     }
 
-    /// The time to an answer of one that tells its load, in mean service times, with others' requests come
-    /// since. One's own part comes first: its answers are known.
-    fn told_cost(&self, now: Time, s: &Server) -> f64 {
-        let (f, lanes) = (&self.fleet, self.lanes(s));
-        let load = f64::from(s.in_flight)
-            + f.others
-                .by(now, lanes, (s.others, s.told), f.ts, self.ts(s));
-        let away = |d: &Span| if d.0 > 0 { REGION_AWAY } else { ZONE_AWAY };
-        let far = self
-            .settings
-            .zone_distances
-            .get(s.zone as usize)
-            .map_or(0.0, away);
-        let own = s.zone == self.settings.zone;
-        let (far, ring) = if own {
-            (0.0, s.reach)
+    /// The time to an answer of an upstream that reports its load, in mean service times, with the peers' requests
+    /// that are expected to have come since, and with penalties for distance. One's own subset comes first: its
+    /// answers are known.
+    fn reported_cost(&self, now: Time, upstream: &Upstream) -> f64 {
+        let concurrency = self.concurrency(upstream);
+        let load = f64::from(upstream.in_flight)
+            + self.fleet.peer_load.expected(
+                now,
+                concurrency,
+                upstream.reported,
+                self.fleet.service_time,
+                self.service_time(upstream),
+            );
+        let penalty = |distance: &Span| {
+            if distance.0 > 0 {
+                OTHER_REGION_PENALTY
+            } else {
+                OTHER_ZONE_PENALTY
+            }
+        };
+        let (zone_penalty, subset_distance) = if upstream.zone == self.settings.zone {
+            (0.0, upstream.subset_distance)
         } else {
-            (far, s.reach - FAR)
+            let distance = self.settings.zone_distances.get(upstream.zone as usize);
+            (
+                distance.map_or(0.0, penalty),
+                upstream.subset_distance - subset::OTHER_ZONE_DISTANCE,
+            )
         };
-        s.est.slow * (1.0 + load / lanes) + far + OUTSIDE * (ring - SHARED).clamp(0.0, 1.0)
+        let outside = (subset_distance - subset::KNOWN_SUBSET_DISTANCE).clamp(0.0, 1.0);
+        upstream.estimate.slowness * (1.0 + load / concurrency)
+            + zone_penalty
+            + OUTSIDE_SUBSET_PENALTY * outside
     }
 
-    pub(super) fn send(&mut self, now: Time, id: RequestId, server: usize, out: &mut Vec<Action>) {
-        self.count_send(now, server);
-        self.count_level(now, server, None);
-        self.unhold(id);
-        let Some(e) = self.requests.get_mut(&id) else {
+    fn send(&mut self, now: Time, id: RequestId, upstream: usize, actions: &mut Vec<Action>) {
+        self.spend_send_credit(now, upstream);
+        self.record_concurrency(now, upstream, None);
+        self.dequeue(id);
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let first = e.attempts.is_empty();
-        self.out.push((id, e.attempts.len()));
-        e.attempts.push(Attempt::new(server, now));
-        let timeout = e.worth_until.since(now);
-        self.count_in_flight(server, 1);
-        if first {
-            self.extra = (self.extra + EXTRA).min(self.rooms[0].slots.max(1.0));
+        let is_first = request.attempts.is_empty();
+        self.in_flight.push(AttemptId {
+            request: id,
+            attempt: request.attempts.len(),
+        });
+        request.attempts.push(Attempt::new(upstream, now));
+        let timeout = request.value_until.since(now);
+        self.count_in_flight(upstream, 1);
+        if is_first {
+            self.earn_hedge_tokens();
         } else {
-            self.fleet.budget.tried_again(now, &self.settings.rules);
+            let rules = &self.settings.rules;
+            self.fleet.retry_budget.count_retry(now, rules);
         }
-        out.push(Action::Send {
+        actions.push(Action::Send {
             request: id,
-            server: self.servers[server].id,
+            server: self.upstreams[upstream].id,
             timeout,
         });
     }
+
+    /// Takes or frees slots of an upstream, in every capacity pool that it belongs to.
+    pub(super) fn count_in_flight(&mut self, upstream: usize, change: i32) {
+        let in_flight = &mut self.upstreams[upstream].in_flight;
+        *in_flight = in_flight.saturating_add_signed(change);
+        for i in 0..self.capacity.pools.len() {
+            if self.is_counted(&self.capacity.pools[i], &self.upstreams[upstream]) {
+                let in_flight = &mut self.capacity.pools[i].in_flight;
+                *in_flight = in_flight.saturating_add_signed(change as isize);
+            }
+        }
+    }
 }
--- /dev/null
+++ b/crates/load-balancing/src/policy/retries.rs
@@ -0,0 +1,126 @@
+//! Retries and ends: what becomes of a request after an attempt that did not serve it, or after too long a wait.
+//!
+//! A request ends in one of three ways: rejected ([`Balancer::reject`], it may safely come again), failed (it may have
+//! run), or finished (its client has the answer or has left). Its record stays while attempts are in flight.
+
+use super::Balancer;
+use super::state::request::{AttemptState, PendingRequest};
+use crate::interface::{Action, Effect, RequestId, Span, Time};
+
+/// A rejection within this share of the latency target is harmless: it leaves time for another try.
+const HARMLESS_SHARE_OF_TARGET: f64 = 0.25;
+
+impl Balancer {
+    /// After an attempt that did not serve: back to the head of the queue if it may be sent again, else an end.
+    pub(super) fn retry_or_give_up(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        if request.is_queued || request.has_attempt_in_flight() {
+            return;
+        }
+        if now < request.queue_until && self.is_eligible_anywhere(now, request) {
+            self.enqueue(id, true);
+        } else {
+            self.give_up(id, actions);
+        }
+    }
+
+    /// Whether some upstream may get it, now or after a wait.
+    pub(super) fn is_eligible_anywhere(&self, now: Time, request: &PendingRequest) -> bool {
+        self.order
+            .iter()
+            .any(|&upstream| self.is_eligible(now, request, upstream))
+    }
+
+    /// Gives up what was queued for too long.
+    pub(super) fn give_up_expired(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let is_expired = |id: &&RequestId| {
+            self.requests
+                .get(id)
+                .is_some_and(|r| r.is_queued && now >= self.expires_at(now, r))
+        };
+        let expired: Vec<RequestId> = self.queue.iter().filter(is_expired).copied().collect();
+        for id in expired {
+            // One with an attempt in flight waited for a hedge; the first may still be answered.
+            let request = self.requests.get(&id);
+            if request.is_some_and(PendingRequest::has_attempt_in_flight) {
+                self.dequeue(id);
+            } else {
+                self.give_up(id, actions);
+            }
+        }
+    }
+
+    /// When a queued request is given up. One whose key has no owner, or was rejected by it, is rejected while that is
+    /// harmless: nobody knows when there is another owner.
+    fn expires_at(&self, now: Time, request: &PendingRequest) -> Time {
+        let Some(key) = request.shard else {
+            return request.queue_until;
+        };
+        let has_attempted_owner = |owner| {
+            request
+                .attempts
+                .iter()
+                .any(|attempt| self.upstreams[attempt.upstream].id == owner)
+        };
+        let owner = self.key_owners.owner_of(now, key);
+        if !owner.is_none_or(has_attempted_owner) {
+            return request.queue_until;
+        }
+        let target = self.settings.classes[request.class].latency_target;
+        let wait = target.as_micros() * (1.0 - HARMLESS_SHARE_OF_TARGET);
+        request.queue_until.plus(Span::from_micros(-wait))
+    }
+
+    /// Ends a request unserved: rejected where its client may safely repeat it, else failed.
+    fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        if self.may_reject(request) {
+            self.reject(id, actions);
+        } else {
+            actions.push(Action::Fail { request: id });
+            self.end_request(id);
+        }
+    }
+
+    /// The client has its answer, or has left: nobody reads what further attempts bring. Those of a request that may
+    /// be repeated are cancelled; what may run only once goes on, since it may be done already.
+    pub(super) fn finish_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if let Some(request) = self
+            .requests
+            .get(&id)
+            .filter(|_| self.settings.limits.cancel)
+            && self.settings.classes[request.class].effect == Effect::Safe
+        {
+            let in_flight = (0..request.attempts.len())
+                .filter(|i| request.attempts[*i].state == AttemptState::InFlight);
+            actions.extend(in_flight.map(|attempt| Action::Cancel {
+                request: id,
+                attempt,
+            }));
+        }
+        self.end_request(id);
+    }
+
+    /// Nothing is owed to the client any more. The record goes once no attempt is in flight.
+    pub(super) fn end_request(&mut self, id: RequestId) {
+        self.dequeue(id);
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        request.is_ended = true;
+        if request.has_attempt_in_flight() {
+            return;
+        }
+        if let Some(queue) = request
+            .ordering_key
+            .and_then(|key| self.ordered_queues.get_mut(&key))
+        {
+            queue.waiting.retain(|waiting| *waiting != id);
+        }
+        self.requests.remove(&id);
+    }
+}
--- a/crates/load-balancing/src/policy/tenants.rs
+++ b/crates/load-balancing/src/policy/tenants.rs
@@ -1,25 +1,34 @@
-//! Shares of tenants.
+//! Quotas of tenants.
+//!
+//! Each balancer has an even part of every tenant's quota. What is over quota is admitted only while the fleet is
+//! not full ([`admission`](super::admission)).
 
-use super::*;
+use super::Balancer;
+use crate::interface::Time;
+
+const MICROS_PER_SECOND: f64 = 1e6;
 
 impl Balancer {
-    /// Whether one more request of this tenant is within its share; what is refused uses up none.
-    pub(super) fn in_share(&mut self, now: Time, tenant: usize) -> bool {
-        let Some(q) = self.quotas.get_mut(tenant) else {
+    /// Whether one more request of this tenant is within its quota; what is rejected uses up none.
+    pub(super) fn is_within_quota(&mut self, now: Time, tenant: usize) -> bool {
+        let Some(quota) = self.tenant_quotas.get_mut(tenant) else {
             return true;
         };
-        let rate =
-            self.settings.tenants[tenant].quota_rps / 1e6 / f64::from(self.settings.balancers);
-        // A share unused for the life of a request is gone: the fleet did not wait for it.
-        let most = rate
-            * self
-                .settings
-                .classes
-                .iter()
-                .map(|c| c.deadline.as_micros())
-                .fold(0.0, f64::max);
-        q.tokens = (q.tokens + rate * now.since(q.counted).as_micros()).min(most.max(1.0));
-        q.counted = now;
-        q.tokens >= 1.0
+        let rate = self.settings.tenants[tenant].quota_rps
+            / MICROS_PER_SECOND
+            / f64::from(self.settings.balancers);
+        // A quota unused for the life of a request is gone: the fleet did not wait for it.
+        let deadlines = self.settings.classes.iter().map(|c| c.deadline.as_micros());
+        let most = rate * deadlines.fold(0.0, f64::max);
+        let elapsed = now.since(quota.refilled_at).as_micros();
+        quota.tokens = (quota.tokens + rate * elapsed).min(most.max(1.0));
+        quota.refilled_at = now;
+        quota.tokens >= 1.0
+    }
+
+    pub(super) fn spend_quota(&mut self, tenant: usize) {
+        if let Some(quota) = self.tenant_quotas.get_mut(tenant) {
+            quota.tokens -= 1.0;
+        }
     }
 }
--- /dev/null
+++ b/crates/load-balancing/src/settings/site.rs
@@ -0,0 +1,423 @@
+//! The form of a site's settings, and the settings of a balancer that follow from them.
+//!
+//! Times are in milliseconds.
+
+use serde::Deserialize;
+
+use super::span_from_ms;
+use crate::interface::{self, Span};
+
+fn one() -> f64 {
+    1.0
+}
+
+/// All settings of a site.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct SiteSettings {
+    /// Balancers in the fleet.
+    pub balancers: u32,
+    /// This balancer's number among them, from 0.
+    #[serde(default)]
+    pub position: u32,
+    /// Index of this balancer's zone.
+    #[serde(default)]
+    pub zone: u32,
+    /// Names of the zones.
+    #[serde(default)]
+    pub zones: Vec<String>,
+    /// Names of the machine kinds.
+    #[serde(default)]
+    pub machine_types: Vec<String>,
+    /// Events are delivered at most this often, in milliseconds.
+    pub tick: f64,
+    /// How the list of upstreams comes.
+    pub registry_mode: RegistryMode,
+    /// Request classes.
+    pub services: Vec<Service>,
+    /// Tenants; may be empty.
+    #[serde(default)]
+    pub tenants: Vec<Tenant>,
+    /// What the site allows.
+    pub policy_limits: PolicyLimits,
+    /// Figures of the rules.
+    pub safety: Safety,
+    /// What things cost.
+    #[serde(default)]
+    pub prices: Prices,
+    /// Load reports of upstreams.
+    #[serde(default)]
+    pub stats: Stats,
+    /// How the service is judged.
+    #[serde(default)]
+    pub scoring_mix: ScoringMix,
+    /// What clients do.
+    #[serde(default)]
+    pub client_habits: ClientHabits,
+    /// What value counts by.
+    #[serde(default)]
+    pub counted_by: CountedBy,
+    /// Value of a request beyond its tenant's quota, relative to its class's.
+    #[serde(default = "one", rename = "OverShareWorth")]
+    pub over_quota_value: f64,
+}
+
+/// Weights of the parts of the service that the site judges by.
+#[derive(Clone, Debug, Deserialize, Default)]
+#[serde(rename_all = "PascalCase", default)]
+pub struct ScoringMix {
+    /// The whole run.
+    pub whole: f64,
+    /// Its worst stretch.
+    pub worst_window: f64,
+    /// The worst-served class.
+    pub worst_class: f64,
+    /// The worst-served tenant.
+    pub worst_tenant: f64,
+}
+
+/// What clients do.
+#[derive(Clone, Debug, Deserialize, Default)]
+#[serde(rename_all = "PascalCase", default)]
+pub struct ClientHabits {
+    /// They mark their retries.
+    pub marks_retry: bool,
+}
+
+/// What value counts by.
+#[derive(Clone, Debug, Deserialize, Default, PartialEq)]
+#[serde(rename_all = "lowercase")]
+pub enum CountedBy {
+    /// By request.
+    #[default]
+    Request,
+    /// By unit of work.
+    Work,
+}
+
+/// How the list of upstreams comes.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
+#[serde(rename_all = "lowercase")]
+pub enum RegistryMode {
+    /// By itself.
+    Automatic,
+    /// Once it is requested.
+    Subscribe,
+}
+
+/// A class of requests.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct Service {
+    /// Its name.
+    #[serde(default)]
+    pub name: String,
+    /// An answer within this time earns the full value, in milliseconds.
+    #[serde(rename = "Aim")]
+    pub latency_target: f64,
+    /// The longest that a client waits, in milliseconds.
+    pub deadline: f64,
+    /// What repeating a request does.
+    pub effect: Effect,
+    /// Which upstreams drop repeats.
+    #[serde(default, rename = "Group")]
+    pub dedup_group: Group,
+    /// Value of one request.
+    #[serde(default = "one", rename = "Importance")]
+    pub value: f64,
+    /// Share of the value that a late answer earns.
+    #[serde(default)]
+    pub late_value: f64,
+    /// For how long upstreams drop repeats, in milliseconds.
+    #[serde(default, rename = "Window")]
+    pub dedup_window: f64,
+    /// The latency target grows by this multiple of a request's work.
+    #[serde(default, rename = "AimStretch")]
+    pub latency_target_stretch: f64,
+    /// The response is a stream.
+    #[serde(default)]
+    pub streaming: bool,
+    /// Requests of one key run one at a time, in the order of their arrival.
+    #[serde(default, rename = "ByArrival")]
+    pub in_order: bool,
+    /// The only zones it may be sent to, by index.
+    #[serde(default, rename = "ZonesAllowed")]
+    pub zones: Option<Vec<u32>>,
+    /// The only machine kinds it may be sent to, by index.
+    #[serde(default, rename = "BoundTo")]
+    pub kinds: Option<Vec<u32>>,
+}
+
+/// What repeating a request does.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum Effect {
+    /// Nothing: it is idempotent.
+    Retryable,
+    /// Upstreams of a group drop it.
+    Dedup,
+    /// It runs twice.
+    Fragile,
+}
+
+/// Which upstreams drop each other's repeats.
+#[derive(Clone, Debug, Deserialize, Default)]
+#[serde(rename_all = "lowercase")]
+pub enum Group {
+    /// All of them.
+    #[default]
+    All,
+    /// Those of one zone.
+    Zone,
+    /// Those of one cell.
+    Cell,
+}
+
+/// A tenant and its share of the service.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct Tenant {
+    /// Its name.
+    #[serde(default)]
+    pub name: String,
+    /// Requests per second within its quota, over all balancers.
+    #[serde(default)]
+    pub quota_rps: f64,
+    /// Its share of the service.
+    #[serde(default)]
+    pub share: f64,
+}
+
+/// What the site allows.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct PolicyLimits {
+    /// Most attempts of one request.
+    pub max_attempts: usize,
+    /// Two attempts of a request may be in flight at once.
+    #[serde(default, rename = "SecondCopies")]
+    pub hedging: bool,
+    /// Attempts may be cancelled.
+    #[serde(default, rename = "Cancelling")]
+    pub cancel: bool,
+    /// Upstreams may be probed.
+    #[serde(default)]
+    pub probes: bool,
+    /// Clients are given retry advice.
+    #[serde(default)]
+    pub retry_after: bool,
+    /// Longest advice that a client heeds, in milliseconds.
+    #[serde(default)]
+    pub max_retry_after: f64,
+    /// A connection not made within this counts as failed, in milliseconds.
+    #[serde(default)]
+    pub connect_timeout: f64,
+    /// Idle connections close after this, in milliseconds.
+    #[serde(default)]
+    pub keepalive: f64,
+    /// Attempts that one connection carries at once.
+    #[serde(default)]
+    pub streams_per_conn: u32,
+}
+
+/// Figures of the rules.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct Safety {
+    /// The longest silence of the list before a change counts as told, in milliseconds.
+    #[serde(default, rename = "AskEvery")]
+    pub membership_poll_interval: f64,
+    /// How long after news of draining a send may still go out, in milliseconds.
+    #[serde(default)]
+    pub drain_grace: f64,
+    /// A final answer this long after the deadline still counts, in milliseconds.
+    #[serde(default)]
+    pub answer_slack: f64,
+    /// An upstream has its full capacity this long after its start, in milliseconds.
+    #[serde(rename = "Cold")]
+    pub slow_start_duration: f64,
+    /// An upstream starts at this share of its capacity.
+    #[serde(rename = "ColdFrom")]
+    pub slow_start_min_capacity: f64,
+    /// An upstream falls over when it is sent more than this multiple of its present capacity
+    #[serde(rename = "FallMultiple")]
+    pub overload_multiple: f64,
+    /// for this long, in milliseconds.
+    #[serde(rename = "TipAfter")]
+    pub overload_window: f64,
+    /// Idle connections to a draining upstream must be closed within this, in milliseconds.
+    #[serde(default, rename = "DrainClose")]
+    pub drain_close_timeout: f64,
+    /// How long a key is blocked after an attempt that may still be running, in milliseconds.
+    #[serde(default, rename = "TurnGap")]
+    pub ordered_retry_delay: f64,
+}
+
+/// What things cost, in shares of all value.
+#[derive(Clone, Debug, Deserialize, Default)]
+#[serde(rename_all = "PascalCase", default)]
+pub struct Prices {
+    /// An attempt that crosses zones.
+    pub cross_zone: f64,
+    /// Upstream work that served no answer.
+    pub waste: f64,
+    /// A new connection.
+    pub handshake: f64,
+    /// A probe.
+    pub probe: f64,
+    /// Value that ends unserved after its latency target.
+    pub late_fail: f64,
+}
+
+/// Load reports of upstreams.
+#[derive(Clone, Debug, Deserialize, Default)]
+#[serde(rename_all = "PascalCase", default)]
+pub struct Stats {
+    /// Names of the values of a report, in their order; see
+    /// [`LoadReportField`](crate::settings::LoadReportField).
+    pub names: Vec<String>,
+    /// How reports come.
+    #[serde(rename = "How")]
+    pub mode: LoadReportMode,
+}
+
+/// How load reports come.
+#[derive(Clone, Debug, Deserialize, Default)]
+#[serde(rename_all = "lowercase")]
+pub enum LoadReportMode {
+    /// With answers and probes.
+    Piggyback,
+    /// With probes only.
+    Pull,
+    /// Not at all.
+    #[default]
+    Silent,
+}
+
+impl SiteSettings {
+    /// The settings of a balancer of this site: names become indexes, milliseconds microseconds.
+    pub fn to_settings(&self) -> interface::Settings {
+        interface::Settings {
+            classes: self.services.iter().map(Service::to_class).collect(),
+            tenants: self.tenants.iter().map(Tenant::to_tenant).collect(),
+            balancers: self.balancers,
+            position: self.position,
+            zones: self.zones.len() as u32,
+            zone: self.zone,
+            zone_distances: Vec::new(),
+            tick: span_from_ms(self.tick),
+            membership_by_request: self.registry_mode == RegistryMode::Subscribe,
+            limits: self.policy_limits.to_limits(),
+            rules: self.safety.to_rules(),
+            prices: self.prices.to_prices(),
+            scoring_mix: self.scoring_mix.to_scoring_mix(),
+            over_quota_value: self.over_quota_value,
+            value_by_work: self.counted_by == CountedBy::Work,
+            clients_mark_retries: self.client_habits.marks_retry,
+            load_report_source: match self.stats.mode {
+                LoadReportMode::Piggyback => interface::LoadReportSource::Answers,
+                LoadReportMode::Pull => interface::LoadReportSource::Probes,
+                LoadReportMode::Silent => interface::LoadReportSource::None,
+            },
+        }
+    }
+}
+
+impl Service {
+    fn to_class(&self) -> interface::RequestClass {
+        interface::RequestClass {
+            latency_target: span_from_ms(self.latency_target),
+            deadline: span_from_ms(self.deadline),
+            value: self.value,
+            late_value: self.late_value,
+            effect: match self.effect {
+                Effect::Retryable => interface::Effect::Safe,
+                Effect::Dedup => interface::Effect::Keyed,
+                Effect::Fragile => interface::Effect::Unsafe,
+            },
+            dedup_group: match self.dedup_group {
+                Group::All => interface::DedupGroup::All,
+                Group::Zone => interface::DedupGroup::Zone,
+                Group::Cell => interface::DedupGroup::Cell,
+            },
+            dedup_window: span_from_ms(self.dedup_window),
+            latency_target_stretch: self.latency_target_stretch,
+            streaming: self.streaming,
+            in_order: self.in_order,
+            zones: self.zones.clone(),
+            kinds: self.kinds.clone(),
+            max_attempts: None,
+            retired: false,
+        }
+    }
+}
+
+impl Tenant {
+    fn to_tenant(&self) -> interface::Tenant {
+        interface::Tenant {
+            quota_rps: self.quota_rps,
+            share: self.share,
+        }
+    }
+}
+
+impl PolicyLimits {
+    fn to_limits(&self) -> interface::Limits {
+        interface::Limits {
+            max_attempts: self.max_attempts,
+            hedging: self.hedging,
+            cancel: self.cancel,
+            probes: self.probes,
+            retry_after: self.retry_after,
+            max_retry_after: span_from_ms(self.max_retry_after),
+            connect_timeout: span_from_ms(self.connect_timeout),
+            keepalive: span_from_ms(self.keepalive),
+            streams_per_conn: self.streams_per_conn,
+        }
+    }
+}
+
+impl Safety {
+    /// A site states neither a slow-start rate nor a retry budget.
+    fn to_rules(&self) -> interface::Rules {
+        interface::Rules {
+            slow_start_min_capacity: self.slow_start_min_capacity,
+            slow_start_duration: span_from_ms(self.slow_start_duration),
+            slow_start_rate_per_s: 0.0,
+            slow_start_credit_ttl: Span(0),
+            overload_multiple: self.overload_multiple,
+            overload_window: span_from_ms(self.overload_window),
+            drain_grace: span_from_ms(self.drain_grace),
+            answer_slack: span_from_ms(self.answer_slack),
+            membership_poll_interval: span_from_ms(self.membership_poll_interval),
+            drain_close_timeout: span_from_ms(self.drain_close_timeout),
+            ordered_retry_delay: span_from_ms(self.ordered_retry_delay),
+            retry_window: Span(0),
+            retry_ratio: 0.0,
+            retry_allowance: 0.0,
+        }
+    }
+}
+
+impl Prices {
+    fn to_prices(&self) -> interface::Prices {
+        interface::Prices {
+            cross_zone: self.cross_zone,
+            waste: self.waste,
+            handshake: self.handshake,
+            probe: self.probe,
+            late_fail: self.late_fail,
+        }
+    }
+}
+
+impl ScoringMix {
+    fn to_scoring_mix(&self) -> interface::ScoringMix {
+        interface::ScoringMix {
+            whole: self.whole,
+            worst_window: self.worst_window,
+            worst_class: self.worst_class,
+            worst_tenant: self.worst_tenant,
+        }
+    }
+}
--- a/crates/load-balancing/tests/common/mod.rs
+++ b/crates/load-balancing/tests/common/mod.rs
@@ -7,9 +7,9 @@
 use load_balancing::interface::*;
 use load_balancing::policy::Balancer;
 
-pub const MS: i64 = 1000;
+pub(crate) const MS: i64 = 1000;
 
-pub fn class(effect: Effect) -> RequestClass {
+pub(crate) fn class(effect: Effect) -> RequestClass {
     RequestClass {
         latency_target: Span(200 * MS),
         deadline: Span(600 * MS),
@@ -28,7 +28,7 @@
     }
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         classes: vec![
             class(Effect::Safe),
@@ -82,7 +82,7 @@
     }
 }
 
-pub fn member(id: u32, zone: u32) -> Endpoint {
+pub(crate) fn member(id: u32, zone: u32) -> Endpoint {
     Endpoint {
         id: ServerId(id),
         identity: u64::from(id) * 7919,
@@ -97,7 +97,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Try {
+pub(crate) struct Try {
     pub server: ServerId,
     pub sent: Time,
     pub ended: Option<AttemptOutcome>,
@@ -105,7 +105,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub(crate) struct Asked {
     pub class: usize,
     pub key: Option<u64>,
     /// Its place among all that were taken.
@@ -115,7 +115,7 @@
     pub over: bool,
 }
 
-pub struct World {
+pub(crate) struct World {
     pub settings: Settings,
     pub balancer: Balancer,
     pub now: Time,
@@ -131,7 +131,7 @@
 }
 
 impl World {
-    pub fn new(settings: Settings) -> Self {
+    pub(crate) fn new(settings: Settings) -> Self {
         let now = Time(1_000_000 * MS);
         let balancer = Balancer::new(settings.clone(), 7, now).expect("settings are sound");
         let mut world = Self {
@@ -158,14 +158,14 @@
         }
     }
 
-    pub fn with_servers(settings: Settings, n: u32) -> Self {
+    pub(crate) fn with_servers(settings: Settings, n: u32) -> Self {
         let mut world = Self::new(settings);
         let list: Vec<_> = (0..n).map(|i| member(i, i % 2)).collect();
         world.list(MembershipKind::Restored, &list);
         world
     }
 
-    pub fn list(&mut self, kind: MembershipKind, list: &[Endpoint]) {
+    pub(crate) fn list(&mut self, kind: MembershipKind, list: &[Endpoint]) {
         if matches!(kind, MembershipKind::Complete | MembershipKind::Restored) {
             self.members
                 .values_mut()
@@ -184,20 +184,20 @@
         self.tell(Event::Membership { kind, list });
     }
 
-    pub fn request(&mut self, id: u64, class: usize) {
+    pub(crate) fn request(&mut self, id: u64, class: usize) {
         let wait = self.settings.classes[class].deadline;
         self.request_until(id, class, self.now.plus(wait));
     }
 
-    pub fn request_until(&mut self, id: u64, class: usize, drop_dead: Time) {
+    pub(crate) fn request_until(&mut self, id: u64, class: usize, drop_dead: Time) {
         self.request_of(0, id, class, drop_dead);
     }
 
-    pub fn request_of(&mut self, tenant: usize, id: u64, class: usize, drop_dead: Time) {
+    pub(crate) fn request_of(&mut self, tenant: usize, id: u64, class: usize, drop_dead: Time) {
         self.request_with(tenant, id, class, drop_dead, Some(id % 5));
     }
 
-    pub fn request_with(
+    pub(crate) fn request_with(
         &mut self,
         tenant: usize,
         id: u64,
@@ -232,7 +232,7 @@
     }
 
     /// Ends an attempt that is out; does nothing if there is none such.
-    pub fn outcome(&mut self, id: u64, attempt: usize, outcome: AttemptOutcome) {
+    pub(crate) fn outcome(&mut self, id: u64, attempt: usize, outcome: AttemptOutcome) {
         let Some(asked) = self.asked.get_mut(&id) else {
             return;
         };
@@ -259,7 +259,7 @@
         }
     }
 
-    pub fn gone(&mut self, id: u64) {
+    pub(crate) fn gone(&mut self, id: u64) {
         if let Some(asked) = self.asked.get_mut(&id) {
             asked.over = true;
         }
@@ -282,7 +282,7 @@
     }
 
     /// Lets time pass, firing timers; attempts end as time-outs at their request's end.
-    pub fn pass(&mut self, span: Span) {
+    pub(crate) fn pass(&mut self, span: Span) {
         let end = self.now.plus(span);
         while let Some(i) = (0..self.timers.len()).min_by_key(|&i| self.timers[i].1) {
             if self.timers[i].1 > end {
@@ -456,7 +456,7 @@
         self.members[&id.0].zone
     }
 
-    pub fn out(&self, id: u64) -> Option<ServerId> {
+    pub(crate) fn out(&self, id: u64) -> Option<ServerId> {
         self.asked[&id]
             .tries
             .iter()
@@ -465,19 +465,19 @@
             .map(|t| t.server)
     }
 
-    pub fn refused(&self, id: u64) -> bool {
+    pub(crate) fn refused(&self, id: u64) -> bool {
         self.log
             .iter()
             .any(|a| matches!(a, Action::Reject { request, .. } if request.0 == id))
     }
 
-    pub fn failed(&self, id: u64) -> bool {
+    pub(crate) fn failed(&self, id: u64) -> bool {
         self.log.contains(&Action::Fail {
             request: RequestId(id),
         })
     }
 
-    pub fn sends_to(&self, server: u32) -> usize {
+    pub(crate) fn sends_to(&self, server: u32) -> usize {
         let to = |a: &&Action| matches!(a, Action::Send { server: s, .. } if s.0 == server);
         self.log.iter().filter(to).count()
     }
--- a/crates/load-balancing/tests/fleet/bank.rs
+++ b/crates/load-balancing/tests/fleet/bank.rs
@@ -17,7 +17,7 @@
 /// Requests that wait at an upstream at most.
 const QUEUE: usize = 12;
 
-pub struct Plan {
+pub(crate) struct Plan {
     pub balancers: u32,
     pub upstreams: u32,
 }
@@ -35,7 +35,7 @@
     held: Vec<Time>,
 }
 
-pub struct Bank {
+pub(crate) struct Bank {
     plan: Plan,
     now: Time,
     rng: Rand64,
@@ -54,7 +54,7 @@
 
 impl Bank {
     /// A bank whose proxies all know the same upstreams.
-    pub fn new(plan: Plan) -> Self {
+    pub(crate) fn new(plan: Plan) -> Self {
         let now = Time(1_000_000 * MS);
         let of = |position| {
             let all = Settings {
@@ -97,7 +97,7 @@
     }
 
     /// So many milliseconds of traffic that keeps this share of the upstreams busy.
-    pub fn run(&mut self, ms: i64, load: f64) {
+    pub(crate) fn run(&mut self, ms: i64, load: f64) {
         let end = self.now.plus(Span(ms * MS));
         let each = f64::from(self.plan.balancers) / f64::from(self.plan.upstreams);
         let gap = WORK_MS * each / load * MS as f64;
--- a/crates/load-balancing/tests/mechanism.rs
+++ b/crates/load-balancing/tests/mechanism.rs
@@ -6,7 +6,7 @@
 
 use common::{Asked, MS, Try, World, member, settings};
 use load_balancing::interface::*;
-use load_balancing::policy::Balancer;
+use load_balancing::policy::{Balancer, UpstreamLimits};
 
 fn serve(w: &mut World, id: u64, ms: i64) {
     w.pass(Span(ms * MS));
@@ -16,7 +16,9 @@
 #[test]
 fn holds_when_every_slot_is_taken_and_keeps_arrival_order() {
     let mut w = World::with_servers(settings(), 1);
-    let (_, k, _) = w.balancer.upstream_limits(ServerId(0), Span(MS)).unwrap();
+    let UpstreamLimits {
+        max_in_flight: k, ..
+    } = w.balancer.upstream_limits(ServerId(0), Span(MS)).unwrap();
     let k = u64::from(k);
     for id in 0..k + 2 {
         w.request(id, 0);
@@ -46,7 +48,11 @@
         w.pass(Span(40 * MS));
         w.outcome(id, 0, AttemptOutcome::Ok);
     }
-    let (_, k, n) = w
+    let UpstreamLimits {
+        max_in_flight: k,
+        max_admitted: n,
+        ..
+    } = w
         .balancer
         .upstream_limits(ServerId(0), Span(600 * MS))
         .unwrap();
@@ -106,7 +112,10 @@
     let w = World::with_servers(s, 4);
     for i in 0..4 {
         assert_eq!(
-            w.balancer.upstream_limits(ServerId(i), Span(MS)).unwrap().1,
+            w.balancer
+                .upstream_limits(ServerId(i), Span(MS))
+                .unwrap()
+                .max_in_flight,
             1
         );
     }
@@ -216,7 +225,12 @@
         w.pass(Span(10 * MS));
         w.outcome(id, 0, AttemptOutcome::Ok);
     }
-    let at = |w: &World| w.balancer.upstream_limits(ServerId(0), Span(MS)).unwrap().0;
+    let at = |w: &World| {
+        w.balancer
+            .upstream_limits(ServerId(0), Span(MS))
+            .unwrap()
+            .in_flight
+    };
     w.request(100, 2);
     assert_eq!(at(&w), 1, "its answer is lost");
     w.pass(Span(220 * MS));
@@ -246,7 +260,7 @@
         w.balancer
             .upstream_limits(ServerId(0), Span(MS))
             .expect("known")
-            .0
+            .in_flight
     };
     w.request(100, 0);
     assert_eq!(at(&w), 1);
@@ -618,7 +632,12 @@
         known = w.log.len();
     }
     (0..4)
-        .map(|i| w.balancer.upstream_limits(ServerId(i), Span(MS)).unwrap().1)
+        .map(|i| {
+            w.balancer
+                .upstream_limits(ServerId(i), Span(MS))
+                .unwrap()
+                .max_in_flight
+        })
         .max()
         .unwrap()
 }
@@ -699,7 +718,11 @@
         w.pass(Span(190 * MS));
         w.outcome(id, 0, AttemptOutcome::Ok);
     }
-    let (_, k, n) = w
+    let UpstreamLimits {
+        max_in_flight: k,
+        max_admitted: n,
+        ..
+    } = w
         .balancer
         .upstream_limits(ServerId(0), Span(200 * MS))
         .unwrap();
--- a/crates/load-balancing/tests/rules.rs
+++ b/crates/load-balancing/tests/rules.rs
@@ -4,6 +4,7 @@
 
 use common::{MS, World, member, settings};
 use load_balancing::interface::*;
+use load_balancing::policy::UpstreamLimits;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -538,7 +539,11 @@
         w.balancer
             .handle(w.now, Event::AttemptEnded(answer(id, latency)), &mut vec![]);
     }
-    let (_, k, n) = w
+    let UpstreamLimits {
+        max_in_flight: k,
+        max_admitted: n,
+        ..
+    } = w
         .balancer
         .upstream_limits(ServerId(0), Span(200 * MS))
         .unwrap();
--- a/crates/load-balancing/tests/told.rs
+++ b/crates/load-balancing/tests/told.rs
@@ -4,7 +4,7 @@
 
 use common::{MS, class, settings};
 use load_balancing::interface::*;
-use load_balancing::policy::Balancer;
+use load_balancing::policy::{Balancer, UpstreamLimits};
 
 fn told(id: u32, slots: u32, zone: u32) -> Endpoint {
     Endpoint {
@@ -257,7 +257,9 @@
 #[test]
 fn told_slots_are_the_lanes_of_k() {
     let host = Host::new(settings(), &[told(0, 6, 0)]);
-    let (_, k, _) = host
+    let UpstreamLimits {
+        max_in_flight: k, ..
+    } = host
         .balancer
         .upstream_limits(ServerId(0), Span(1000 * MS))
         .expect("known");
