--- a/crates/data-plane/src/engine/requests.rs
+++ b/crates/data-plane/src/engine/requests.rs
@@ -23,7 +23,7 @@
         &mut self,
         id: RequestId,
         service: usize,
-        incoming: IncomingRequest,
+        incoming: &IncomingRequest,
         forwarded: ForwardedRequest,
         reply: oneshot::Sender<EngineReply>,
     ) {
--- a/crates/data-plane/src/engine/tests.rs
+++ b/crates/data-plane/src/engine/tests.rs
@@ -191,7 +191,7 @@
     };
     let body = String::from_utf8_lossy(response.body()).into_owned();
     assert_eq!(
-        response.headers().get(SEAL).map(|s| s.as_bytes()),
+        response.headers().get(SEAL).map(HeaderValue::as_bytes),
         Some(body.as_bytes())
     );
     Some((response.status().as_u16(), body))
--- a/crates/data-plane/src/upstream_connection/tests.rs
+++ b/crates/data-plane/src/upstream_connection/tests.rs
@@ -548,15 +548,37 @@
     }
 }
 
+const LENGTH: &str = "Content-Length: 3\r\n";
+
+/// A head that answers request `b`.
+fn head(version: &str, status: &str, lines: &str) -> String {
+    format!("HTTP/{version} {status}\r\nAttempt-Id: b\r\n{lines}\r\n")
+}
+
+fn ok(lines: &str, body: &str) -> String {
+    head("1.1", "200 OK", lines) + body
+}
+
+fn chunked(body: &str) -> String {
+    ok("Transfer-Encoding: chunked\r\n", body)
+}
+
+/// None of these responses is accepted, on a new connection or on one that has carried a request.
+async fn assert_refused(responses: &[String]) {
+    for text in responses {
+        for carried in [&[][..], &["a"][..]] {
+            assert_eq!(
+                exchange_with(carried, &Method::GET, text).await,
+                (None, false),
+                "{text:?}"
+            );
+        }
+    }
+}
+
 #[tokio::test(start_paused = true)]
-async fn ambiguously_framed_response_is_refused() {
-    let head = |version: &str, status: &str, lines: &str| {
-        format!("HTTP/{version} {status}\r\nAttempt-Id: b\r\n{lines}\r\n")
-    };
-    let ok = |lines: &str, body: &str| head("1.1", "200 OK", lines) + body;
-    let chunked = |body: &str| ok("Transfer-Encoding: chunked\r\n", body);
-    let length = "Content-Length: 3\r\n";
-    let refused = [
+async fn response_with_ambiguous_length_is_refused() {
+    assert_refused(&[
         // Only the end of the connection ends it: whole, cut, and with an older version.
         ok("", "own"),
         ok("Connection: close\r\n", "own"),
@@ -572,6 +594,13 @@
         ok("Content-Length:\r\n", "own"),
         ok("Content-Length: 99999999999999999999999\r\n", "own"),
         ok("Content-Length: 4\r\n", "own"),
+    ])
+    .await;
+}
+
+#[tokio::test(start_paused = true)]
+async fn response_with_unsupported_coding_is_refused() {
+    assert_refused(&[
         // Codings.
         ok(
             "Transfer-Encoding: gzip, chunked\r\n",
@@ -591,6 +620,13 @@
             "3\r\nown\r\n0\r\n\r\n",
         ),
         head("1.0", "200 OK", "Transfer-Encoding: chunked\r\n") + "3\r\nown\r\n0\r\n\r\n",
+    ])
+    .await;
+}
+
+#[tokio::test(start_paused = true)]
+async fn response_with_malformed_chunks_is_refused() {
+    assert_refused(&[
         // Chunks.
         chunked("3\r\nown\r\n"),
         chunked("3\r\nown\r\n0\r\n"),
@@ -608,34 +644,37 @@
         chunked("3 3\r\nown\r\n0\r\n\r\n"),
         chunked("10000000000000003\r\nown\r\n0\r\n\r\n"),
         chunked("fffffffffffffffe\r\nown\r\n0\r\n\r\n"),
+    ])
+    .await;
+}
+
+#[tokio::test(start_paused = true)]
+async fn response_with_malformed_head_or_forbidden_body_is_refused() {
+    assert_refused(&[
         // Heads.
         ok("Content-Length: 3\n", "own"),
         ok("X: 1\r\n folded\r\nContent-Length: 3\r\n", "own"),
         ok("X: \0\r\nContent-Length: 3\r\n", "own"),
         ok("X : 1\r\nContent-Length: 3\r\n", "own"),
         ok("X: 1\rContent-Length: 3\r\n", "own"),
-        head("1.1", "600 Odd", length) + "own",
-        head("1.1", "099 Odd", length) + "own",
-        head("2.0", "200 OK", length) + "own",
+        head("1.1", "600 Odd", LENGTH) + "own",
+        head("1.1", "099 Odd", LENGTH) + "own",
+        head("2.0", "200 OK", LENGTH) + "own",
         // No body may come, and one is announced.
-        head("1.1", "204 No Content", length) + "own",
+        head("1.1", "204 No Content", LENGTH) + "own",
         head("1.1", "204 No Content", "Transfer-Encoding: chunked\r\n") + "0\r\n\r\n",
-        head("1.1", "103 Early Hints", length) + "own" + &answer("b", "own"),
-    ];
-    for text in refused {
-        for carried in [&[][..], &["a"][..]] {
-            assert_eq!(
-                exchange_with(carried, &Method::GET, &text).await,
-                (None, false),
-                "{text:?}"
-            );
-        }
-    }
+        head("1.1", "103 Early Hints", LENGTH) + "own" + &answer("b", "own"),
+    ])
+    .await;
+}
+
+#[tokio::test(start_paused = true)]
+async fn unambiguously_framed_response_is_accepted() {
     let own = Some("own".to_string());
     for text in [
-        ok(length, "own"),
+        ok(LENGTH, "own"),
         ok("Content-Length: 003\r\n", "own"),
-        head("1.0", "200 OK", length) + "own",
+        head("1.0", "200 OK", LENGTH) + "own",
         chunked("3\r\nown\r\n0\r\n\r\n"),
         chunked("1;x\r\no\r\n002 ;x=\"y\"\r\nwn\r\n0;z\r\nTrail: 1\r\nTrail: 2\r\n\r\n"),
     ] {
@@ -645,10 +684,15 @@
             "{text:?}"
         );
     }
+}
+
+#[tokio::test(start_paused = true)]
+async fn connection_is_reusable_unless_the_response_closes_it() {
+    let own = Some("own".to_string());
     // Whether another request may follow.
     for (text, follows) in [
-        (ok(length, "own"), true),
-        (head("1.0", "200 OK", length) + "own", false),
+        (ok(LENGTH, "own"), true),
+        (head("1.0", "200 OK", LENGTH) + "own", false),
         (
             ok("Connection: x, Close\r\nContent-Length: 3\r\n", "own"),
             false,
@@ -660,12 +704,16 @@
             "{text:?}"
         );
     }
+}
+
+#[tokio::test(start_paused = true)]
+async fn response_without_body_ends_with_its_head() {
     // Without a body, whatever they announce; what follows is nobody's.
     let none = Some(String::new());
     for (method, text) in [
         (Method::GET, head("1.1", "204 No Content", "") + "own"),
-        (Method::GET, head("1.1", "304 Not Modified", length) + "own"),
-        (Method::HEAD, ok(length, "own")),
+        (Method::GET, head("1.1", "304 Not Modified", LENGTH) + "own"),
+        (Method::HEAD, ok(LENGTH, "own")),
         (Method::HEAD, ok("Transfer-Encoding: chunked\r\n", "")),
     ] {
         assert_eq!(
--- a/crates/data-plane/src/upstream_pool/tests.rs
+++ b/crates/data-plane/src/upstream_pool/tests.rs
@@ -3,9 +3,11 @@
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Method, StatusCode, Uri};
+use load_balancing::interface::{AttemptOutcome, LoadReport};
 use load_balancing::settings::LoadReportField;
 
 use super::*;
+use crate::upstream_connection::ResponseFault;
 
 #[test]
 fn named_load_report_is_read_as_far_as_understood() {
@@ -93,3 +95,30 @@
          content-length: 0\r\n\r\n"
     );
 }
+
+#[test]
+fn attempt_error_says_whether_the_request_may_have_run() {
+    use AttemptError as E;
+    let reset = || std::io::Error::from(std::io::ErrorKind::ConnectionReset);
+    let (fault, report) = (ResponseFault::ConnectionEnded, LoadReport::default());
+    let (not_sent, not_issued) = (AttemptOutcome::ConnectFailed, AttemptOutcome::NotIssued);
+    let (upstream, internal) = (ErrorOrigin::Upstream, ErrorOrigin::Internal);
+    let incomplete = E::IncompleteResponse { fault, report };
+    for (error, outcome, origin) in [
+        (E::UnnamedUpstream, not_sent, internal),
+        (E::ConnectionLimit, not_sent, internal),
+        (E::Connect(reset()), not_sent, upstream),
+        (E::ConnectTimeout, not_sent, upstream),
+        (E::UpstreamClosed, not_issued, upstream),
+        (E::RequestAbandoned, not_issued, ErrorOrigin::Downstream),
+        (E::Send(reset()), not_sent, upstream),
+        (E::EndedBeforeSent(fault), not_sent, upstream),
+        (E::DeadlineBeforeSent, not_sent, upstream),
+        (E::ResponseTimeout, AttemptOutcome::Timeout, upstream),
+        (incomplete, AttemptOutcome::Reset, upstream),
+    ] {
+        assert_eq!((error.outcome(), error.origin()), (outcome, origin));
+        let may_have_run = ![not_sent, not_issued].contains(&outcome);
+        assert_eq!(error.may_have_run(), may_have_run, "{error}");
+    }
+}
--- a/crates/data-plane/tests/model/attempts.rs
+++ b/crates/data-plane/tests/model/attempts.rs
@@ -106,17 +106,7 @@
                 end: End::Silent,
                 ..nothing
             },
-            PlannedOutcome::ServedTwice => {
-                let again = Step::Surplus {
-                    back: 0,
-                    answer: ScriptedResponse::rejection(503),
-                };
-                Behaviour {
-                    steps: [served.steps, vec![again]].concat(),
-                    ..nothing
-                }
-                .that_runs()
-            }
+            PlannedOutcome::ServedTwice => with_late_rejection(ScriptedResponse::new(200, 10)),
             PlannedOutcome::OwnError => Behaviour::answers(ScriptedResponse::new(500, 10)),
             PlannedOutcome::UnprovenRejection => Behaviour::answers(ScriptedResponse::new(503, 10)),
             PlannedOutcome::Rejected => Behaviour::answers(ScriptedResponse::rejection(503)),
@@ -124,38 +114,31 @@
             PlannedOutcome::UpstreamReplaced => {
                 Behaviour::answers(ScriptedResponse::rejection(421))
             }
-            PlannedOutcome::CutResponse => {
-                let cut = ScriptedResponse {
+            PlannedOutcome::CutResponse => Behaviour {
+                end: End::Close,
+                ..Behaviour::answers(ScriptedResponse {
                     cut: Some(900),
                     ..ScriptedResponse::new(200, 100)
-                };
-                Behaviour {
-                    end: End::Close,
-                    ..Behaviour::answers(cut)
-                }
-            }
-            PlannedOutcome::ResponseWithoutId => {
-                let nameless = ScriptedResponse {
-                    echo: Echo::Missing,
-                    ..ScriptedResponse::new(200, 10)
-                };
-                let again = Step::Surplus {
-                    back: 0,
-                    answer: ScriptedResponse::rejection(503),
-                };
-                Behaviour {
-                    steps: vec![Step::Respond(nameless), again],
-                    ..nothing
-                }
-                .that_runs()
-            }
+                })
+            },
+            PlannedOutcome::ResponseWithoutId => with_late_rejection(ScriptedResponse {
+                echo: Echo::Missing,
+                ..ScriptedResponse::new(200, 10)
+            }),
         }
     }
 }
 
-impl Behaviour {
-    fn that_runs(self) -> Self {
-        Self { runs: true, ..self }
+/// The request is run, and a surplus rejection follows its response.
+fn with_late_rejection(response: ScriptedResponse) -> Behaviour {
+    let rejection = Step::Surplus {
+        back: 0,
+        answer: ScriptedResponse::rejection(503),
+    };
+    Behaviour {
+        runs: true,
+        steps: vec![Step::Respond(response), rejection],
+        ..Behaviour::answers(ScriptedResponse::new(200, 10))
     }
 }
 
--- a/crates/data-plane/tests/model/connection.rs
+++ b/crates/data-plane/tests/model/connection.rs
@@ -68,7 +68,7 @@
     }
 }
 
-pub fn pool(max_connections: usize) -> Rc<UpstreamPool> {
+pub(crate) fn pool(max_connections: usize) -> Rc<UpstreamPool> {
     UpstreamPool::new(PoolConfig {
         max_connections,
         keepalive: Duration::from_secs(8),
@@ -79,7 +79,7 @@
 }
 
 /// A request of a caller, whose path names the call.
-pub fn forward(call: usize, id: &str, method: &Method, body: usize) -> ForwardedRequest {
+pub(crate) fn forward(call: usize, id: &str, method: &Method, body: usize) -> ForwardedRequest {
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_static("h"));
     headers.insert("attempt-id", HeaderValue::from_str(id).expect("an id"));
--- a/crates/data-plane/tests/model/schedule.rs
+++ b/crates/data-plane/tests/model/schedule.rs
@@ -12,7 +12,7 @@
 const REUSED_IDS: usize = 3;
 const ALL_IDS: usize = 10_000;
 /// A body that fills the buffers on the way, so that writing has to wait.
-pub const SLOW_BODY_BYTES: usize = 3 << 20;
+pub(crate) const SLOW_BODY_BYTES: usize = 3 << 20;
 
 /// Bytes that nobody asked for and that are no response to a request.
 const GARBAGE: [&[u8]; 8] = [
@@ -28,7 +28,7 @@
 
 /// One attempt at an upstream.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub(crate) struct Call {
     pub upstream: usize,
     pub id: usize,
     pub method: Method,
@@ -49,11 +49,11 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Schedule {
+pub(crate) struct Schedule {
     pub calls: Vec<Call>,
 }
 
-pub fn id(number: usize) -> String {
+pub(crate) fn id(number: usize) -> String {
     format!("id-{number}")
 }
 
@@ -347,6 +347,6 @@
     )
 }
 
-pub fn schedule() -> impl Strategy<Value = Schedule> {
+pub(crate) fn schedule() -> impl Strategy<Value = Schedule> {
     vec(call(), 1..8).prop_map(|calls| Schedule { calls })
 }
--- a/crates/data-plane/tests/model/scripted_upstream.rs
+++ b/crates/data-plane/tests/model/scripted_upstream.rs
@@ -17,20 +17,20 @@
 use tokio::task::{JoinHandle, spawn_local};
 
 /// More than the buffers on the way to an upstream that reads nothing can hold.
-pub const LARGE_BODY_BYTES: usize = 6 << 20;
+pub(crate) const LARGE_BODY_BYTES: usize = 6 << 20;
 
 /// Fits into a socket's buffer.
 const SHORT_BODY_BYTES: usize = 1000;
 
 /// A request's body of `length` bytes.
-pub fn request_body(length: usize) -> Bytes {
+pub(crate) fn request_body(length: usize) -> Bytes {
     static LARGE: LazyLock<Bytes> = LazyLock::new(|| Bytes::from(vec![b'b'; LARGE_BODY_BYTES]));
     LARGE.slice(..length)
 }
 
 /// How a response names its request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Echo {
+pub(crate) enum Echo {
     Own,
     Missing,
     /// The request's id and then another.
@@ -40,7 +40,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Framing {
+pub(crate) enum Framing {
     Length,
     SameLengthTwice,
     Chunked,
@@ -60,7 +60,7 @@
 
 /// How a response is split into writes.
 #[derive(Clone, Debug)]
-pub enum Writes {
+pub(crate) enum Writes {
     One,
     /// Into two, after so many thousandths.
     SplitAt(u16),
@@ -70,7 +70,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct ScriptedResponse {
+pub(crate) struct ScriptedResponse {
     pub status: u16,
     pub not_run: bool,
     pub sealed: bool,
@@ -86,7 +86,7 @@
 }
 
 impl ScriptedResponse {
-    pub fn new(status: u16, body: usize) -> Self {
+    pub(crate) fn new(status: u16, body: usize) -> Self {
         Self {
             status,
             not_run: false,
@@ -101,7 +101,7 @@
         }
     }
 
-    pub fn rejection(status: u16) -> Self {
+    pub(crate) fn rejection(status: u16) -> Self {
         Self {
             not_run: true,
             sealed: false,
@@ -110,7 +110,7 @@
     }
 
     /// Whether its reader can tell which request it answers and where it ends, on any connection.
-    pub fn is_unambiguous(&self) -> bool {
+    pub(crate) fn is_unambiguous(&self) -> bool {
         let framed = [Framing::Length, Framing::Chunked, Framing::Trailers].contains(&self.framing);
         // A response without a body must announce none.
         let measured = ![204, 304].contains(&self.status) || self.framing == Framing::Length;
@@ -118,7 +118,7 @@
         framed && measured && alone && self.echo == Echo::Own && self.cut.is_none()
     }
 
-    pub fn has_no_body(&self, method: &Method) -> bool {
+    pub(crate) fn has_no_body(&self, method: &Method) -> bool {
         method == Method::HEAD || [204, 304].contains(&self.status)
     }
 
@@ -132,6 +132,15 @@
     fn render(&self, id: &str, serial: usize, method: &Method) -> (Vec<u8>, Vec<u8>) {
         let mut body = format!("{serial}.{id}.").into_bytes();
         body.extend_from_slice(&request_body(self.body));
+        let mut bytes = self.render_head(id, serial, body.len()).into_bytes();
+        if self.has_no_body(method) {
+            return (bytes, Vec::new());
+        }
+        self.append_body(&mut bytes, &body);
+        (bytes, body)
+    }
+
+    fn render_head(&self, id: &str, serial: usize, length: usize) -> String {
         let version = if self.http10 { "1.0" } else { "1.1" };
         let mut head = format!(
             "HTTP/{version} {} Word\r\nAnswer-Serial: {serial}\r\n",
@@ -150,7 +159,6 @@
         line(self.not_run, "Not-Run: 1\r\n");
         line(self.sealed, &format!("Upstream-Seal: seal-{serial}\r\n"));
         line(self.closes, "Connection: close\r\n");
-        let length = body.len();
         let chunked = "Transfer-Encoding: chunked\r\n";
         match self.framing {
             // Without a body there is no length (RFC 9110, 8.6).
@@ -174,13 +182,13 @@
             }
         }
         head.push_str("\r\n");
-        let mut bytes = head.into_bytes();
-        if self.has_no_body(method) {
-            return (bytes, Vec::new());
-        }
+        head
+    }
+
+    fn append_body(&self, bytes: &mut Vec<u8>, body: &[u8]) {
         match self.framing {
             Framing::Chunked | Framing::Trailers | Framing::LengthAndChunked => {
-                for chunk in body.chunks((length / 2).max(1)) {
+                for chunk in body.chunks((body.len() / 2).max(1)) {
                     bytes.extend(format!("{:x};part\r\n", chunk.len()).bytes());
                     bytes.extend_from_slice(chunk);
                     bytes.extend(b"\r\n");
@@ -192,14 +200,13 @@
                     b"0\r\n\r\n"
                 });
             }
-            _ => bytes.extend_from_slice(&body),
+            _ => bytes.extend_from_slice(body),
         }
-        (bytes, body)
     }
 }
 
 #[derive(Clone, Debug)]
-pub enum Step {
+pub(crate) enum Step {
     /// The response to the request; the first such step counts.
     Respond(ScriptedResponse),
     /// A further response to this request (0), or to the one so many before it on the connection.
@@ -214,7 +221,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub(crate) enum End {
     /// The connection serves the next request.
     Keep,
     Close,
@@ -227,7 +234,7 @@
 
 /// What an upstream does with one request.
 #[derive(Clone, Debug)]
-pub struct Behaviour {
+pub(crate) struct Behaviour {
     /// Steps before the body is read.
     pub before_body: Vec<Step>,
     pub reads_body: bool,
@@ -238,7 +245,7 @@
 }
 
 impl Behaviour {
-    pub fn answers(answer: ScriptedResponse) -> Self {
+    pub(crate) fn answers(answer: ScriptedResponse) -> Self {
         let runs = !answer.not_run && answer.status != 421;
         let steps = vec![Step::Respond(answer)];
         Self {
@@ -250,11 +257,11 @@
         }
     }
 
-    pub fn all_steps(&self) -> impl Iterator<Item = &Step> {
+    pub(crate) fn all_steps(&self) -> impl Iterator<Item = &Step> {
         self.before_body.iter().chain(&self.steps)
     }
 
-    pub fn response(&self) -> Option<&ScriptedResponse> {
+    pub(crate) fn response(&self) -> Option<&ScriptedResponse> {
         self.all_steps().find_map(|step| {
             if let Step::Respond(answer) = step {
                 Some(answer)
@@ -266,7 +273,7 @@
 }
 
 /// A request as the upstream read it.
-pub struct Request {
+pub(crate) struct Request {
     /// Which call of the schedule it is, by its path.
     pub call: usize,
     method: Method,
@@ -306,7 +313,7 @@
 
 /// The upstream's response to a request.
 #[derive(Clone, Debug)]
-pub struct GivenResponse {
+pub(crate) struct GivenResponse {
     pub status: u16,
     pub serial: usize,
     pub body: Vec<u8>,
@@ -317,7 +324,7 @@
 
 /// What the upstreams saw of one call.
 #[derive(Clone, Debug, Default)]
-pub struct CallRecord {
+pub(crate) struct CallRecord {
     /// How many requests came for it.
     pub requests: usize,
     pub runs: usize,
@@ -332,7 +339,7 @@
 type Script = Box<dyn Fn(&Request) -> Behaviour>;
 
 /// Upstreams that follow one script.
-pub struct ScriptedUpstreams {
+pub(crate) struct ScriptedUpstreams {
     script: Script,
     addresses: RefCell<Vec<SocketAddr>>,
     names: RefCell<Vec<String>>,
@@ -351,7 +358,7 @@
 }
 
 impl ScriptedUpstreams {
-    pub async fn start(upstreams: usize, script: Script) -> Rc<Self> {
+    pub(crate) async fn start(upstreams: usize, script: Script) -> Rc<Self> {
         let this = Rc::new(Self {
             script,
             addresses: RefCell::default(),
@@ -386,16 +393,16 @@
         }
     }
 
-    pub fn address(&self, upstream: usize) -> SocketAddr {
+    pub(crate) fn address(&self, upstream: usize) -> SocketAddr {
         self.addresses.borrow()[upstream]
     }
 
-    pub fn name(&self, upstream: usize) -> String {
+    pub(crate) fn name(&self, upstream: usize) -> String {
         self.names.borrow()[upstream].clone()
     }
 
     /// Ends the upstream, and starts another at its address.
-    pub fn restart(&self, upstream: usize, incarnation: usize) {
+    pub(crate) fn restart(&self, upstream: usize, incarnation: usize) {
         self.names.borrow_mut()[upstream] = format!("i-{upstream}-{incarnation}");
         self.connections.borrow_mut().retain(|(u, task)| {
             if *u == upstream {
@@ -405,7 +412,7 @@
         });
     }
 
-    pub fn record(&self, call: usize) -> CallRecord {
+    pub(crate) fn record(&self, call: usize) -> CallRecord {
         self.records
             .borrow()
             .get(&call)
@@ -423,20 +430,20 @@
     }
 
     /// Returns once the request of a call has come.
-    pub async fn wait_for_request(&self, call: usize) {
+    pub(crate) async fn wait_for_request(&self, call: usize) {
         while self.record(call).requests == 0 {
             self.changed.notified().await;
         }
     }
 
     /// The caller of this call has its response, or has disconnected.
-    pub fn on_call_ended(&self, call: usize) {
+    pub(crate) fn on_call_ended(&self, call: usize) {
         self.ended_calls.borrow_mut().push(call);
         self.changed.notify_waiters();
     }
 
     /// Gives delayed steps the time to be played.
-    pub async fn flush_delayed(&self) {
+    pub(crate) async fn flush_delayed(&self) {
         for _ in 0..100 {
             if self.delayed_steps.get() == 0 {
                 return;
@@ -446,7 +453,7 @@
     }
 
     /// Waits until all that was sent is read. Nothing is run after that.
-    pub async fn finish(&self) {
+    pub(crate) async fn finish(&self) {
         let all: Vec<_> = self.connections.borrow_mut().drain(..).collect();
         for (_, connection) in all {
             let _ = connection.await;
@@ -454,19 +461,42 @@
         self.accepting.borrow().iter().for_each(JoinHandle::abort);
     }
 
+    /// Takes in the head of a request: records it, and says what is done with it. `None` if it is none.
+    fn accept_request(
+        &self,
+        upstream: usize,
+        head: &[u8],
+        served: &mut Vec<Request>,
+    ) -> Option<Behaviour> {
+        let Some(request) = Request::parse(head) else {
+            // Another process of this machine may look for what was at this port before.
+            if !served.is_empty() {
+                self.report_violation(format!("no request: {:?}", String::from_utf8_lossy(head)));
+            }
+            return None;
+        };
+        let (call, reused) = (request.call, !served.is_empty());
+        self.update_record(call, |record| {
+            record.requests += 1;
+            record.reused = reused;
+        });
+        let mut behaviour = (self.script)(&request);
+        if request.target.is_empty() {
+            self.report_violation(format!("call {call} does not say whom it is meant for"));
+        }
+        if request.target != self.name(upstream) {
+            behaviour = Behaviour::answers(ScriptedResponse::rejection(421));
+        }
+        served.push(request);
+        Some(behaviour)
+    }
+
     async fn connection(self: Rc<Self>, upstream: usize, mut stream: TcpStream) {
         let mut unread = Vec::new();
         let mut served: Vec<Request> = Vec::new();
         let (mut silent, mut spent) = (false, false);
         while let Some(head) = next_head(&mut stream, &mut unread).await {
-            let Some(request) = Request::parse(&head) else {
-                // Another process of this machine may look for what was at this port before.
-                if !served.is_empty() {
-                    self.report_violation(format!(
-                        "no request: {:?}",
-                        String::from_utf8_lossy(&head)
-                    ));
-                }
+            let Some(mut behaviour) = self.accept_request(upstream, &head, &mut served) else {
                 return;
             };
             if spent {
@@ -474,19 +504,10 @@
                     "a connection that was to be closed is used again".to_string(),
                 );
             }
-            let (call, length) = (request.call, request.length);
-            let reused = !served.is_empty();
-            self.update_record(call, |record| {
-                (record.requests, record.reused) = (record.requests + 1, reused)
-            });
-            let mut behaviour = (self.script)(&request);
-            if request.target.is_empty() {
-                self.report_violation(format!("call {call} does not say whom it is meant for"));
-            }
-            if request.target != self.name(upstream) {
-                behaviour = Behaviour::answers(ScriptedResponse::rejection(421));
-            }
-            served.push(request);
+            let Some(Request { call, length, .. }) = served.last() else {
+                return;
+            };
+            let (call, length) = (*call, *length);
             spent = behaviour
                 .response()
                 .is_some_and(ScriptedResponse::closes_connection);
@@ -518,20 +539,11 @@
             stream = out.stream;
             match behaviour.end {
                 End::Keep if behaviour.reads_body || length == 0 => {}
-                End::Keep | End::Reset => return,
-                End::Close => {
+                End::HalfClose if behaviour.reads_body => {
                     let _ = stream.shutdown().await;
-                    let _ = SockRef::from(&stream).set_linger(None);
-                    return;
-                }
-                End::HalfClose => {
-                    let _ = stream.shutdown().await;
-                    if !behaviour.reads_body {
-                        return discard(stream).await;
-                    }
                     silent = true;
                 }
-                End::Silent => return discard(stream).await,
+                end => return end_connection(stream, end).await,
             }
         }
     }
@@ -645,6 +657,22 @@
     matches!(stream.read_buf(unread).await, Ok(n) if n > 0)
 }
 
+/// Ends a connection; one that is dropped is reset.
+async fn end_connection(mut stream: TcpStream, end: End) {
+    match end {
+        End::Keep | End::Reset => {}
+        End::Close => {
+            let _ = stream.shutdown().await;
+            let _ = SockRef::from(&stream).set_linger(None);
+        }
+        End::HalfClose => {
+            let _ = stream.shutdown().await;
+            discard(stream).await;
+        }
+        End::Silent => discard(stream).await,
+    }
+}
+
 async fn discard(mut stream: TcpStream) {
     let mut piece = vec![0; 64 << 10];
     while stream.read(&mut piece).await.is_ok_and(|n| n > 0) {}
--- a/crates/data-plane/tests/upstream_responses.rs
+++ b/crates/data-plane/tests/upstream_responses.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use data_plane::engine::{
-    Engine, EngineConfig, EngineEvent, EngineReply, IncomingRequest, ListedUpstream,
+    Engine, EngineConfig, EngineEvent, EngineHandle, EngineReply, IncomingRequest, ListedUpstream,
 };
 use data_plane::headers::forward_response;
 use data_plane::runtime::upstream_protocol;
@@ -18,7 +18,7 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
 use load_balancing::interface::{self as d, AttemptOutcome, MembershipKind, ServerId, Span};
-use tokio::task::LocalSet;
+use tokio::task::{JoinHandle, LocalSet};
 use tokio::time::Instant;
 
 /// Longer than anything takes here.
@@ -144,11 +144,42 @@
     std::str::from_utf8(body).expect("text")
 }
 
+const SEAL: &str = "Upstream-Seal: s\r\n";
+const NOT_RUN: &str = "Not-Run: 1\r\n";
+
+/// The status and headers of a response, and what becomes of it: the outcome, and whether it is forwarded.
+type ForwardingCase = (&'static str, String, AttemptOutcome, bool);
+
+async fn assert_forwarding(cases: Vec<ForwardingCase>) {
+    let run = async {
+        for (status, lines, outcome, is_forwarded) in cases {
+            let said = lines.clone();
+            let pool = UpstreamPool::new(pool_config(8));
+            let at = target(responding_upstream(move |_, head| {
+                response_text(head, status, &said, "")
+            }));
+            let result = attempt(&pool, 1, &at, "a").await;
+            assert_eq!(result.outcome, outcome, "{status} {lines:?}");
+            assert_eq!(
+                result.response.is_some(),
+                is_forwarded,
+                "{status} {lines:?}"
+            );
+            let Some(response) = result.response else {
+                continue;
+            };
+            let passed = forward_response(response, &[]);
+            assert!(status.starts_with(passed.status().as_str()));
+            let seal = passed.headers().get("upstream-seal");
+            assert_eq!(seal.is_some(), lines.contains(SEAL), "{status} {lines:?}");
+        }
+    };
+    LocalSet::new().run_until(run).await;
+}
+
 #[tokio::test]
-async fn response_is_forwarded_by_status_seal_and_not_run_header() {
-    const SEAL: &str = "Upstream-Seal: s\r\n";
-    const NOT_RUN: &str = "Not-Run: 1\r\n";
-    let cases = [
+async fn success_is_forwarded_only_with_its_seal() {
+    assert_forwarding(vec![
         ("200 OK", SEAL.to_string(), AttemptOutcome::Ok, true),
         ("204 No Content", SEAL.into(), AttemptOutcome::Ok, true),
         ("200 OK", String::new(), AttemptOutcome::Reset, false),
@@ -171,13 +202,26 @@
             AttemptOutcome::Reset,
             false,
         ),
-        // Whatever else an upstream says is its own, with its seal or without.
+    ])
+    .await;
+}
+
+#[tokio::test]
+async fn response_other_than_success_is_forwarded_with_or_without_seal() {
+    assert_forwarding(vec![
         ("304 Not Modified", String::new(), AttemptOutcome::Ok, true),
         ("404 Not Found", SEAL.into(), AttemptOutcome::Ok, true),
         ("400 Bad Request", SEAL.into(), AttemptOutcome::Ok, true),
         ("500 Error", SEAL.into(), AttemptOutcome::Error, true),
         ("504 Late", String::new(), AttemptOutcome::Error, true),
-        // A promise is believed on some statuses, said once; without it the status promises nothing.
+    ])
+    .await;
+}
+
+#[tokio::test]
+async fn not_run_header_is_believed_once_and_on_some_statuses() {
+    assert_forwarding(vec![
+        // Without the header the status promises nothing.
         ("503 Full", NOT_RUN.into(), AttemptOutcome::Rejected, false),
         ("429 Many", NOT_RUN.into(), AttemptOutcome::Rejected, false),
         ("400 Bad Request", NOT_RUN.into(), AttemptOutcome::Ok, true),
@@ -194,27 +238,8 @@
         ("500 Error", NOT_RUN.into(), AttemptOutcome::Error, true),
         ("421 Other", String::new(), AttemptOutcome::Rejected, false),
         ("421 Other", NOT_RUN.into(), AttemptOutcome::NotOwner, false),
-    ];
-    let run = async {
-        for (status, lines, outcome, passes) in cases {
-            let said = lines.clone();
-            let pool = UpstreamPool::new(pool_config(8));
-            let at = target(responding_upstream(move |_, head| {
-                response_text(head, status, &said, "")
-            }));
-            let result = attempt(&pool, 1, &at, "a").await;
-            assert_eq!(result.outcome, outcome, "{status} {lines:?}");
-            assert_eq!(result.response.is_some(), passes, "{status} {lines:?}");
-            let Some(response) = result.response else {
-                continue;
-            };
-            let passed = forward_response(response, &[]);
-            assert!(status.starts_with(passed.status().as_str()));
-            let seal = passed.headers().get("upstream-seal");
-            assert_eq!(seal.is_some(), lines.contains(SEAL), "{status} {lines:?}");
-        }
-    };
-    LocalSet::new().run_until(run).await;
+    ])
+    .await;
 }
 
 #[tokio::test]
@@ -454,8 +479,8 @@
     LocalSet::new().run_until(run).await;
 }
 
-/// What the engine's client gets from two upstreams that say this, as status and seal.
-async fn forwarded_replies(said: [&'static str; 2]) -> Vec<(u16, Option<String>)> {
+/// A running engine before two upstreams that respond with these statuses.
+fn start_engine(statuses: [&'static str; 2]) -> (EngineHandle, JoinHandle<()>) {
     let (engine_config, pool) = (
         EngineConfig {
             seed: 1,
@@ -475,7 +500,7 @@
     engine
         .apply_settings(0, settings)
         .expect("settings that can be used");
-    let list = (1..).zip(said).map(|(n, status)| ListedUpstream {
+    let list = (1..).zip(statuses).map(|(n, status)| ListedUpstream {
         id: format!("i-{n}"),
         address: Some(responding_upstream(move |_, head| {
             response_text(head, status, &format!("Upstream-Seal: s-{n}\r\n"), "")
@@ -493,22 +518,26 @@
         kind: MembershipKind::Complete,
         upstreams: list.collect(),
     });
-    let running = tokio::task::spawn_local(engine.run());
+    (handle, tokio::task::spawn_local(engine.run()))
+}
+
+/// What clients of the engine get from two upstreams that respond with these statuses, as status and seal.
+async fn forwarded_replies(statuses: [&'static str; 2]) -> Vec<(u16, Option<String>)> {
+    let (handle, running) = start_engine(statuses);
     let mut seen = Vec::new();
     for n in 0..16 {
         let deadline = Instant::now() + LONG_TIMEOUT;
-        let (key, shard, cost_guess) = (None, None, None);
-        let arrival = IncomingRequest {
+        let request = IncomingRequest {
             class: 0,
             tenant: 0,
-            key,
-            shard,
-            deadline: deadline,
-            estimated_work: cost_guess,
+            key: None,
+            shard: None,
+            deadline,
+            estimated_work: None,
             is_client_retry: false,
         };
         let forward = forward(&format!("r-{n}"), Method::GET, 0);
-        if let EngineReply::Served(response) = handle.submit(0, arrival, forward).await {
+        if let EngineReply::Served(response) = handle.submit(0, request, forward).await {
             let passed = forward_response(response, &[]);
             let seal = passed.headers().get("upstream-seal");
             let seal = seal.map(|seal| seal.to_str().expect("text").to_string());
@@ -530,7 +559,7 @@
                 .all(|s| *s == pair(500, "s-1") || *s == pair(502, "s-2")),
             "{seen:?}"
         );
-        // A promise that was not made is nobody's answer, whatever came before it.
+        // A status that implies that the request has not run is not forwarded, whatever came before it.
         let seen = forwarded_replies(["500 Error", "503 Full"]).await;
         assert!(seen.iter().all(|s| *s == pair(500, "s-1")), "{seen:?}");
     };
