--- a/crates/control-plane/src/key_leases.rs
+++ b/crates/control-plane/src/key_leases.rs
@@ -104,7 +104,7 @@
     };
     let (mut calls, counted) = (Vec::new(), cell.take_work_counts());
     for (service, (planner, work)) in &mut desk.planners {
-        work.record(counted.get(service).map_or(&[], Vec::as_slice));
+        work.record(counted.loads(service));
         work.refresh(now);
         let listed: Vec<Candidate> = upstreams
             .iter()
--- a/crates/control-plane/src/server/keys.rs
+++ b/crates/control-plane/src/server/keys.rs
@@ -1,6 +1,7 @@
 //! Who holds which keys, as agreed on, and how much work there is for them.
 
-use protocol::key_ranges::{KeyLoadReport, KeyRangeChange, KeyRangeMap};
+use protocol::key_load::{BucketLoad, KeyLoadReport};
+use protocol::key_ranges::{KeyRangeChange, KeyRangeMap};
 
 use super::ControlServer;
 use crate::configuration::Command;
@@ -23,9 +24,9 @@
         let mut inner = self.inner.borrow_mut();
         for (service, runs) in counts {
             let known = inner.work.entry(service).or_default();
-            for (run, n) in runs {
-                let known = known.entry(run).or_default();
-                *known = known.saturating_add(n);
+            for BucketLoad { bucket, units } in runs {
+                let known = known.entry(bucket).or_default();
+                *known = known.saturating_add(units);
             }
         }
     }
@@ -34,7 +35,10 @@
     pub fn take_work_counts(&self) -> KeyLoadReport {
         let work = std::mem::take(&mut self.inner.borrow_mut().work);
         work.into_iter()
-            .map(|(service, runs)| (service, runs.into_iter().collect()))
+            .map(|(service, runs)| {
+                let load = |(bucket, units)| BucketLoad { bucket, units };
+                (service, runs.into_iter().map(load).collect())
+            })
             .collect()
     }
 
--- a/crates/control-plane/src/server/sessions.rs
+++ b/crates/control-plane/src/server/sessions.rs
@@ -6,7 +6,7 @@
 
 use protocol::compact_config::CompactConfig;
 use protocol::key_ranges::KeyRangeMap;
-use protocol::wire::{self, FleetView, Session, WatchRequest, WatchUpdate};
+use protocol::wire::{self, FleetView, Indexed, Session, WatchRequest, WatchUpdate};
 
 use super::{ControlServer, Inner};
 
@@ -135,14 +135,19 @@
     /// What was agreed on and a balancer that has this does not have yet.
     fn agreed_news(&mut self, has: &mut WatchRequest, news: &mut WatchUpdate) {
         if self.agreed.config_index > has.config_index {
-            news.config = self.compact_config();
+            news.config = self
+                .compact_config()
+                .map(|(index, value)| Indexed { index, value });
             has.config_index = self.agreed.config_index;
         }
         let agreed = &self.agreed;
         if agreed.evacuations_index > has.evacuations_index {
             has.evacuations_index = agreed.evacuations_index;
             let zones = agreed.evacuated().map(|(zone, _)| zone.clone()).collect();
-            news.evacuated_zones = Some((agreed.evacuations_index, zones));
+            news.evacuated_zones = Some(Indexed {
+                index: agreed.evacuations_index,
+                value: zones,
+            });
         }
         if agreed.keys_index > has.key_ranges_index {
             let rows = |(service, slices): (&String, &KeyRangeMap)| {
@@ -151,7 +156,10 @@
             };
             let rows = agreed.keys.iter().filter_map(rows).collect();
             has.key_ranges_index = agreed.keys_index;
-            news.key_ranges = Some((agreed.keys_index, rows));
+            news.key_ranges = Some(Indexed {
+                index: agreed.keys_index,
+                value: rows,
+            });
         }
     }
 }
--- a/crates/control-plane/tests/common/balancers.rs
+++ b/crates/control-plane/tests/common/balancers.rs
@@ -10,8 +10,8 @@
 use data_plane::change_notifier::{ChangeNotifier, ChangeWatcher};
 use data_plane::control_client::{CONNECT_TIMEOUT, ControlClient, Network, UpdateHandler};
 use data_plane::upstream_pool::AbortOnDrop;
-use protocol::key_ranges::KeyLoadReport;
-use protocol::wire::{Balancer, FleetView, WatchRequest, WatchUpdate};
+use protocol::key_load::KeyLoadReport;
+use protocol::wire::{Balancer, FleetView, Indexed, WatchRequest, WatchUpdate};
 use tokio::io::{DuplexStream, duplex};
 use tokio::time::{Instant, sleep};
 
@@ -63,7 +63,11 @@
     }
 
     fn take(&self, news: &WatchUpdate) -> bool {
-        if let Some((index, config)) = &news.config {
+        if let Some(Indexed {
+            index,
+            value: config,
+        }) = &news.config
+        {
             assert!(!news.out_of_contact, "told without contact");
             if *index > self.config() {
                 let config = config.to_config();
--- a/crates/data-plane/src/control_client.rs
+++ b/crates/data-plane/src/control_client.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 use crate::change_notifier::ChangeWatcher;
-use protocol::key_ranges::KeyLoadReport;
+use protocol::key_load::KeyLoadReport;
 use protocol::wire::{
     self, Balancer, ControlNode, FleetView, Handshake, PROTOCOL_VERSION, SessionMessage,
     WatchRequest, WatchUpdate,
@@ -139,6 +139,12 @@
     Failed(#[from] io::Error),
 }
 
+impl From<wire::FrameError> for Ended {
+    fn from(error: wire::FrameError) -> Self {
+        Self::Failed(error.into())
+    }
+}
+
 impl Ended {
     /// How long the control balancer comes after others.
     fn rest(&self) -> Option<Duration> {
--- a/crates/data-plane/src/engine.rs
+++ b/crates/data-plane/src/engine.rs
@@ -19,7 +19,8 @@
     Action, AttemptOutcome, Event, MembershipKind, RequestId, ServerId, Span,
 };
 use load_balancing::policy::Balancer;
-use protocol::key_ranges::{KEYS_PER_BUCKET, KeyRangeRow};
+use protocol::key_load::KEYS_PER_BUCKET;
+use protocol::key_ranges::KeyRangeRow;
 use rustc_hash::FxHashMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
@@ -417,11 +418,11 @@
             return;
         };
         let ids = &known.upstreams.ids;
-        let keys = |KeyRangeRow(since, to, holder): &KeyRangeRow| {
-            let server = holder.as_ref().and_then(|id| ids.get(id)).copied();
+        let keys = |row: &KeyRangeRow| {
+            let server = row.owner.as_ref().and_then(|id| ids.get(id)).copied();
             d::OwnedKeyRange {
-                first: *since,
-                last: *to,
+                first: row.first,
+                last: row.last,
                 server,
             }
         };
--- a/crates/data-plane/src/routes.rs
+++ b/crates/data-plane/src/routes.rs
@@ -18,10 +18,11 @@
 use hyper::{Method, Request, Response, StatusCode};
 use load_balancing::interface::{self as d, MembershipKind, Span};
 use protocol::config::{Config, RequestKind, RequestLimits, Route};
-use protocol::key_ranges::{KeyLoadReport, KeyRangeView, WORK_UNIT_MS};
+use protocol::key_load::{BucketLoad, KeyLoadReport, LOAD_UNIT_MS};
+use protocol::key_ranges::KeyRangeView;
 use protocol::settings::{Bounds, Settings};
 use protocol::upstream_list::{UpdateOutcome, Upstream, UpstreamList};
-use protocol::wire::{FleetView, WatchRequest, WatchUpdate};
+use protocol::wire::{FleetView, Indexed, WatchRequest, WatchUpdate};
 use rustc_hash::FxHashMap;
 use tokio::time::{Instant, timeout_at};
 
--- a/crates/data-plane/src/routes/following.rs
+++ b/crates/data-plane/src/routes/following.rs
@@ -27,8 +27,8 @@
     fn take(&self, news: &WatchUpdate) -> bool {
         let (mut settings, mut lists, mut gap) = (false, false, false);
         let known = self.told.borrow().config_index;
-        if let Some((index, told)) = news.config.as_ref().filter(|(index, _)| *index > known) {
-            self.configure(*index, &told.to_config());
+        if let Some(told) = news.config.as_ref().filter(|told| told.index > known) {
+            self.configure(told.index, &told.value.to_config());
             (settings, lists) = (true, true);
         }
         let mut changed = Vec::new();
@@ -50,10 +50,13 @@
             }
         }
         let known = self.told.borrow().evacuated_index;
-        if let Some((index, zones)) = news
+        if let Some(Indexed {
+            index,
+            value: zones,
+        }) = news
             .evacuated_zones
             .as_ref()
-            .filter(|(index, _)| *index > known)
+            .filter(|told| told.index > known)
         {
             let before = {
                 let mut told = self.told.borrow_mut();
@@ -67,8 +70,12 @@
             lists = true;
         }
         let known = self.told.borrow().keys_index;
-        let keys = news.key_ranges.as_ref().filter(|(index, _)| *index > known);
-        if let Some((index, services)) = keys {
+        let keys = news.key_ranges.as_ref().filter(|told| told.index > known);
+        if let Some(Indexed {
+            index,
+            value: services,
+        }) = keys
+        {
             let mut told = self.told.borrow_mut();
             told.keys_index = *index;
             for (service, rows) in services {
@@ -89,8 +96,8 @@
         if settings {
             let names: Vec<String> = self.told.borrow().keys.keys().cloned().collect();
             self.tell_holders(names.iter());
-        } else if let Some((_, services)) = keys {
-            self.tell_holders(services.keys());
+        } else if let Some(told) = keys {
+            self.tell_holders(told.value.keys());
         }
         if any {
             self.changed();
@@ -101,10 +108,10 @@
     fn work(&self) -> KeyLoadReport {
         let services = self.services.borrow();
         let mut counts = KeyLoadReport::new();
-        for ((service, run), took) in self.engine.work() {
-            let spent = (took.as_millis() / u128::from(WORK_UNIT_MS)).min(u128::from(u16::MAX));
-            let of = counts.entry(services[service].name.clone()).or_default();
-            of.push((run, spent as u16));
+        for ((service, bucket), took) in self.engine.work() {
+            let spent = (took.as_millis() / u128::from(LOAD_UNIT_MS)).min(u128::from(u16::MAX));
+            let units = spent as u16;
+            counts.push(&services[service].name, BucketLoad { bucket, units });
         }
         counts
     }
--- a/crates/data-plane/src/routes/tests.rs
+++ b/crates/data-plane/src/routes/tests.rs
@@ -161,7 +161,10 @@
     /// Takes in what a session brings.
     fn take_news(&self, index: u64, config: Arc<CompactConfig>) {
         let news = WatchUpdate {
-            config: Some((index, config)),
+            config: Some(protocol::wire::Indexed {
+                index,
+                value: config,
+            }),
             ..WatchUpdate::default()
         };
         UpdateHandler::take(self, &news);
--- a/crates/placement/src/key_load.rs
+++ b/crates/placement/src/key_load.rs
@@ -1,7 +1,7 @@
 //! How much work the keys bring, as balancers counted it lately: how many requests an upstream has at a time for
 //! them, on the average. What is slow, or waits, at the one that holds a key weighs more.
 
-use protocol::key_ranges::{KEYS_PER_BUCKET, WORK_UNIT_MS};
+use protocol::key_load::{BucketLoad, KEYS_PER_BUCKET, LOAD_UNIT_MS};
 
 const RUNS: usize = (1 << 16) / KEYS_PER_BUCKET as usize;
 /// What was counted so many milliseconds ago weighs a third as much as what is counted now.
@@ -34,10 +34,10 @@
 
 impl KeyLoad {
     /// Work that was done: the run and how much.
-    pub fn record(&mut self, counts: &[(u16, u16)]) {
-        for (run, n) in counts {
-            if let Some(rate) = self.rates.get_mut(usize::from(*run)) {
-                *rate += f64::from(*n) * WORK_UNIT_MS as f64 / MEMORY;
+    pub fn record(&mut self, loads: &[BucketLoad]) {
+        for BucketLoad { bucket, units } in loads {
+            if let Some(rate) = self.rates.get_mut(usize::from(*bucket)) {
+                *rate += f64::from(*units) * LOAD_UNIT_MS as f64 / MEMORY;
             }
         }
     }
@@ -94,6 +94,13 @@
 mod tests {
     use super::*;
 
+    fn load(key: u16, units: u16) -> BucketLoad {
+        BucketLoad {
+            bucket: key / KEYS_PER_BUCKET,
+            units,
+        }
+    }
+
     #[test]
     fn busy_keys_weigh_more_and_what_is_past_fades() {
         let mut work = KeyLoad::default();
@@ -102,7 +109,7 @@
             (work.of_range(0, 32767) / all - 0.5).abs() < 1e-9,
             "all alike"
         );
-        work.record(&[(100 / KEYS_PER_BUCKET, 50), (40_000 / KEYS_PER_BUCKET, 50)]);
+        work.record(&[load(100, 50), load(40_000, 50)]);
         work.refresh(1000);
         let all = work.of_range(0, u16::MAX);
         let busy = work.of_range(96, 111) / all;
@@ -111,7 +118,7 @@
         assert!((200..40_000).contains(&cut), "{cut}");
         assert_eq!(work.split_point(7, 7, 0.0), None, "one key can't be cut");
         work.refresh(100_000);
-        work.record(&[(5000 / KEYS_PER_BUCKET, 10)]);
+        work.record(&[load(5000, 10)]);
         work.refresh(100_100);
         assert!(work.of_range(96, 111) / work.of_range(0, u16::MAX) < 0.01);
     }
--- a/crates/placement/tests/simulation.rs
+++ b/crates/placement/tests/simulation.rs
@@ -12,7 +12,8 @@
 
 use oorandom::Rand64;
 use placement::{Candidate, KeyLoad, LeaseCall, LeaseCallOutcome, LeaseRequest, Planner, Timing};
-use protocol::key_ranges::{KEYS_PER_BUCKET, KeyRangeChange, KeyRangeMap, LeaseHolder};
+use protocol::key_load::{BucketLoad, KEYS_PER_BUCKET};
+use protocol::key_ranges::{KeyRangeChange, KeyRangeMap, LeaseHolder};
 
 const STEP: u64 = 10;
 const TIMING: Timing = Timing {
@@ -138,10 +139,13 @@
 /// Work alike on all keys, as much as eight upstreams can bear.
 fn busy() -> KeyLoad {
     let mut work = KeyLoad::default();
-    let runs: Vec<(u16, u16)> = (0..(1 << 16) / u32::from(KEYS_PER_BUCKET))
-        .map(|run| (run as u16, 4))
+    let loads: Vec<BucketLoad> = (0..(1 << 16) / u32::from(KEYS_PER_BUCKET))
+        .map(|bucket| BucketLoad {
+            bucket: bucket as u16,
+            units: 4,
+        })
         .collect();
-    work.record(&runs);
+    work.record(&loads);
     work.refresh(0);
     work
 }
@@ -576,7 +580,9 @@
     assert!(held(&world).iter().all(|n| *n > 0), "{:?}", held(&world));
     let before = world.slices.clone();
     world.add(0);
-    let few: Vec<(u16, u16)> = (0..100).map(|run| (run, 8)).collect();
+    let few: Vec<BucketLoad> = (0..100)
+        .map(|bucket| BucketLoad { bucket, units: 8 })
+        .collect();
     world.work.record(&few);
     world.work.refresh(0);
     (0..300).for_each(|_| world.step(false));
--- a/crates/protocol/src/compact_config.rs
+++ b/crates/protocol/src/compact_config.rs
@@ -1,169 +1,200 @@
-//! A configuration as balancers are told it: rows without field names, names that recur once. About a sixth of the
-//! operator's text, so that a link of 1 Mbit/s carries a thousand routes in a third of a second. What balancers have
-//! no use for is left out; the whole text stays with the control plane.
+//! A configuration as it goes to data-plane balancers: arrays without field names, and names that recur written once.
+//! About a sixth of the operator's text, so that a link of 1 Mbit/s carries a thousand routes in a third of a second.
+//!
+//! What balancers have no use for is left out; the whole text stays with the control plane.
 
 use serde::{Deserialize, Serialize};
 
+use crate::array_struct::array_struct;
 use crate::config::{Config, RequestKind, RequestLimits, Route, Service, TrafficSplit};
 
-/// A configuration in rows.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct CompactConfig(
-    u64,
-    RequestLimits,
-    Vec<ServiceRow>,
-    Vec<String>,
-    Vec<RouteRow>,
-);
+array_struct! {
+    /// A configuration in rows. An array of five on the wire.
+    #[derive(Clone, Debug, Default, PartialEq)]
+    pub struct CompactConfig {
+        revision: u64,
+        limits: RequestLimits,
+        services: Vec<ServiceRow>,
+        /// In alphabetical order.
+        hosts: Vec<String>,
+        routes: Vec<RouteRow>,
+    }
+}
 
-/// Name, health path, connections, length of a cold spell and requests a second in it, whether its keys are divided.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct ServiceRow(String, String, u32, f64, f64, bool);
+array_struct! {
+    /// A [`Service`].
+    #[derive(Clone, Debug, PartialEq)]
+    struct ServiceRow {
+        name: String,
+        health_path: String,
+        max_conns: u32,
+        warmup_s: f64,
+        warmup_per_s: f64,
+        sharded: bool,
+    }
+}
 
-/// Name, place of the host among all hosts, prefix, whether it may be repeated, deadline and target in milliseconds,
-/// priority, services by their places with their weights, tries, regions.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct RouteRow(
-    String,
-    usize,
-    String,
-    bool,
-    u64,
-    u64,
-    u32,
-    Parts,
-    u32,
-    Vec<String>,
-);
+array_struct! {
+    /// A [`Route`].
+    #[derive(Clone, Debug, PartialEq)]
+    struct RouteRow {
+        name: String,
+        /// Position in `hosts`.
+        host: usize,
+        path_prefix: String,
+        is_idempotent: bool,
+        deadline_ms: u64,
+        target_ms: u64,
+        priority: u32,
+        destination: Destination,
+        max_attempts: u32,
+        home_regions: Vec<String>,
+    }
+}
 
-/// A service, or those that share a route, by their places among all services.
+/// Where a route's requests go. Services are given by their positions in `services`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-enum Parts {
-    One(usize),
-    Split(Vec<(usize, u32)>),
+enum Destination {
+    Service(usize),
+    Split(Vec<WeightedService>),
+}
+
+array_struct! {
+    #[derive(Clone, Debug, PartialEq)]
+    struct WeightedService {
+        /// Position in `services`.
+        service: usize,
+        weight: u32,
+    }
 }
 
 impl CompactConfig {
-    /// The version of the configuration.
+    /// The number of the configuration, as its operator gave it.
     pub fn revision(&self) -> u64 {
-        self.0
+        self.revision
     }
 
-    /// The rows of a valid configuration; what names a service that is not there is left out.
+    /// The rows of a valid configuration. A route that names a service that is not there is left out.
     pub fn from_config(config: &Config) -> Self {
-        let service = |name: &str| config.services.iter().position(|s| s.name == name);
         let mut hosts: Vec<String> = config.routes.iter().map(|r| r.host.clone()).collect();
         hosts.sort_unstable();
         hosts.dedup();
-        let row = |r: &Route| {
-            let parts = match (&r.split, &r.service) {
-                (Some(parts), _) => {
-                    let known = |p: &TrafficSplit| Some((service(&p.service)?, p.weight));
-                    Parts::Split(parts.iter().filter_map(known).collect())
-                }
-                (None, svc) => Parts::One(service(svc.as_deref()?)?),
-            };
-            let host = hosts.binary_search(&r.host).ok()?;
-            let (name, prefix, regions) = (
-                r.name.clone(),
-                r.path_prefix.clone(),
-                r.home_regions.clone(),
-            );
-            let repeatable = r.kind == RequestKind::Idempotent;
-            Some(RouteRow(
-                name,
-                host,
-                prefix,
-                repeatable,
-                r.deadline_ms,
-                r.target_ms,
-                r.priority,
-                parts,
-                r.max_attempts,
-                regions,
-            ))
-        };
-        let routes = config.routes.iter().filter_map(row).collect();
-        let row = |s: &Service| {
-            let (name, path) = (s.name.clone(), s.health_path.clone());
-            ServiceRow(
-                name,
-                path,
-                s.max_conns,
-                s.warmup_s,
-                s.warmup_per_s,
-                s.sharded,
-            )
-        };
-        let services = config.services.iter().map(row).collect();
-        Self(config.revision, config.limits, services, hosts, routes)
+        let routes = config.routes.iter();
+        let routes =
+            routes.filter_map(|route| RouteRow::from_route(route, &config.services, &hosts));
+        Self {
+            revision: config.revision,
+            limits: config.limits,
+            services: config
+                .services
+                .iter()
+                .map(ServiceRow::from_service)
+                .collect(),
+            routes: routes.collect(),
+            hosts,
+        }
     }
 
-    /// The configuration that it was made of; a row that points nowhere is left out.
+    /// The configuration that it was made from. A row that points nowhere is left out.
     pub fn to_config(&self) -> Config {
-        let Self(rev, limits, services, hosts, routes) = self;
-        let name = |place: usize| services.get(place).map(|s| s.0.clone());
-        let route = |row: &RouteRow| {
-            let RouteRow(
-                own,
-                host,
-                prefix,
-                repeatable,
-                deadline,
-                target,
-                prio,
-                parts,
-                tries,
-                homes,
-            ) = row;
-            let (svc, split) = match parts {
-                Parts::One(place) => (Some(name(*place)?), None),
-                Parts::Split(parts) => {
-                    let part = |(place, weight): &(usize, u32)| {
-                        Some(TrafficSplit {
-                            service: name(*place)?,
-                            weight: *weight,
-                        })
-                    };
-                    (None, Some(parts.iter().filter_map(part).collect()))
-                }
-            };
-            Some(Route {
-                name: own.clone(),
-                host: hosts.get(*host)?.clone(),
-                path_prefix: prefix.clone(),
-                kind: if *repeatable {
-                    RequestKind::Idempotent
-                } else {
-                    RequestKind::Mutating
-                },
-                deadline_ms: *deadline,
-                target_ms: *target,
-                priority: *prio,
-                service: svc,
-                split,
-                max_attempts: *tries,
-                home_regions: homes.clone(),
-            })
+        let routes = self.routes.iter().filter_map(|row| self.route(row));
+        Config {
+            revision: self.revision,
+            routes: routes.collect(),
+            services: self.services.iter().map(ServiceRow::to_service).collect(),
+            limits: self.limits,
+        }
+    }
+
+    fn route(&self, row: &RouteRow) -> Option<Route> {
+        let name = |position: usize| self.services.get(position).map(|s| s.name.clone());
+        let (service, split) = match &row.destination {
+            Destination::Service(position) => (Some(name(*position)?), None),
+            Destination::Split(parts) => {
+                let part = |part: &WeightedService| {
+                    Some(TrafficSplit {
+                        service: name(part.service)?,
+                        weight: part.weight,
+                    })
+                };
+                (None, Some(parts.iter().filter_map(part).collect()))
+            }
         };
-        let service = |ServiceRow(name, path, most, cold, per_s, sharded): &ServiceRow| Service {
-            name: name.clone(),
-            health_path: path.clone(),
-            max_conns: *most,
-            warmup_s: *cold,
-            warmup_per_s: *per_s,
-            sharded: *sharded,
+        Some(Route {
+            name: row.name.clone(),
+            host: self.hosts.get(row.host)?.clone(),
+            path_prefix: row.path_prefix.clone(),
+            kind: if row.is_idempotent {
+                RequestKind::Idempotent
+            } else {
+                RequestKind::Mutating
+            },
+            deadline_ms: row.deadline_ms,
+            target_ms: row.target_ms,
+            priority: row.priority,
+            service,
+            split,
+            max_attempts: row.max_attempts,
+            home_regions: row.home_regions.clone(),
+        })
+    }
+}
+
+impl RouteRow {
+    /// `None` if the route's service or its host is not in these lists.
+    fn from_route(route: &Route, services: &[Service], hosts: &[String]) -> Option<Self> {
+        let position = |name: &str| services.iter().position(|s| s.name == name);
+        let destination = match (&route.split, &route.service) {
+            (Some(parts), _) => {
+                let part = |part: &TrafficSplit| {
+                    Some(WeightedService {
+                        service: position(&part.service)?,
+                        weight: part.weight,
+                    })
+                };
+                Destination::Split(parts.iter().filter_map(part).collect())
+            }
+            (None, service) => Destination::Service(position(service.as_deref()?)?),
         };
-        Config {
-            revision: *rev,
-            routes: routes.iter().filter_map(route).collect(),
-            services: services.iter().map(service).collect(),
-            limits: *limits,
+        Some(Self {
+            name: route.name.clone(),
+            host: hosts.binary_search(&route.host).ok()?,
+            path_prefix: route.path_prefix.clone(),
+            is_idempotent: route.kind == RequestKind::Idempotent,
+            deadline_ms: route.deadline_ms,
+            target_ms: route.target_ms,
+            priority: route.priority,
+            destination,
+            max_attempts: route.max_attempts,
+            home_regions: route.home_regions.clone(),
+        })
+    }
+}
+
+impl ServiceRow {
+    fn from_service(service: &Service) -> Self {
+        Self {
+            name: service.name.clone(),
+            health_path: service.health_path.clone(),
+            max_conns: service.max_conns,
+            warmup_s: service.warmup_s,
+            warmup_per_s: service.warmup_per_s,
+            sharded: service.sharded,
+        }
+    }
+
+    fn to_service(&self) -> Service {
+        Service {
+            name: self.name.clone(),
+            health_path: self.health_path.clone(),
+            max_conns: self.max_conns,
+            warmup_s: self.warmup_s,
+            warmup_per_s: self.warmup_per_s,
+            sharded: self.sharded,
         }
     }
 }
 
 #[cfg(test)]
-#[path = "compact_tests.rs"]
 mod tests;
--- a/crates/protocol/src/compact_tests.rs
+++ b/crates/protocol/src/compact_config/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::wire::{decode_body, encode_frame};
 
-/// A configuration as operators send it, with as many routes, every kind of each field among them.
-fn text(routes: usize) -> String {
+/// A configuration as operators send it, with this many routes and each kind of each field among them.
+fn config_text(routes: usize) -> String {
     let route = |n: usize| {
         let mut route = json!({"name": format!("r-{n:07x}"), "type": "mutating",
             "host": format!("host{}.example", n % 40), "path_prefix": format!("/p{n}/"),
@@ -32,16 +32,16 @@
 }
 
 #[test]
-fn a_configuration_comes_back_whole_and_takes_a_third_of_its_text_at_most() {
+fn round_trip_at_a_third_of_the_text() {
     for routes in [0, 1, 7, 1500] {
-        let text = text(routes);
+        let text = config_text(routes);
         let config: Config = serde_json::from_str(&text).expect("valid");
         let frame = encode_frame(&CompactConfig::from_config(&config)).expect("a frame");
-        let told: CompactConfig = decode_body(&frame[4..]).expect("rows");
-        assert_eq!(told.to_config(), config, "{routes} routes");
-        assert_eq!(told.revision(), config.revision);
-        let least = routes < 1000 || 3 * frame.len() < text.len();
-        assert!(least, "{} bytes for {}", frame.len(), text.len());
+        let decoded: CompactConfig = decode_body(&frame[4..]).expect("rows");
+        assert_eq!(decoded.to_config(), config, "{routes} routes");
+        assert_eq!(decoded.revision(), config.revision);
+        let is_small = routes < 1000 || 3 * frame.len() < text.len();
+        assert!(is_small, "{} bytes for {}", frame.len(), text.len());
         assert!(
             routes < 1000 || frame.len() < 80 * routes,
             "{} bytes",
--- a/crates/protocol/src/key_ranges.rs
+++ b/crates/protocol/src/key_ranges.rs
@@ -1,49 +1,55 @@
-//! Who holds which keys of a service whose upstreams divide them: as it is agreed on, and as balancers are told.
-//! No sockets and no clock.
+//! Which upstream owns which keys of a sharded service: as it is replicated, and as balancers are told of it.
 //!
-//! **Promises.** The keys stand in slices that never overlap. A slice has a holder, or an upstream that has to
-//! let go of it first, or neither. Each change of a slice names the fence that it was decided on and raises it by
-//! one, so that of two changes decided on the same state one counts. A balancer's slices only get newer.
+//! **State.** [`KeyRangeMap`] is part of the replicated state of the control plane; it changes only as log entries
+//! are applied. [`KeyRangeView`] is a balancer's copy.
+//!
+//! **Invariants.**
+//! - Ranges never overlap. Once all keys are divided, together they hold every key.
+//! - A range has an owner that may be granted a lease, or an upstream that has to release it first, or neither.
+//! - A change names the fencing token of the range that it was decided on, and raises it by one. So of two changes
+//!   that were decided on the same state only the first takes effect, and a later owner of a key always has a
+//!   higher token than an earlier one: an upstream refuses the lower.
+//!
+//! **May be lost.** A [`KeyRangeView`] is built anew from the indices that its balancer names.
+//!
+//! **Neighbours.** A balancer that hears nothing keeps the ranges that it has; the upstreams refuse what they do not
+//! own. No I/O and no clock.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Work is counted by runs of so many keys: busy ones lie close together.
-pub const KEYS_PER_BUCKET: u16 = 16;
-/// And in units of so many milliseconds that an upstream was at it.
-pub const WORK_UNIT_MS: u64 = 10;
-
-/// How much work there was on which runs of keys, by service.
-pub type KeyLoadReport = BTreeMap<String, Vec<(u16, u16)>>;
+use crate::array_struct::array_struct;
 
-/// An upstream that holds keys, or held them.
+/// An upstream that may own keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseHolder {
+    /// Its id in the platform's list. An id is never used again for another upstream.
     #[serde(rename = "i")]
     pub id: String,
+    /// Address of its HTTP interface. Another upstream may have it later.
     #[serde(rename = "a")]
     pub addr: SocketAddr,
 }
 
-/// Whose a slice is.
+/// Who owns a range.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ownership {
-    /// Nobody's, and nobody has to let go of it.
+    /// Nobody, and nobody has to release it.
     #[default]
     #[serde(rename = "n")]
     Unowned,
-    /// This one may be granted it, with the handover of the one before, if that gave one.
+    /// This upstream may be granted a lease, with the handoff that the owner before it gave on its release, if any.
     #[serde(rename = "h")]
     Assigned(LeaseHolder, Option<String>),
-    /// Nobody's until this one has let go of it.
+    /// Nobody, until this upstream has released it or its leases have run out.
     #[serde(rename = "l")]
     Releasing(LeaseHolder),
 }
 
 impl Ownership {
-    /// Who may hold them.
+    /// The upstream that may hold a lease, whether it is to keep or to release it.
     pub fn holder(&self) -> Option<&LeaseHolder> {
         match self {
             Self::Assigned(holder, _) | Self::Releasing(holder) => Some(holder),
@@ -52,285 +58,181 @@
     }
 }
 
-/// A run of keys, from the one under which it stands to `to`, both inside.
+/// A run of keys with one owner. It stands in its map under its first key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRange {
+    /// The last key in it.
     #[serde(rename = "t")]
     pub last: u16,
+    /// Rises with each change of the range.
     #[serde(rename = "f")]
     pub fencing_token: u64,
-    /// Where in the log it was changed last.
+    /// Index of the log entry that changed it last.
     #[serde(rename = "x")]
     index: u64,
+    /// Who owns it.
     #[serde(rename = "o")]
     pub ownership: Ownership,
 }
 
-/// A change of a slice, or of a part of one; it counts only if that slice still has the fence `was` (0: there is
-/// none yet). What is left of the slice to either side stays whose it is, under the raised fence too.
+/// A change of a range, or of a part of one. What is left of the range to either side keeps its owner, under the
+/// raised token too.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRangeChange {
+    /// The first key that changes its owner.
     #[serde(rename = "s")]
     pub first: u16,
+    /// The last key that does.
     #[serde(rename = "t")]
     pub last: u16,
+    /// Token of the range that the change was decided on; 0 if there was none. With another token in its place the
+    /// change is void.
     #[serde(rename = "w")]
     pub expected_token: u64,
+    /// Who is to own the keys.
     #[serde(rename = "o")]
     pub ownership: Ownership,
 }
 
-/// A service's slices, as agreed on.
+/// A service's ranges, as replicated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRangeMap {
+    /// By first key.
     #[serde(rename = "slices")]
     ranges: BTreeMap<u16, KeyRange>,
 }
 
-/// What balancers are told of a slice: from, to, and the id of its holder.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeyRangeRow(pub u16, pub u16, pub Option<String>);
+array_struct! {
+    /// A range as balancers are told of it. An array of three on the wire.
+    #[derive(Clone, Debug, PartialEq, Eq)]
+    pub struct KeyRangeRow {
+        /// The first key in it.
+        pub first: u16,
+        /// The last key in it.
+        pub last: u16,
+        /// Id of the upstream that may be sent requests for these keys.
+        pub owner: Option<String>,
+    }
+}
 
 impl KeyRangeMap {
+    /// Whether the keys have not been divided yet.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// Each with its first key.
+    /// All ranges, each with its first key, in the order of the keys.
     pub fn iter(&self) -> impl Iterator<Item = (u16, &KeyRange)> {
-        self.ranges.iter().map(|(since, s)| (*since, s))
+        self.ranges.iter().map(|(first, range)| (*first, range))
     }
 
-    pub fn get(&self, since: u16) -> Option<&KeyRange> {
-        self.ranges.get(&since)
+    /// The range that begins with this key.
+    pub fn get(&self, first: u16) -> Option<&KeyRange> {
+        self.ranges.get(&first)
     }
 
-    /// Takes a change in that stands at this place of the log; whether it counts.
+    /// Applies the change of the log entry at `index`. Returns whether it took effect: it is void unless it lies
+    /// within one range that still has the expected token, or, with an expected token of 0, touches none.
     pub fn apply(&mut self, index: u64, change: &KeyRangeChange) -> bool {
-        let KeyRangeChange {
-            first: since,
-            last: to,
-            expected_token: was,
-            ownership: owned,
-        } = change;
-        if since > to {
+        let (first, last) = (change.first, change.last);
+        if first > last {
             return false;
         }
-        let over = self
+        let overlapping = self
             .ranges
-            .range(..=*to)
+            .range(..=last)
             .next_back()
-            .filter(|(_, s)| s.last >= *since);
-        let fence = was + 1;
-        match over.map(|(first, slice)| (*first, slice.clone())) {
-            None if *was == 0 => {}
-            Some((first, slice))
-                if first <= *since && slice.last >= *to && slice.fencing_token == *was =>
+            .filter(|(_, range)| range.last >= first);
+        let fencing_token = change.expected_token + 1;
+        match overlapping.map(|(start, range)| (*start, range.clone())) {
+            None if change.expected_token == 0 => {}
+            Some((start, range))
+                if start <= first
+                    && range.last >= last
+                    && range.fencing_token == change.expected_token =>
             {
-                if first < *since {
-                    let left = KeyRange {
-                        last: since - 1,
-                        fencing_token: fence,
+                if start < first {
+                    let before = KeyRange {
+                        last: first - 1,
+                        fencing_token,
                         index,
-                        ownership: slice.ownership.clone(),
+                        ownership: range.ownership.clone(),
                     };
-                    self.ranges.insert(first, left);
+                    self.ranges.insert(start, before);
                 }
-                if slice.last > *to {
-                    self.ranges.insert(
-                        to + 1,
-                        KeyRange {
-                            fencing_token: fence,
-                            index,
-                            ..slice
-                        },
-                    );
+                if range.last > last {
+                    let after = KeyRange {
+                        fencing_token,
+                        index,
+                        ..range
+                    };
+                    self.ranges.insert(last + 1, after);
                 }
             }
             _ => return false,
         }
-        self.ranges.insert(
-            *since,
-            KeyRange {
-                last: *to,
-                fencing_token: fence,
-                index,
-                ownership: owned.clone(),
-            },
-        );
+        let changed = KeyRange {
+            last,
+            fencing_token,
+            index,
+            ownership: change.ownership.clone(),
+        };
+        self.ranges.insert(first, changed);
         true
     }
 
-    /// What changed after this place of the log.
+    /// The ranges that changed after the log entry at `index`, as they are now.
     pub fn changed_since(&self, index: u64) -> Vec<KeyRangeRow> {
-        let row = |(since, s): (&u16, &KeyRange)| {
-            let holder = match &s.ownership {
+        let row = |(first, range): (&u16, &KeyRange)| {
+            let owner = match &range.ownership {
                 Ownership::Assigned(holder, _) => Some(holder.id.clone()),
                 Ownership::Unowned | Ownership::Releasing(_) => None,
             };
-            KeyRangeRow(*since, s.last, holder)
+            KeyRangeRow {
+                first: *first,
+                last: range.last,
+                owner,
+            }
         };
         self.ranges
             .iter()
-            .filter(|(_, s)| s.index > index)
+            .filter(|(_, range)| range.index > index)
             .map(row)
             .collect()
     }
 }
 
-/// A service's slices at a balancer.
+/// A service's ranges at a balancer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyRangeView {
+    /// By first key.
     rows: BTreeMap<u16, KeyRangeRow>,
 }
 
 impl KeyRangeView {
-    /// Takes in what is newer than all that it has. Slices keep their bounds; where they don't, the newer stand.
+    /// Takes in ranges that are newer than all that it has. Where they overlap those, the older ones go whole: the
+    /// rest of a range that was split comes as a row of its own.
     pub fn apply(&mut self, rows: &[KeyRangeRow]) {
         for row in rows {
-            let KeyRangeRow(since, to, _) = row;
-            let over: Vec<u16> = self
+            let overlapping: Vec<u16> = self
                 .rows
-                .range(..=*to)
+                .range(..=row.last)
                 .rev()
-                .take_while(|(_, known)| known.1 >= *since)
-                .map(|(at, _)| *at)
+                .take_while(|(_, known)| known.last >= row.first)
+                .map(|(first, _)| *first)
                 .collect();
-            over.iter().for_each(|at| drop(self.rows.remove(at)));
-            self.rows.insert(*since, row.clone());
+            for first in overlapping {
+                self.rows.remove(&first);
+            }
+            self.rows.insert(row.first, row.clone());
         }
     }
 
-    /// All of them, in the order of the keys.
+    /// All ranges, in the order of the keys.
     pub fn rows(&self) -> impl Iterator<Item = &KeyRangeRow> {
         self.rows.values()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn holder(id: &str) -> LeaseHolder {
-        LeaseHolder {
-            id: id.into(),
-            addr: SocketAddr::from(([10, 0, 0, 1], 80)),
-        }
-    }
-
-    fn change(since: u16, to: u16, was: u64, owned: Ownership) -> KeyRangeChange {
-        KeyRangeChange {
-            first: since,
-            last: to,
-            expected_token: was,
-            ownership: owned,
-        }
-    }
-
-    #[test]
-    fn of_two_changes_decided_on_one_state_one_counts() {
-        let mut slices = KeyRangeMap::default();
-        let by = |id: &str| Ownership::Assigned(holder(id), None);
-        assert!(slices.apply(1, &change(0, 99, 0, by("a"))));
-        assert!(
-            !slices.apply(2, &change(0, 99, 0, by("b"))),
-            "it exists by now"
-        );
-        assert!(
-            !slices.apply(2, &change(50, 120, 0, by("b"))),
-            "it overlaps"
-        );
-        assert!(slices.apply(2, &change(100, u16::MAX, 0, by("b"))));
-        assert!(slices.apply(3, &change(0, 99, 1, Ownership::Releasing(holder("a")))));
-        assert!(
-            !slices.apply(4, &change(0, 99, 1, by("c"))),
-            "decided on what stood before"
-        );
-        assert!(
-            !slices.apply(4, &change(0, 100, 2, by("c"))),
-            "beyond the slice"
-        );
-        assert_eq!(slices.get(0).map(|s| s.fencing_token), Some(2));
-    }
-
-    #[test]
-    fn a_slice_is_cut_where_a_part_of_it_changes_hands() {
-        let mut slices = KeyRangeMap::default();
-        let by = |id: &str| Ownership::Assigned(holder(id), None);
-        slices.apply(1, &change(0, u16::MAX, 0, by("a")));
-        assert!(slices.apply(2, &change(100, 199, 1, Ownership::Releasing(holder("a")))));
-        let rows = slices.changed_since(1);
-        let a = Some("a".to_string());
-        assert_eq!(
-            rows,
-            [
-                KeyRangeRow(0, 99, a.clone()),
-                KeyRangeRow(100, 199, None),
-                KeyRangeRow(200, u16::MAX, a)
-            ]
-        );
-        assert!(
-            !slices.apply(3, &change(0, u16::MAX, 1, by("b"))),
-            "decided on the whole"
-        );
-        assert!(
-            !slices.apply(3, &change(0, 99, 1, by("b"))),
-            "the fence rose for the rest too"
-        );
-        assert!(slices.apply(3, &change(0, 99, 2, by("b"))));
-        let mut held = KeyRangeView::default();
-        held.apply(&[KeyRangeRow(0, u16::MAX, Some("a".into()))]);
-        held.apply(&slices.changed_since(1));
-        assert_eq!(
-            held.rows().cloned().collect::<Vec<_>>(),
-            slices.changed_since(0)
-        );
-    }
-
-    #[test]
-    fn a_balancer_that_hears_what_changed_has_what_stands() {
-        let (mut slices, mut held) = (KeyRangeMap::default(), KeyRangeView::default());
-        for i in 0..16u16 {
-            let (since, to) = (i * 4096, i * 4096 + 4095);
-            slices.apply(
-                1,
-                &change(
-                    since,
-                    to,
-                    0,
-                    Ownership::Assigned(holder(&format!("i-{i}")), None),
-                ),
-            );
-        }
-        held.apply(&slices.changed_since(0));
-        slices.apply(
-            2,
-            &change(4096, 8191, 1, Ownership::Releasing(holder("i-1"))),
-        );
-        slices.apply(
-            5,
-            &change(
-                4096,
-                8191,
-                2,
-                Ownership::Assigned(holder("i-9"), Some("h".into())),
-            ),
-        );
-        let told = slices.changed_since(1);
-        assert_eq!(
-            told,
-            [KeyRangeRow(4096, 8191, Some("i-9".into()))],
-            "what changed, and as it is now"
-        );
-        held.apply(&told);
-        assert_eq!(
-            held.rows().cloned().collect::<Vec<_>>(),
-            slices.changed_since(0)
-        );
-        held.apply(&[KeyRangeRow(4000, 9000, None)]);
-        assert_eq!(
-            held.rows().map(|r| r.0).collect::<Vec<_>>()[..2],
-            [4000, 12288]
-        );
-    }
-}
+mod tests;
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,4 +1,8 @@
-//! The settings file of a process. It comes from the platform: what is not known in it is ignored.
+//! The settings file that the platform writes for a process and names in [`SETTINGS_ENV_VAR`].
+//!
+//! Names of fields and types here are those of the platform's page: error texts show them. A field that is not known
+//! is ignored, so that a later platform can add some. The file is read at the start and again on SIGHUP, and never
+//! written.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,62 +11,83 @@
 
 use serde::Deserialize;
 
-/// Names the file.
+/// Environment variable that holds the path of the settings file.
 pub const SETTINGS_ENV_VAR: &str = "SHOREFRONT_SETTINGS";
 
-/// What a process is told.
+/// A settings file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Settings {
+    /// Name of this machine, unique in the system.
     pub node: String,
+    /// The platform's word for what this machine is for. Not used: the command line says which plane a process runs.
     #[serde(default)]
     pub role: String,
+    /// The platform's words for what this machine serves. Not used.
     #[serde(default)]
     pub serves: Vec<String>,
+    /// Address of this machine.
     pub ip: std::net::IpAddr,
+    /// Zone that this machine is in; `zone_map` has to name it.
     pub zone: String,
+    /// Region that the zone is in.
     pub region: String,
     /// The region of every zone.
     pub zone_map: BTreeMap<String, String>,
+    /// Addresses to listen on.
     pub listen: Listen,
-    /// The first and the last port that are free for what balancers say to each other.
+    /// First and last port that are free for connections between the system's processes. The first is used, on all
+    /// machines alike.
     pub port_range: (u16, u16),
-    /// `ctl` addresses of machines that serve control.
+    /// `ctl` addresses of control processes, to start from.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The whole system starts for the first time.
+    /// The system starts for the first time: control processes among the seeds begin a new log.
     #[serde(default)]
     pub bootstrap: bool,
+    /// The platform's word on whether this machine is to vote. Not used: who has a `data_dir` may.
     #[serde(default)]
     pub quorum_member: bool,
+    /// What this machine has.
     #[serde(default)]
     pub limits: MachineLimits,
+    /// Directory for what has to survive a restart. Without one a control process never votes and keeps no log.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
-    #[serde(default = "heartbeat")]
+    /// The platform's heartbeat interval in milliseconds, more than 0. Not used beyond that check.
+    #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
+    /// Bounds that the rules of the platform name.
     #[serde(default)]
     pub bounds: Bounds,
+    /// Losses that have to be borne.
     #[serde(default)]
     pub tolerate: Tolerate,
+    /// The platform's interface that lists upstreams.
     #[serde(default)]
     pub cloud_api: Option<PlatformApi>,
 }
 
-/// Where it serves.
+/// Addresses to listen on; what is missing is not served.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Listen {
+    /// Requests of clients.
     pub http: Option<SocketAddr>,
+    /// Readiness checks.
     pub readiness: Option<SocketAddr>,
+    /// Operators' calls to the control plane.
     pub ctl: Option<SocketAddr>,
+    /// The directory of balancers for clients.
     pub dir: Option<SocketAddr>,
 }
 
-/// The machine's figures.
+/// What the machine has.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename = "Limits", default)]
 pub struct MachineLimits {
+    /// Memory in MiB.
     pub mem_mb: usize,
+    /// File descriptors that a process may have open.
     pub max_fds: usize,
 }
 
@@ -75,11 +100,11 @@
     }
 }
 
-/// What may be lost at once with all rules kept.
+/// Losses at one time with which all rules still hold.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Tolerate {
-    /// Machines that vote in the log.
+    /// Voters of the replicated log.
     pub nodes: usize,
 }
 
@@ -89,24 +114,34 @@
     }
 }
 
-/// Figures of the rules.
+/// Bounds that the rules of the platform name.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
+    /// Milliseconds after an upstream drains in the platform's list after which no new request may go to it.
     pub drain_ms: u64,
+    /// Seconds from SIGTERM to SIGKILL.
     pub grace_s: f64,
+    /// Milliseconds within which an accepted configuration is applied by all balancers.
     pub apply_ms: u64,
+    /// Milliseconds for which an operator's call is sent again until it has an answer.
     pub ack_ms: u64,
+    /// Milliseconds within which an evacuation has to have its effect. Not used.
     pub evacuate_ms: u64,
+    /// Longest time in seconds for which a client may keep an answer of the directory.
     pub ttl_max_s: f64,
+    /// An upstream in slow start gets at most this multiple of its rate, over any second.
     pub warmup_excess: f64,
+    /// And this many requests beyond that.
     pub warmup_slack: f64,
-    /// Keys are granted for no longer.
+    /// Longest lease on keys, in milliseconds.
     pub max_hold_ms: u64,
-    /// Of the requests for a service within such a time, this share may be sent a further time, and so many
-    /// more, by all balancers together; no bound where the time is 0.
+    /// Window of the retry budget in seconds: in any such time all balancers together send at most `retry_ratio` of
+    /// a service's requests, and `retry_slack` more, as further attempts. 0: no bound.
     pub retry_window_s: f64,
+    /// Further attempts for each request.
     pub retry_ratio: f64,
+    /// Further attempts beyond that share.
     pub retry_slack: f64,
 }
 
@@ -129,48 +164,65 @@
     }
 }
 
-/// Who lists the upstreams.
+/// The platform's interface that lists upstreams.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename = "Platform")]
 pub struct PlatformApi {
+    /// Its address.
     pub addr: SocketAddr,
+    /// Calls a second that it takes. Not used.
     #[serde(default)]
     pub rate_per_s: f64,
+    /// Milliseconds by which its lists may be behind. Not used.
     #[serde(default)]
     pub max_lag_ms: u64,
 }
 
-fn heartbeat() -> u64 {
+fn default_heartbeat_ms() -> u64 {
     1500
 }
 
-/// Why settings can't be used.
+/// Why settings can't be used. Operators see these texts: they name the file and the field.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
+    /// The process was started without [`SETTINGS_ENV_VAR`].
     #[error("{SETTINGS_ENV_VAR} is not set: it names the settings file")]
     VariableNotSet,
-    #[error("{path}: {cause}")]
+    /// The file can't be read.
+    #[error("{path}: {source}")]
     Unreadable {
+        /// The file.
         path: PathBuf,
-        cause: std::io::Error,
+        /// Why not.
+        source: std::io::Error,
     },
-    #[error("{path}: field `{field}`, line {line}: {cause}")]
+    /// The file is not JSON, or a field is missing or of another type.
+    #[error("{path}: field `{field}`, line {}: {source}", source.line())]
     Malformed {
+        /// The file.
         path: PathBuf,
+        /// Path of the field in the file; `.` for the whole.
         field: String,
-        line: usize,
-        cause: String,
+        /// What is wrong, with its line.
+        source: serde_json::Error,
     },
-    #[error("{path}: field `{field}`: {cause}")]
+    /// A field has a value that can't be used.
+    #[error("{path}: field `{field}`: {reason}")]
     Invalid {
+        /// The file.
         path: PathBuf,
+        /// The field.
         field: &'static str,
-        cause: String,
+        /// What is wrong with it.
+        reason: &'static str,
     },
 }
 
 impl Settings {
-    /// Where the file is.
+    /// Path of the settings file.
+    ///
+    /// # Errors
+    /// [`SettingsError::VariableNotSet`].
     pub fn path() -> Result<PathBuf, SettingsError> {
         std::env::var_os(SETTINGS_ENV_VAR)
             .map(PathBuf::from)
@@ -178,54 +230,55 @@
     }
 
     /// Reads and checks the file.
+    ///
+    /// # Errors
+    /// [`SettingsError::Unreadable`], and those of [`parse`](Self::parse).
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
-        let text = std::fs::read(path);
-        let text = text.map_err(|cause| SettingsError::Unreadable {
+        let text = std::fs::read(path).map_err(|source| SettingsError::Unreadable {
             path: path.into(),
-            cause,
+            source,
         })?;
         Self::parse(path, &text)
     }
 
-    /// The same of a text; `path` is only named in errors.
+    /// Reads and checks the text of a file; `path` only stands in errors.
+    ///
+    /// # Errors
+    /// [`SettingsError::Malformed`] and [`SettingsError::Invalid`].
     pub fn parse(path: &Path, text: &[u8]) -> Result<Self, SettingsError> {
         let mut reader = serde_json::Deserializer::from_slice(text);
         let settings: Self = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
-            let field = e.path().to_string();
-            let cause = e.into_inner();
-            let line = cause.line();
             SettingsError::Malformed {
                 path: path.into(),
-                field,
-                line,
-                cause: cause.to_string(),
+                field: e.path().to_string(),
+                source: e.into_inner(),
             }
         })?;
-        let unusable = |field, cause: &str| {
+        let invalid = |field, reason| {
             Err(SettingsError::Invalid {
                 path: path.into(),
                 field,
-                cause: cause.to_string(),
+                reason,
             })
         };
         if settings.port_range.0 == 0 || settings.port_range.1 < settings.port_range.0 {
-            return unusable("port_range", "expected two ports, the lower first");
+            return invalid("port_range", "expected two ports, the lower first");
         }
         if !settings.zone_map.contains_key(&settings.zone) {
-            return unusable("zone_map", "does not name this machine's own zone");
+            return invalid("zone_map", "does not name this machine's own zone");
         }
         if settings.heartbeat_ms == 0 {
-            return unusable("heartbeat_ms", "expected more than 0");
+            return invalid("heartbeat_ms", "expected more than 0");
         }
         Ok(settings)
     }
 
-    /// Where control balancers talk to each other and to the data plane.
+    /// Address at which this machine's control process takes connections of peers and of data-plane balancers.
     pub fn internal_addr(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.port_range.0)
     }
 
-    /// The same of the machine whose `ctl` address is known: ports are alike on all.
+    /// The same of the machine whose `ctl` address is given: ports are alike on all.
     pub fn internal_addr_of(&self, ctl: SocketAddr) -> SocketAddr {
         SocketAddr::new(ctl.ip(), self.port_range.0)
     }
@@ -235,49 +288,11 @@
         self.seeds.iter().map(|ctl| self.internal_addr_of(*ctl))
     }
 
-    pub fn heartbeat_interval(&self) -> Duration {
-        Duration::from_millis(self.heartbeat_ms)
-    }
-
-    /// How long a process has from SIGTERM to its end.
+    /// Time from SIGTERM to SIGKILL; an hour at most.
     pub fn grace_period(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.grace_s.clamp(0.0, 3600.0))
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const GOOD: &str = r#"{"node": "edge-1", "ip": "127.0.0.1", "zone": "a", "region": "r",
-        "zone_map": {"a": "r"}, "listen": {}, "port_range": [7000, 7010], "of_later": 1}"#;
-
-    fn parse(text: &str) -> Result<Settings, String> {
-        Settings::parse(Path::new("boot.json"), text.as_bytes()).map_err(|e| e.to_string())
-    }
-
-    #[test]
-    fn what_is_not_known_is_ignored_and_what_is_missing_has_a_default() {
-        let settings = parse(GOOD).expect("good");
-        assert_eq!(
-            settings.internal_addr(),
-            SocketAddr::from(([127, 0, 0, 1], 7000))
-        );
-        assert_eq!(settings.bounds.drain_ms, 2500);
-    }
-
-    #[test]
-    fn an_error_names_the_file_the_field_and_the_line() {
-        let wrong =
-            parse(&GOOD.replace("[7000, 7010]", "\n[7000, \"x\"]")).expect_err("a wrong type");
-        assert!(
-            wrong.contains("boot.json") && wrong.contains("port_range"),
-            "{wrong}"
-        );
-        assert!(wrong.contains("line 3"), "{wrong}");
-        let cut = parse(&GOOD[..60]).expect_err("cut short");
-        assert!(cut.contains("boot.json") && cut.contains("EOF"), "{cut}");
-        let zone = parse(&GOOD.replace("{\"a\"", "{\"b\"")).expect_err("an unknown zone");
-        assert!(zone.contains("zone_map"), "{zone}");
-    }
-}
+mod tests;
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Wire compatibility: the encoded frames of sample messages, kept as files that an earlier build wrote. Builds run
 //! beside each other, so a frame has to be read, and written again, exactly as it stands in its file.
 //!
-//! `SHOREFRONT_WRITE_FIXTURES=1 cargo test -p messages --test golden` writes the files anew. Without the variable a
+//! `SHOREFRONT_WRITE_FIXTURES=1 cargo test -p protocol --test golden` writes the files anew. Without the variable a
 //! missing file is a failure.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,17 +12,19 @@
 
 use protocol::compact_config::CompactConfig;
 use protocol::config::{Config, RequestKind, RequestLimits, Route, Service, TrafficSplit};
+use protocol::key_load::{BucketLoad, KeyLoadReport};
 use protocol::key_ranges::{KeyRangeChange, KeyRangeMap, KeyRangeRow, LeaseHolder, Ownership};
-use protocol::upstream_list::{Upstream, UpstreamList, UpstreamUpdate};
+use protocol::upstream_list::{Upstream, UpstreamList, UpstreamSnapshot, UpstreamUpdate};
 use protocol::wire::{
-    Balancer, ControlNode, FleetView, Handshake, MAX_FRAME_BYTES, PROTOCOL_VERSION, PeerMessage,
-    Session, SessionMessage, WatchRequest, WatchUpdate, decode_body, digest, encode_frame,
+    Balancer, ControlNode, FleetView, Handshake, Indexed, MAX_FRAME_BYTES, PROTOCOL_VERSION,
+    PeerMessage, Session, SessionMessage, WatchRequest, WatchUpdate, decode_body, digest,
+    encode_frame,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 /// Set to `1`, it has the files written instead of compared.
-const WRITE: &str = "SHOREFRONT_WRITE_FIXTURES";
+const WRITE_FIXTURES_ENV_VAR: &str = "SHOREFRONT_WRITE_FIXTURES";
 
 fn fixture_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
@@ -37,7 +39,7 @@
 {
     let path = fixture_path(name);
     let encoded = encode_frame(sample).expect("a frame");
-    if std::env::var(WRITE).is_ok_and(|value| value == "1") {
+    if std::env::var(WRITE_FIXTURES_ENV_VAR).is_ok_and(|value| value == "1") {
         std::fs::write(&path, &encoded).expect("written");
     }
     let golden = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
@@ -70,14 +72,14 @@
     }
 }
 
-fn sample_balancer_with_ipv6() -> Balancer {
+fn sample_balancer_ipv6() -> Balancer {
     Balancer {
         http_addr: address("[2001:db8::7]:8080"),
         ..sample_balancer()
     }
 }
 
-fn sample_control() -> ControlNode {
+fn sample_control_node() -> ControlNode {
     ControlNode {
         internal_addr: address("10.1.2.4:7000"),
         zone: "zone-a".into(),
@@ -86,15 +88,15 @@
     }
 }
 
-fn sample_control_without_disk() -> ControlNode {
+fn sample_control_node_without_disk() -> ControlNode {
     ControlNode {
         internal_addr: address("[2001:db8::8]:7001"),
         has_disk: false,
-        ..sample_control()
+        ..sample_control_node()
     }
 }
 
-fn sample_bank() -> FleetView {
+fn sample_fleet() -> FleetView {
     FleetView {
         balancers: 12,
         position: 300,
@@ -109,28 +111,31 @@
     }
 }
 
-fn sample_leaving_session() -> Session {
+fn sample_draining_session() -> Session {
     Session {
-        balancer: sample_balancer_with_ipv6(),
+        balancer: sample_balancer_ipv6(),
         ready: false,
         draining: true,
     }
 }
 
-fn sample_counts() -> BTreeMap<String, Vec<(u16, u16)>> {
-    BTreeMap::from([
-        ("one".into(), vec![(0, 1), (4095, u16::MAX)]),
+fn sample_key_load() -> KeyLoadReport {
+    let load = |bucket, units| BucketLoad { bucket, units };
+    [
+        ("one".into(), vec![load(0, 1), load(4095, u16::MAX)]),
         ("two".into(), Vec::new()),
-    ])
+    ]
+    .into_iter()
+    .collect()
 }
 
-fn sample_ask() -> WatchRequest {
+fn sample_watch_request() -> WatchRequest {
     WatchRequest {
         config_index: 7,
         evacuations_index: 300,
         key_ranges_index: 70_000,
         zone_versions: BTreeMap::from([("zone-a".into(), 5_000_000_000), ("zone-b".into(), 0)]),
-        fleet: Some(sample_bank()),
+        fleet: Some(sample_fleet()),
         control_nodes_digest: u32::MAX,
         ready: true,
         draining: true,
@@ -213,56 +218,71 @@
     }
 }
 
-/// A zone's list in which, after its first version, one upstream drains, one is new and cold, and one is gone; and
-/// that first version.
+/// A zone's list in which, after its first version, one upstream drains, one is new and in slow start, and one was removed;
+/// and that first version.
 fn sample_zone() -> (UpstreamList, u64) {
-    let (unix_ms, teller) = (1_700_000_000_000, 5);
+    let (unix_ms, author) = (1_700_000_000_000, 5);
     let mut zone = UpstreamList::default();
-    assert!(zone.set_platform_list((1..=4).map(sample_upstream).collect(), 0, unix_ms, teller));
+    assert!(zone.set_platform_list((1..=4).map(sample_upstream).collect(), 0, unix_ms, author));
     let first = zone.version();
     let draining = Upstream {
         draining: true,
         ..sample_upstream(2)
     };
-    let cold = Upstream {
+    let warming = Upstream {
         addr: address("[2001:db8::9]:8443"),
         service: "two".into(),
         warmup_remaining_ms: 3000,
         ..sample_upstream(9)
     };
-    let next = vec![sample_upstream(1), draining, sample_upstream(4), cold];
-    assert!(zone.set_platform_list(next, 10, unix_ms + 10, teller));
+    let next = vec![sample_upstream(1), draining, sample_upstream(4), warming];
+    assert!(zone.set_platform_list(next, 10, unix_ms + 10, author));
     (zone, first)
 }
 
-fn sample_told_whole() -> UpstreamUpdate {
+fn sample_snapshot() -> UpstreamUpdate {
     sample_zone().0.snapshot(10).expect("a list")
 }
 
-fn sample_told_change() -> UpstreamUpdate {
+fn sample_delta() -> UpstreamUpdate {
     let (zone, first) = sample_zone();
-    zone.update_since(first, 10).expect("news")
+    zone.update_since(first, 10).expect("an update")
 }
 
 fn sample_rows() -> Vec<KeyRangeRow> {
     vec![
-        KeyRangeRow(0, 4095, Some("i-1".into())),
-        KeyRangeRow(4096, u16::MAX, None),
+        KeyRangeRow {
+            first: 0,
+            last: 4095,
+            owner: Some("i-1".into()),
+        },
+        KeyRangeRow {
+            first: 4096,
+            last: u16::MAX,
+            owner: None,
+        },
     ]
 }
 
-fn sample_news() -> WatchUpdate {
+fn indexed<T>(index: u64, value: T) -> Indexed<T> {
+    Indexed { index, value }
+}
+
+fn sample_watch_update() -> WatchUpdate {
     WatchUpdate {
         out_of_contact: true,
-        config: Some((8, Arc::new(sample_compact_config()))),
-        evacuated_zones: Some((9, vec!["zone-b".into(), "zone-c".into()])),
-        key_ranges: Some((10, BTreeMap::from([("one".into(), sample_rows())]))),
+        config: Some(indexed(8, Arc::new(sample_compact_config()))),
+        evacuated_zones: Some(indexed(9, vec!["zone-b".into(), "zone-c".into()])),
+        key_ranges: Some(indexed(10, BTreeMap::from([("one".into(), sample_rows())]))),
         zone_updates: BTreeMap::from([
-            ("zone-a".into(), sample_told_whole()),
-            ("zone-b".into(), sample_told_change()),
+            ("zone-a".into(), sample_snapshot()),
+            ("zone-b".into(), sample_delta()),
+        ]),
+        fleet: Some(sample_fleet()),
+        control_nodes: Some(vec![
+            sample_control_node(),
+            sample_control_node_without_disk(),
         ]),
-        fleet: Some(sample_bank()),
-        control_nodes: Some(vec![sample_control(), sample_control_without_disk()]),
     }
 }
 
@@ -273,7 +293,7 @@
     }
 }
 
-fn sample_owned() -> [Ownership; 4] {
+fn sample_ownerships() -> [Ownership; 4] {
     [
         Ownership::Unowned,
         Ownership::Assigned(sample_holder(), None),
@@ -282,27 +302,27 @@
     ]
 }
 
-fn sample_change(owned: Ownership) -> KeyRangeChange {
+fn sample_change(ownership: Ownership) -> KeyRangeChange {
     KeyRangeChange {
         first: 16,
         last: 4095,
         expected_token: 300,
-        ownership: owned,
+        ownership,
     }
 }
 
-/// Slices of which one was cut, and each kind of owner is among them.
-fn sample_slices() -> KeyRangeMap {
-    let mut slices = KeyRangeMap::default();
-    for (number, owned) in (0u16..).zip(sample_owned()) {
-        let since = number * 4096;
+/// Ranges with each kind of owner, one of which was split.
+fn sample_key_range_map() -> KeyRangeMap {
+    let mut ranges = KeyRangeMap::default();
+    for (number, ownership) in (0u16..).zip(sample_ownerships()) {
+        let first = number * 4096;
         let change = KeyRangeChange {
-            first: since,
-            last: since + 4095,
+            first,
+            last: first + 4095,
             expected_token: 0,
-            ownership: owned,
+            ownership,
         };
-        assert!(slices.apply(u64::from(number) + 1, &change));
+        assert!(ranges.apply(u64::from(number) + 1, &change));
     }
     let part = KeyRangeChange {
         first: 4100,
@@ -310,13 +330,13 @@
         expected_token: 1,
         ownership: Ownership::Unowned,
     };
-    assert!(slices.apply(70_000, &part));
-    slices
+    assert!(ranges.apply(70_000, &part));
+    ranges
 }
 
-fn sample_tells() -> Vec<PeerMessage> {
-    let sessions = vec![sample_session(), sample_leaving_session()];
-    let controls = vec![sample_control(), sample_control_without_disk()];
+fn sample_peer_messages() -> Vec<PeerMessage> {
+    let sessions = vec![sample_session(), sample_draining_session()];
+    let control_nodes = vec![sample_control_node(), sample_control_node_without_disk()];
     vec![
         PeerMessage::Join {
             node_id: u64::MAX,
@@ -324,14 +344,14 @@
         },
         PeerMessage::Sessions {
             sessions: sessions.clone(),
-            control_nodes: controls.clone(),
+            control_nodes: control_nodes.clone(),
         },
         PeerMessage::SessionChanges {
             changed: sessions,
             removed: vec!["edge-9".into()],
-            control_nodes: Some(controls),
+            control_nodes: Some(control_nodes),
         },
-        PeerMessage::KeyLoad(sample_counts()),
+        PeerMessage::KeyLoad(sample_key_load()),
         PeerMessage::Heartbeat {
             leader: Some(address("10.1.2.4:7000")),
         },
@@ -339,7 +359,7 @@
         PeerMessage::LeadershipConfirmed { token: 77 },
         PeerMessage::ZoneUpdate {
             zone: "zone-a".into(),
-            update: sample_told_change(),
+            update: sample_delta(),
         },
         PeerMessage::ZoneSnapshotRequest {
             zone: "zone-a".into(),
@@ -349,30 +369,30 @@
 
 // The names of the fixtures. A new variant does not compile without one; its sample goes to those above.
 
-fn hello_fixture(hello: &Handshake) -> &'static str {
-    match hello {
+fn handshake_fixture(handshake: &Handshake) -> &'static str {
+    match handshake {
         Handshake::DataPlane { .. } => "hello-data-plane",
         Handshake::Control { .. } => "hello-control",
     }
 }
 
-fn word_fixture(word: &SessionMessage) -> &'static str {
-    match word {
+fn session_message_fixture(message: &SessionMessage) -> &'static str {
+    match message {
         SessionMessage::Watch(_) => "word-ask",
         SessionMessage::KeepAlive => "word-same",
         SessionMessage::KeyLoad(_) => "word-work",
     }
 }
 
-fn told_fixture(told: &UpstreamUpdate) -> &'static str {
-    match told {
-        UpstreamUpdate::Snapshot(..) => "told-whole",
+fn upstream_update_fixture(update: &UpstreamUpdate) -> &'static str {
+    match update {
+        UpstreamUpdate::Snapshot(_) => "told-whole",
         UpstreamUpdate::Delta(_) => "told-change",
     }
 }
 
-fn owned_fixture(owned: &Ownership) -> &'static str {
-    match owned {
+fn ownership_fixture(ownership: &Ownership) -> &'static str {
+    match ownership {
         Ownership::Unowned => "key-change-free",
         Ownership::Assigned(_, None) => "key-change-by",
         Ownership::Assigned(_, Some(_)) => "key-change-by-with-handover",
@@ -380,9 +400,9 @@
     }
 }
 
-/// `None` for messages of the log: `agreement` defines them.
-fn tell_fixture(tell: &PeerMessage) -> Option<&'static str> {
-    match tell {
+/// `None` for messages of the log: the `raft` crate defines them.
+fn peer_message_fixture(message: &PeerMessage) -> Option<&'static str> {
+    match message {
         PeerMessage::Raft(_) => None,
         PeerMessage::Join { .. } => Some("tell-join"),
         PeerMessage::Sessions { .. } => Some("tell-sessions"),
@@ -397,7 +417,7 @@
 }
 
 #[test]
-fn protocol_number_and_longest_frame_are_fixed() {
+fn protocol_version_and_frame_limit() {
     assert_eq!(PROTOCOL_VERSION, 5);
     assert_eq!(MAX_FRAME_BYTES, 16 * 1024 * 1024);
     // CBOR takes five bytes for the kind and length of so long a string.
@@ -410,7 +430,7 @@
 }
 
 #[test]
-fn hello_frames_are_unchanged() {
+fn handshake_frames() {
     let balancer = sample_balancer();
     let data_plane = Handshake::DataPlane {
         protocol_version: 5,
@@ -419,118 +439,127 @@
     let control = Handshake::Control {
         protocol_version: 5,
         node_id: u64::MAX,
-        control_node: sample_control(),
+        control_node: sample_control_node(),
     };
-    for hello in [data_plane, control] {
-        assert_golden(hello_fixture(&hello), &hello);
+    for handshake in [data_plane, control] {
+        assert_golden(handshake_fixture(&handshake), &handshake);
     }
 }
 
 #[test]
-fn word_frames_are_unchanged() {
-    for word in [
-        SessionMessage::Watch(sample_ask()),
+fn session_message_frames() {
+    for message in [
+        SessionMessage::Watch(sample_watch_request()),
         SessionMessage::KeepAlive,
-        SessionMessage::KeyLoad(sample_counts()),
+        SessionMessage::KeyLoad(sample_key_load()),
     ] {
-        assert_golden(word_fixture(&word), &word);
+        assert_golden(session_message_fixture(&message), &message);
     }
     assert_golden(
         "word-ask-default",
         &SessionMessage::Watch(WatchRequest::default()),
     );
-    assert_golden("word-work-empty", &SessionMessage::KeyLoad(BTreeMap::new()));
-    assert_golden("ask", &sample_ask());
+    assert_golden(
+        "word-work-empty",
+        &SessionMessage::KeyLoad(KeyLoadReport::new()),
+    );
+    assert_golden("ask", &sample_watch_request());
     assert_golden("ask-default", &WatchRequest::default());
 }
 
 #[test]
-fn news_frames_are_unchanged() {
-    assert_golden("news", &sample_news());
+fn watch_update_frames() {
+    assert_golden("news", &sample_watch_update());
     assert_golden("news-empty", &WatchUpdate::default());
 }
 
 #[test]
-fn told_frames_are_unchanged() {
-    for told in [sample_told_whole(), sample_told_change()] {
-        assert_golden(told_fixture(&told), &told);
+fn upstream_update_frames() {
+    for update in [sample_snapshot(), sample_delta()] {
+        assert_golden(upstream_update_fixture(&update), &update);
     }
     assert_golden(
         "told-whole-empty",
-        &UpstreamUpdate::Snapshot(1024, Vec::new()),
+        &UpstreamUpdate::Snapshot(UpstreamSnapshot {
+            version: 1024,
+            upstreams: Vec::new(),
+        }),
     );
 }
 
 #[test]
-fn tell_frames_are_unchanged() {
+fn peer_message_frames() {
     let mut compared = BTreeSet::new();
-    for tell in sample_tells() {
-        let name = tell_fixture(&tell).expect("no message of the log");
+    for message in sample_peer_messages() {
+        let name = peer_message_fixture(&message).expect("not a Raft message");
         assert!(compared.insert(name), "{name} has two samples");
-        assert_golden(name, &tell);
+        assert_golden(name, &message);
     }
-    assert_eq!(compared.len(), 9, "one sample for each variant but `Log`");
+    assert_eq!(compared.len(), 9, "one sample for each variant but `Raft`");
     assert_golden(
         "tell-alive-without-leader",
         &PeerMessage::Heartbeat { leader: None },
     );
-    let moved = PeerMessage::SessionChanges {
+    let empty_changes = PeerMessage::SessionChanges {
         changed: Vec::new(),
         removed: Vec::new(),
         control_nodes: None,
     };
-    assert_golden("tell-moved-empty", &moved);
+    assert_golden("tell-moved-empty", &empty_changes);
 }
 
 #[test]
-fn frames_of_parts_of_messages_are_unchanged() {
+fn frames_of_message_parts() {
     assert_golden("session", &sample_session());
-    assert_golden("session-leaving", &sample_leaving_session());
+    assert_golden("session-leaving", &sample_draining_session());
     assert_golden("balancer", &sample_balancer());
-    assert_golden("balancer-ipv6", &sample_balancer_with_ipv6());
-    assert_golden("control", &sample_control());
-    assert_golden("control-without-disk", &sample_control_without_disk());
-    assert_golden("bank", &sample_bank());
+    assert_golden("balancer-ipv6", &sample_balancer_ipv6());
+    assert_golden("control", &sample_control_node());
+    assert_golden("control-without-disk", &sample_control_node_without_disk());
+    assert_golden("bank", &sample_fleet());
 }
 
 #[test]
-fn compact_config_frame_is_unchanged() {
+fn compact_config_frame() {
     assert_golden("compact-config", &sample_compact_config());
     assert_golden("compact-config-default", &CompactConfig::default());
     assert_eq!(sample_compact_config().to_config(), sample_config());
 }
 
 #[test]
-fn key_change_and_slices_frames_are_unchanged() {
-    for owned in sample_owned() {
-        assert_golden(owned_fixture(&owned), &sample_change(owned));
+fn key_range_frames() {
+    for ownership in sample_ownerships() {
+        assert_golden(ownership_fixture(&ownership), &sample_change(ownership));
     }
-    assert_golden("key-slices", &sample_slices());
+    assert_golden("key-slices", &sample_key_range_map());
     assert_golden("key-slices-empty", &KeyRangeMap::default());
-    assert_golden("key-rows", &sample_slices().changed_since(1));
+    assert_golden("key-rows", &sample_key_range_map().changed_since(1));
 }
 
 #[test]
-fn fields_left_out_take_their_defaults() {
+fn omitted_fields_take_defaults() {
     let empty_map = [0xa0];
     assert_eq!(
-        decode_body::<WatchRequest>(&empty_map).expect("an ask"),
+        decode_body::<WatchRequest>(&empty_map).expect("a request"),
         WatchRequest::default()
     );
     assert_eq!(
-        decode_body::<WatchUpdate>(&empty_map).expect("news"),
+        decode_body::<WatchUpdate>(&empty_map).expect("an update"),
         WatchUpdate::default()
     );
 }
 
 #[test]
-fn digests_are_unchanged() {
-    let controls = digest(&vec![sample_control(), sample_control_without_disk()]);
+fn digest_values() {
+    let control_nodes = digest(&vec![
+        sample_control_node(),
+        sample_control_node_without_disk(),
+    ]);
     let none = digest(&Vec::<ControlNode>::new());
-    let UpstreamUpdate::Delta(change) = sample_told_change() else {
-        panic!("not a difference")
+    let UpstreamUpdate::Delta(change) = sample_delta() else {
+        panic!("not a delta")
     };
-    assert_eq!((controls, none), (3_887_429_303, 1_069_182_125));
+    assert_eq!((control_nodes, none), (3_887_429_303, 1_069_182_125));
     assert_eq!(
         (change.digest, change.version),
         (3_619_942_985, 1_740_800_000_010_245)
--- a/crates/simulation/tests/cells/balancers.rs
+++ b/crates/simulation/tests/cells/balancers.rs
@@ -12,9 +12,9 @@
 use data_plane::control_client::{CONNECT_TIMEOUT, ControlClient, Network, UpdateHandler};
 use data_plane::upstream_pool::AbortOnDrop;
 use protocol::config::Config;
-use protocol::key_ranges::KeyLoadReport;
+use protocol::key_load::KeyLoadReport;
 use protocol::upstream_list::{UpdateOutcome, UpstreamList};
-use protocol::wire::{Balancer, FleetView, WatchRequest, WatchUpdate};
+use protocol::wire::{Balancer, FleetView, Indexed, WatchRequest, WatchUpdate};
 use tokio::io::{DuplexStream, duplex};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -139,7 +139,11 @@
     }
 
     fn take(&self, news: &WatchUpdate) -> bool {
-        if let Some((index, config)) = &news.config {
+        if let Some(Indexed {
+            index,
+            value: config,
+        }) = &news.config
+        {
             self.history
                 .require(!news.out_of_contact, || "told without contact".into());
             if *index > self.config.get() {
