--- a/crates/data-plane/src/routes/following.rs
+++ b/crates/data-plane/src/routes/following.rs
@@ -18,7 +18,7 @@
             evacuations_index: told.evacuated_index,
             key_ranges_index: told.keys_index,
             zone_versions: told.zones.iter().map(has).collect(),
-            ready: told.config_index > 0 && self.engine.ready(),
+            ready: told.config_index > 0 && self.engine.is_ready(),
             draining: self.leaving.get(),
             ..WatchRequest::default()
         }
@@ -108,10 +108,13 @@
     fn work(&self) -> KeyLoadReport {
         let services = self.services.borrow();
         let mut counts = KeyLoadReport::new();
-        for ((service, bucket), took) in self.engine.work() {
+        for (key, took) in self.engine.take_key_load() {
             let spent = (took.as_millis() / u128::from(LOAD_UNIT_MS)).min(u128::from(u16::MAX));
-            let units = spent as u16;
-            counts.push(&services[service].name, BucketLoad { bucket, units });
+            let load = BucketLoad {
+                bucket: key.bucket,
+                units: spent as u16,
+            };
+            counts.push(&services[key.service].name, load);
         }
         counts
     }
