--- a/crates/data-plane/src/engine/attempts.rs
+++ b/crates/data-plane/src/engine/attempts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use load_balancing::interface::{self, AttemptOutcome, Event, RequestId, ServerId, Span};
-use protocol::key_ranges::KEYS_PER_BUCKET;
+use protocol::key_load::KEYS_PER_BUCKET;
 use tokio::time::Instant;
 
 use super::pending_request::{Attempt, AttemptState};
--- a/crates/data-plane/src/engine/handle.rs
+++ b/crates/data-plane/src/engine/handle.rs
@@ -131,7 +131,7 @@
 pub struct KeyBucket {
     /// The service.
     pub service: usize,
-    /// Number of the run: the keys divided by [`protocol::key_ranges::KEYS_PER_BUCKET`].
+    /// Number of the run: the keys divided by [`protocol::key_load::KEYS_PER_BUCKET`].
     pub bucket: u16,
 }
 
