--- a/crates/raft/tests/model.rs
+++ b/crates/raft/tests/model.rs
@@ -1,16 +1,17 @@
-//! The rules of agreement with change of members, explored exhaustively: three members, a spare machine and two
-//! changes, with any order of elections, copies and commits, up to two terms and four entries.
+//! The rules of the log with changes of the members, explored exhaustively: three members, a spare machine and two
+//! changes, with any order of elections, replications and commits, up to two terms and four entries.
 //!
-//! It is a model of the rules, not of the code: a call and its answer are one step, and pre-votes, time-outs and
+//! It is a model of the rules, not of the code: a request and its response are one step, and pre-votes, timeouts and
 //! snapshots are left out, since they decide when something happens, not whether it may. The code itself runs in
-//! `membership.rs` and `simulation.rs`.
+//! `consensus`.
 
 use stateright::{Checker, Model, Property};
 
-const TERMS: u8 = 2;
-const ENTRIES: usize = 4;
-const CHANGES: usize = 2;
-const FOUNDERS: u8 = 0b0111;
+const MAX_TERMS: u8 = 2;
+const MAX_ENTRIES: usize = 4;
+const MAX_CHANGES: usize = 2;
+/// One bit for each node.
+const INITIAL_VOTERS: u8 = 0b0111;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Payload {
@@ -28,12 +29,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Node {
     term: u8,
-    vote: Option<usize>,
-    leads: bool,
+    voted_for: Option<usize>,
+    is_leader: bool,
     log: Vec<Entry>,
-    commit: usize,
-    /// While it leads, how much of its log each node has.
-    matched: Vec<usize>,
+    commit_index: usize,
+    /// While it leads, how many entries each node has.
+    match_index: Vec<usize>,
 }
 
 impl Node {
@@ -42,23 +43,28 @@
             Payload::Voters(voters) => Some(voters),
             Payload::Empty => None,
         };
-        self.log.iter().rev().find_map(voters).unwrap_or(FOUNDERS)
+        self.log
+            .iter()
+            .rev()
+            .find_map(voters)
+            .unwrap_or(INITIAL_VOTERS)
     }
 
     fn is_majority(&self, nodes: u8) -> bool {
         (nodes & self.voters()).count_ones() * 2 > self.voters().count_ones()
     }
 
-    fn last(&self) -> (u8, usize) {
+    /// Term and index of the last entry.
+    fn last_position(&self) -> (u8, usize) {
         (self.log.last().map_or(0, |e| e.term), self.log.len())
     }
 
-    fn follow(&mut self, term: u8) {
+    fn become_follower(&mut self, term: u8) {
         if term > self.term {
-            (self.term, self.vote) = (term, None);
+            (self.term, self.voted_for) = (term, None);
         }
         // A node that does not lead needs no commit here: what was committed is kept beside the nodes.
-        (self.leads, self.matched, self.commit) = (false, Vec::new(), 0);
+        (self.is_leader, self.match_index, self.commit_index) = (false, Vec::new(), 0);
     }
 }
 
@@ -67,7 +73,7 @@
     nodes: Vec<Node>,
     /// All that was committed by any leader.
     committed: Vec<Entry>,
-    /// Two leaders have committed different entries at one place.
+    /// Two leaders have committed different entries at one index.
     diverged: bool,
 }
 
@@ -77,8 +83,8 @@
     Elect(usize, u8),
     /// A leader adds or removes one voter.
     Change(usize, usize),
-    /// A leader copies its log to another node.
-    Copy(usize, usize),
+    /// A leader replicates its log to another node.
+    Replicate(usize, usize),
     Commit(usize),
 }
 
@@ -86,40 +92,47 @@
 #[derive(Clone)]
 struct Rules {
     nodes: usize,
-    one_change_at_a_time: bool,
-    vote_only_for_newer_logs: bool,
+    single_pending_change: bool,
+    vote_only_for_up_to_date_logs: bool,
 }
 
 const RULES: Rules = Rules {
     nodes: 4,
-    one_change_at_a_time: true,
-    vote_only_for_newer_logs: true,
+    single_pending_change: true,
+    vote_only_for_up_to_date_logs: true,
 };
 
 impl Rules {
-    fn may_vote(&self, voter: &Node, candidate: &Node, id: usize) -> bool {
+    fn can_vote(&self, voter: &Node, candidate: &Node, id: usize) -> bool {
         let term = candidate.term + 1;
-        let free = voter.term < term || (voter.term == term && voter.vote.is_none_or(|v| v == id));
-        free && (voter.last() <= candidate.last() || !self.vote_only_for_newer_logs)
+        let has_vote =
+            voter.term < term || (voter.term == term && voter.voted_for.is_none_or(|v| v == id));
+        has_vote
+            && (voter.last_position() <= candidate.last_position()
+                || !self.vote_only_for_up_to_date_logs)
     }
 
-    fn may_change(&self, leader: &Node) -> bool {
+    fn can_change_voters(&self, leader: &Node) -> bool {
         let is_change = |e: &&Entry| matches!(e.payload, Payload::Voters(_));
-        let pending = leader.log[leader.commit..].iter().any(|e| is_change(&e));
-        let own_commit = leader.commit > 0 && leader.log[leader.commit - 1].term == leader.term;
+        let has_pending = leader.log[leader.commit_index..]
+            .iter()
+            .any(|e| is_change(&e));
+        let has_own_commit =
+            leader.commit_index > 0 && leader.log[leader.commit_index - 1].term == leader.term;
         let changes = leader.log.iter().filter(is_change).count();
-        changes < CHANGES && (!self.one_change_at_a_time || (own_commit && !pending))
+        changes < MAX_CHANGES && (!self.single_pending_change || (has_own_commit && !has_pending))
     }
 
+    /// The elections that node `id` may win, each by as few votes as needed.
     fn elections(&self, cluster: &Cluster, id: usize, actions: &mut Vec<Action>) {
         let candidate = &cluster.nodes[id];
         let votes = |nodes: u8| (0..self.nodes).filter(move |n| nodes & (1 << n) != 0);
-        let able = candidate.term < TERMS && candidate.log.len() < ENTRIES;
+        let can_campaign = candidate.term < MAX_TERMS && candidate.log.len() < MAX_ENTRIES;
         for nodes in 0..1u8 << self.nodes {
-            let own = nodes & (1 << id) != 0 && nodes & !candidate.voters() == 0;
-            let given = |n| n == id || self.may_vote(&cluster.nodes[n], candidate, id);
-            let smallest = nodes.count_ones() == candidate.voters().count_ones() / 2 + 1;
-            if able && own && smallest && votes(nodes).all(given) {
+            let includes_self = nodes & (1 << id) != 0 && nodes & !candidate.voters() == 0;
+            let grants = |n| n == id || self.can_vote(&cluster.nodes[n], candidate, id);
+            let is_minimal = nodes.count_ones() == candidate.voters().count_ones() / 2 + 1;
+            if can_campaign && includes_self && is_minimal && votes(nodes).all(grants) {
                 actions.push(Action::Elect(id, nodes));
             }
         }
@@ -127,7 +140,7 @@
 }
 
 impl Cluster {
-    fn note_committed(&mut self, log: &[Entry]) {
+    fn record_committed(&mut self, log: &[Entry]) {
         let common = log.len().min(self.committed.len());
         self.diverged |= log[..common] != self.committed[..common];
         if log.len() > common {
@@ -137,7 +150,10 @@
 
     /// The leader of the latest term.
     fn leader(&self) -> Option<&Node> {
-        self.nodes.iter().filter(|n| n.leads).max_by_key(|n| n.term)
+        self.nodes
+            .iter()
+            .filter(|n| n.is_leader)
+            .max_by_key(|n| n.term)
     }
 }
 
@@ -155,18 +171,18 @@
     fn actions(&self, cluster: &Cluster, actions: &mut Vec<Action>) {
         for (id, node) in cluster.nodes.iter().enumerate() {
             self.elections(cluster, id, actions);
-            if !node.leads {
+            if !node.is_leader {
                 continue;
             }
-            let behind = |to: &usize| {
-                node.matched[*to] < node.log.len() && cluster.nodes[*to].term <= node.term
+            let is_behind = |to: &usize| {
+                node.match_index[*to] < node.log.len() && cluster.nodes[*to].term <= node.term
             };
             actions.extend(
                 (0..self.nodes)
-                    .filter(behind)
-                    .map(|to| Action::Copy(id, to)),
+                    .filter(is_behind)
+                    .map(|to| Action::Replicate(id, to)),
             );
-            if node.log.len() < ENTRIES && self.may_change(node) {
+            if node.log.len() < MAX_ENTRIES && self.can_change_voters(node) {
                 let others = (0..self.nodes).filter(|n| *n != id);
                 actions.extend(others.map(|n| Action::Change(id, n)));
             }
@@ -180,16 +196,16 @@
             Action::Elect(id, nodes) => {
                 let term = cluster.nodes[id].term + 1;
                 for n in (0..self.nodes).filter(|n| nodes & (1 << n) != 0) {
-                    cluster.nodes[n].follow(term);
-                    cluster.nodes[n].vote = Some(id);
+                    cluster.nodes[n].become_follower(term);
+                    cluster.nodes[n].voted_for = Some(id);
                 }
                 let leader = &mut cluster.nodes[id];
                 leader.log.push(Entry {
                     term,
                     payload: Payload::Empty,
                 });
-                (leader.leads, leader.matched) = (true, vec![0; self.nodes]);
-                leader.matched[id] = leader.log.len();
+                (leader.is_leader, leader.match_index) = (true, vec![0; self.nodes]);
+                leader.match_index[id] = leader.log.len();
             }
             Action::Change(id, other) => {
                 let leader = &mut cluster.nodes[id];
@@ -198,29 +214,31 @@
                     term: leader.term,
                     payload,
                 });
-                leader.matched[id] = leader.log.len();
+                leader.match_index[id] = leader.log.len();
             }
-            Action::Copy(id, to) => {
+            Action::Replicate(id, to) => {
                 let leader = &before.nodes[id];
                 let follower = &mut cluster.nodes[to];
-                follower.follow(leader.term);
+                follower.become_follower(leader.term);
                 if !follower.log.starts_with(&leader.log) {
                     follower.log.clone_from(&leader.log);
                 }
-                cluster.nodes[id].matched[to] = leader.log.len();
+                cluster.nodes[id].match_index[to] = leader.log.len();
             }
             Action::Commit(id) => {
                 let leader = &before.nodes[id];
                 let has = |n: usize| {
-                    let nodes = (0..self.nodes).filter(|other| leader.matched[*other] >= n);
+                    let nodes = (0..self.nodes).filter(|other| leader.match_index[*other] >= n);
                     nodes.fold(0, |all, other| all | 1 << other)
                 };
-                let may = |n: &usize| {
+                let can_commit = |n: &usize| {
                     leader.log[n - 1].term == leader.term && leader.is_majority(has(*n))
                 };
-                let commit = (leader.commit + 1..=leader.log.len()).rev().find(may)?;
-                cluster.nodes[id].commit = commit;
-                cluster.note_committed(&leader.log[..commit]);
+                let commit_index = (leader.commit_index + 1..=leader.log.len())
+                    .rev()
+                    .find(can_commit)?;
+                cluster.nodes[id].commit_index = commit_index;
+                cluster.record_committed(&leader.log[..commit_index]);
             }
         }
         Some(cluster)
@@ -232,7 +250,7 @@
                 let mut terms: Vec<u8> = cluster
                     .nodes
                     .iter()
-                    .filter(|n| n.leads)
+                    .filter(|n| n.is_leader)
                     .map(|n| n.term)
                     .collect();
                 let leaders = terms.len();
@@ -241,7 +259,7 @@
                 terms.len() == leaders
             }),
             Property::always(
-                "one entry is committed at a place",
+                "one entry is committed at an index",
                 |_, cluster: &Cluster| !cluster.diverged,
             ),
             Property::always(
@@ -258,22 +276,25 @@
             ),
             Property::sometimes("both changes are committed", |_, cluster: &Cluster| {
                 let change = |e: &&Entry| matches!(e.payload, Payload::Voters(_));
-                cluster.committed.iter().filter(change).count() == CHANGES
+                cluster.committed.iter().filter(change).count() == MAX_CHANGES
             }),
         ]
     }
 }
 
-/// The properties that break, and the number of states explored.
+/// The properties that are violated, and the number of states explored.
 fn explore(rules: Rules) -> (Vec<&'static str>, usize) {
     let checker = rules.checker().threads(2).spawn_bfs().join();
-    let sought = "both changes are committed";
+    let expected = "both changes are committed";
     let broken = checker
         .discoveries()
         .into_keys()
-        .filter(|name| *name != sought)
+        .filter(|name| *name != expected)
         .collect();
-    assert!(checker.discovery(sought).is_some(), "nothing was explored");
+    assert!(
+        checker.discovery(expected).is_some(),
+        "nothing was explored"
+    );
     println!(
         "{} states, depth {}",
         checker.unique_state_count(),
@@ -283,21 +304,21 @@
 }
 
 #[test]
-fn three_members_and_two_changes_break_nothing_in_any_order() {
+fn rules_hold_in_every_order() {
     let (broken, states) = explore(RULES);
     assert!(broken.is_empty(), "{broken:?}");
     assert!(states > 10_000, "{states} states");
 }
 
 #[test]
-fn the_exploration_finds_what_a_missing_rule_breaks() {
+fn exploration_finds_missing_rules() {
     let (broken, _) = explore(Rules {
-        one_change_at_a_time: false,
+        single_pending_change: false,
         ..RULES
     });
     assert!(!broken.is_empty(), "two changes at a time");
     let (broken, _) = explore(Rules {
-        vote_only_for_newer_logs: false,
+        vote_only_for_up_to_date_logs: false,
         ..RULES
     });
     assert!(!broken.is_empty(), "votes for older logs");
