--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,350 +1,370 @@
-//! One balancer of the bank and the names its handles stand for.
+//! One balancer of the fleet, and the names on the wire that its handles stand for.
+//!
+//! State: the balancer, and the names of its upstreams and of its open requests. A balancer that is killed loses all
+//! of it; what the simulator then tells of its requests is passed over.
 
-use load_balancing::interface::{self as d, Action, Event, LoadReport, RequestId, ServerId, Time};
+use load_balancing::interface::{
+    self, Action, AttemptOutcome, AttemptResult, Event, LoadReport, RequestId, ServerId, Span, Time,
+};
 use load_balancing::policy::Balancer;
 use load_balancing::settings::{LoadReportField, key_hash, span_from_ms, stable_hash};
 use rustc_hash::FxHashMap;
 
+use crate::error::MessageError;
 use crate::wire::{self, Command};
 
-pub fn time(ms: f64) -> Time {
+/// A point on the simulator's clock.
+pub(crate) fn time_from_ms(ms: f64) -> Time {
     Time(span_from_ms(ms).0)
 }
 
-fn ms(us: i64) -> f64 {
+fn ms_from_micros(us: i64) -> f64 {
     us as f64 / 1000.0
 }
 
 /// A request that may still be named on the wire.
-struct Job {
+struct OpenRequest {
     name: Box<str>,
-    out: usize,
-    over: bool,
+    attempts_in_flight: usize,
+    is_over: bool,
 }
 
-pub struct Instance {
-    who: u64,
+/// One balancer of the fleet.
+pub(crate) struct Instance {
+    /// Its number on the wire.
+    number: u64,
     balancer: Balancer,
     classes: usize,
-    fields: Vec<LoadReportField>,
-    servers: FxHashMap<Box<str>, ServerId>,
-    server_names: Vec<Box<str>>,
-    by_name: FxHashMap<Box<str>, u64>,
-    jobs: FxHashMap<u64, Job>,
-    next_job: u64,
+    load_report_fields: Vec<LoadReportField>,
+    upstreams: FxHashMap<Box<str>, ServerId>,
+    /// By [`ServerId`].
+    upstream_names: Vec<Box<str>>,
+    request_ids: FxHashMap<Box<str>, u64>,
+    requests: FxHashMap<u64, OpenRequest>,
+    next_request: u64,
+    /// Kept for their allocations.
     actions: Vec<Action>,
-    members: Vec<d::Endpoint>,
+    endpoints: Vec<interface::Endpoint>,
 }
 
 impl Instance {
-    pub fn new(now: Time, init: &wire::Init) -> Result<Self, d::SettingsError> {
-        let facts = &init.facts;
+    /// Starts a balancer that knows its settings and nothing else.
+    pub(crate) fn new(now: Time, start: &wire::Start) -> Result<Self, MessageError> {
+        let settings = &start.settings;
+        let fields = settings.stats.names.iter();
         Ok(Self {
-            who: init.who,
-            balancer: Balancer::new(facts.to_settings(), init.entropy, now)?,
-            classes: facts.services.len(),
-            fields: facts
-                .stats
-                .names
-                .iter()
+            number: start.balancer,
+            balancer: Balancer::new(settings.to_settings(), start.seed, now)?,
+            classes: settings.services.len(),
+            load_report_fields: fields
                 .map(|name| LoadReportField::from_name(name))
                 .collect(),
-            servers: FxHashMap::default(),
-            server_names: Vec::new(),
-            by_name: FxHashMap::default(),
-            jobs: FxHashMap::default(),
-            next_job: 0,
+            upstreams: FxHashMap::default(),
+            upstream_names: Vec::new(),
+            request_ids: FxHashMap::default(),
+            requests: FxHashMap::default(),
+            next_request: 0,
             actions: Vec::new(),
-            members: Vec::new(),
+            endpoints: Vec::new(),
         })
     }
 
-    pub fn order(&mut self, now: Time, m: &wire::Order, out: &mut Vec<u8>) -> Result<(), String> {
-        if m.tier_class >= self.classes {
-            return Err(format!("field `TierClass`: no class {}", m.tier_class));
+    pub(crate) fn on_request(
+        &mut self,
+        now: Time,
+        message: &wire::Request,
+        out: &mut Vec<u8>,
+    ) -> Result<(), MessageError> {
+        if message.class >= self.classes {
+            return Err(MessageError::UnknownClass(message.class));
         }
-        let key = m.object.as_deref();
-        let request = d::Request {
-            tenant: m.party,
-            key: key.map(key_hash),
-            estimated_work: m.cost_guess.map(span_from_ms),
-            is_client_retry: m.resent,
-            is_write: m.write,
-            ..d::Request::new(RequestId(self.next_job), m.tier_class, time(m.drop_dead))
+        let id = self.next_request;
+        self.next_request += 1;
+        let deadline = time_from_ms(message.deadline);
+        let request = interface::Request {
+            tenant: message.tenant,
+            key: message.key.as_deref().map(key_hash),
+            estimated_work: message.estimated_work.map(span_from_ms),
+            is_client_retry: message.is_client_retry,
+            is_write: message.is_write,
+            ..interface::Request::new(RequestId(id), message.class, deadline)
         };
-        let name: Box<str> = m.job.as_ref().into();
-        self.by_name.insert(name.clone(), self.next_job);
-        self.jobs.insert(
-            self.next_job,
-            Job {
-                name,
-                out: 0,
-                over: false,
-            },
-        );
-        self.next_job += 1;
-        self.tell(now, Event::Request(request), out);
+        let name: Box<str> = message.name.as_ref().into();
+        self.request_ids.insert(name.clone(), id);
+        let open = OpenRequest {
+            name,
+            attempts_in_flight: 0,
+            is_over: false,
+        };
+        self.requests.insert(id, open);
+        self.handle(now, Event::Request(request), out);
         Ok(())
     }
 
-    pub fn result(
+    pub(crate) fn on_attempt_ended(
         &mut self,
         now: Time,
-        m: &wire::Outcome,
+        message: &wire::AttemptEnded,
         out: &mut Vec<u8>,
-    ) -> Result<(), String> {
-        let outcome = outcome(m.rc)?;
-        let (Some(&handle), Some(&server)) = (
-            self.by_name.get(m.job.as_ref()),
-            self.servers.get(m.upstream.as_ref()),
-        ) else {
+    ) -> Result<(), MessageError> {
+        let outcome = outcome_from_status(message.status)?;
+        let id = self.request_ids.get(message.request.as_ref());
+        let server = self.upstreams.get(message.upstream.as_ref());
+        let (Some(&id), Some(&server)) = (id, server) else {
             return Ok(());
         };
-        let answer = d::AttemptResult {
-            request: RequestId(handle),
-            attempt: m.go,
+        let result = AttemptResult {
+            request: RequestId(id),
+            attempt: message.attempt,
             server,
             outcome,
-            latency: span_from_ms(m.latency),
-            last: m.last,
-            report: self.report(m.metrics.as_ref()),
+            latency: span_from_ms(message.latency),
+            last: message.last,
+            report: self.load_report(message.load_report.as_ref()),
         };
         self.balancer
-            .handle(now, Event::AttemptEnded(answer), &mut self.actions);
-        if let Some(job) = self.jobs.get_mut(&handle) {
-            job.out = job.out.saturating_sub(1);
-            job.over |= m.last;
+            .handle(now, Event::AttemptEnded(result), &mut self.actions);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
+            request.is_over |= message.last;
         }
-        self.flush(out);
-        self.forget(handle);
+        self.write_actions(out);
+        self.remove_if_done(id);
         Ok(())
     }
 
-    pub fn left(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
-        let Some(&handle) = self.by_name.get(job) else {
+    pub(crate) fn on_client_disconnected(&mut self, now: Time, name: &str, out: &mut Vec<u8>) {
+        let Some(&id) = self.request_ids.get(name) else {
             return;
         };
-        self.balancer.handle(
-            now,
-            Event::ClientDisconnected(RequestId(handle)),
-            &mut self.actions,
-        );
-        self.jobs.entry(handle).and_modify(|j| j.over = true);
-        self.flush(out);
-        self.forget(handle);
+        let event = Event::ClientDisconnected(RequestId(id));
+        self.balancer.handle(now, event, &mut self.actions);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.is_over = true;
+        }
+        self.write_actions(out);
+        self.remove_if_done(id);
     }
 
-    pub fn established(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
-        let Some(&handle) = self.by_name.get(job) else {
-            return;
-        };
-        self.tell(now, Event::ResponseStarted(RequestId(handle)), out);
+    pub(crate) fn on_response_started(&mut self, now: Time, name: &str, out: &mut Vec<u8>) {
+        if let Some(&id) = self.request_ids.get(name) {
+            self.handle(now, Event::ResponseStarted(RequestId(id)), out);
+        }
     }
 
-    pub fn timer(&mut self, now: Time, token: u64, out: &mut Vec<u8>) {
-        self.tell(now, Event::TimerFired(token), out);
+    pub(crate) fn on_timer_fired(&mut self, now: Time, token: u64, out: &mut Vec<u8>) {
+        self.handle(now, Event::TimerFired(token), out);
     }
 
-    pub fn sampled(&mut self, now: Time, m: &wire::Sampled, out: &mut Vec<u8>) {
-        let Some(&server) = self.servers.get(m.upstream.as_ref()) else {
+    pub(crate) fn on_probe_ended(
+        &mut self,
+        now: Time,
+        message: &wire::ProbeEnded,
+        out: &mut Vec<u8>,
+    ) {
+        let Some(&server) = self.upstreams.get(message.upstream.as_ref()) else {
             return;
         };
-        let (ok, latency) = (m.rc == 200, span_from_ms(m.latency));
-        let report = self.report(m.metrics.as_ref());
-        self.tell(
-            now,
-            Event::ProbeEnded {
-                server,
-                ok,
-                latency,
-                report,
-            },
-            out,
-        );
+        let event = Event::ProbeEnded {
+            server,
+            ok: message.status == 200,
+            latency: span_from_ms(message.latency),
+            report: self.load_report(message.load_report.as_ref()),
+        };
+        self.handle(now, event, out);
     }
 
-    pub fn membership(&mut self, now: Time, m: &wire::Membership, out: &mut Vec<u8>) {
-        let mut members = std::mem::take(&mut self.members);
-        members.clear();
-        members.extend(m.lines.iter().map(|line| self.member(line)));
-        let kind = match m.kind {
-            wire::ListKind::Update => d::MembershipKind::Update,
-            wire::ListKind::Replace => d::MembershipKind::Complete,
-            wire::ListKind::Restored => d::MembershipKind::Restored,
-            wire::ListKind::Unavailable => d::MembershipKind::Unavailable,
+    pub(crate) fn on_membership(
+        &mut self,
+        now: Time,
+        message: &wire::Membership,
+        out: &mut Vec<u8>,
+    ) {
+        let mut endpoints = std::mem::take(&mut self.endpoints);
+        endpoints.clear();
+        endpoints.extend(message.endpoints.iter().map(|line| self.endpoint(line)));
+        let kind = match message.kind {
+            wire::MembershipKind::Update => interface::MembershipKind::Update,
+            wire::MembershipKind::Complete => interface::MembershipKind::Complete,
+            wire::MembershipKind::Restored => interface::MembershipKind::Restored,
+            wire::MembershipKind::Unavailable => interface::MembershipKind::Unavailable,
         };
-        self.tell(
-            now,
-            Event::Membership {
-                kind,
-                list: &members,
-            },
-            out,
-        );
-        self.members = members;
+        let event = Event::Membership {
+            kind,
+            list: &endpoints,
+        };
+        self.handle(now, event, out);
+        self.endpoints = endpoints;
     }
 
-    fn member(&mut self, line: &wire::Line) -> d::Endpoint {
-        let name = line.upstream.as_ref();
-        let id = self.servers.get(name).copied().unwrap_or_else(|| {
-            let id = ServerId(self.server_names.len() as u32);
-            self.server_names.push(name.into());
-            self.servers.insert(name.into(), id);
-            id
-        });
-        d::Endpoint {
-            id,
-            identity: stable_hash(name),
-            zone: line.az,
+    fn endpoint(&mut self, line: &wire::Endpoint) -> interface::Endpoint {
+        let started = (line.started > 0.0).then(|| time_from_ms(line.started));
+        interface::Endpoint {
+            id: self.server_id(&line.name),
+            identity: stable_hash(&line.name),
+            zone: line.zone,
             kind: line.kind,
-            cell: line.pack,
+            cell: line.cell,
             status: match line.status {
-                wire::Status::Live => d::Status::Live,
-                wire::Status::Quiescing => d::Status::Draining,
-                wire::Status::Dead => d::Status::Gone,
+                wire::Status::Live => interface::Status::Live,
+                wire::Status::Draining => interface::Status::Draining,
+                wire::Status::Gone => interface::Status::Gone,
             },
-            weight: line.capacity_hint,
+            weight: line.weight,
             slots: 0,
-            started: (line.online_since > 0.0).then(|| time(line.online_since)),
+            started,
         }
     }
 
-    fn tell(&mut self, now: Time, event: Event, out: &mut Vec<u8>) {
+    /// The handle of an upstream, given at the first mention of its name.
+    fn server_id(&mut self, name: &str) -> ServerId {
+        if let Some(&id) = self.upstreams.get(name) {
+            return id;
+        }
+        let id = ServerId(self.upstream_names.len() as u32);
+        self.upstream_names.push(name.into());
+        self.upstreams.insert(name.into(), id);
+        id
+    }
+
+    fn handle(&mut self, now: Time, event: Event, out: &mut Vec<u8>) {
         self.balancer.handle(now, event, &mut self.actions);
-        self.flush(out);
+        self.write_actions(out);
     }
 
-    fn report(&self, row: Option<&wire::Row>) -> LoadReport {
+    fn load_report(&self, row: Option<&wire::LoadReportRow>) -> LoadReport {
         let mut report = LoadReport::default();
-        for (field, &value) in self.fields.iter().zip(row.into_iter().flatten()) {
+        let values = row.into_iter().flatten();
+        for (field, &value) in self.load_report_fields.iter().zip(values) {
             field.set(&mut report, value);
         }
         report
     }
 
-    /// Writes the module's actions in its order, each with a comma behind it.
-    fn flush(&mut self, out: &mut Vec<u8>) {
-        let who = self.who;
+    /// Writes the balancer's actions in its order, each with a comma behind it.
+    fn write_actions(&mut self, out: &mut Vec<u8>) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
-            match action {
-                Action::Send {
-                    request,
-                    server,
-                    timeout,
-                } => {
-                    let Some(job) = self.jobs.get_mut(&request.0) else {
-                        continue;
-                    };
-                    job.out += 1;
-                    let upstream = &self.server_names[server.0 as usize];
-                    let allow_for = ms(timeout.0);
-                    write(
-                        out,
-                        &Command::Relay {
-                            who,
-                            job: &job.name,
-                            upstream,
-                            allow_for,
-                        },
-                    );
-                }
-                Action::Reject {
-                    request,
-                    retry_after,
-                } => {
-                    let Some(job) = self.jobs.get_mut(&request.0) else {
-                        continue;
-                    };
-                    job.over = true;
-                    let cool_down = ms(retry_after.0);
-                    write(
-                        out,
-                        &Command::NotNow {
-                            who,
-                            job: &job.name,
-                            cool_down,
-                        },
-                    );
-                    self.forget(request.0);
-                }
-                Action::Fail { request } => {
-                    let Some(job) = self.jobs.get_mut(&request.0) else {
-                        continue;
-                    };
-                    job.over = true;
-                    write(
-                        out,
-                        &Command::FinishError {
-                            who,
-                            job: &job.name,
-                        },
-                    );
-                    self.forget(request.0);
-                }
-                Action::Cancel { request, attempt } => {
-                    let Some(job) = self.jobs.get(&request.0) else {
-                        continue;
+            self.write_action(action, out);
+        }
+        self.actions = actions;
+    }
+
+    fn write_action(&mut self, action: Action, out: &mut Vec<u8>) {
+        let balancer = self.number;
+        match action {
+            Action::Send {
+                request,
+                server,
+                timeout,
+            } => self.write_send(request, server, timeout, out),
+            Action::Reject {
+                request,
+                retry_after,
+            } => self.write_end(request, out, |request| Command::Reject {
+                balancer,
+                request,
+                retry_after: ms_from_micros(retry_after.0),
+            }),
+            Action::Fail { request } => {
+                self.write_end(request, out, |request| Command::Fail { balancer, request });
+            }
+            Action::Cancel { request, attempt } => {
+                if let Some(open) = self.requests.get(&request.0) {
+                    let request = &open.name;
+                    let command = Command::Cancel {
+                        balancer,
+                        request,
+                        attempt,
                     };
-                    write(
-                        out,
-                        &Command::Retract {
-                            who,
-                            job: &job.name,
-                            go: attempt,
-                        },
-                    );
+                    write_command(out, &command);
                 }
-                Action::SetTimer { token, at } => {
-                    write(
-                        out,
-                        &Command::Arm {
-                            who,
-                            token,
-                            instant: ms(at.0),
-                        },
-                    );
-                }
-                Action::Probe { server } => {
-                    let upstream = &self.server_names[server.0 as usize];
-                    write(out, &Command::Ping { who, upstream });
-                }
-                Action::CloseIdle { server } => {
-                    let upstream = &self.server_names[server.0 as usize];
-                    write(out, &Command::FreeLinks { who, upstream });
-                }
-                Action::Subscribe => write(out, &Command::KeepInformed { who, enable: true }),
+            }
+            Action::SetTimer { token, at } => {
+                let at = ms_from_micros(at.0);
+                let command = Command::SetTimer {
+                    balancer,
+                    token,
+                    at,
+                };
+                write_command(out, &command);
+            }
+            Action::Probe { server } => {
+                let upstream = &self.upstream_names[server.0 as usize];
+                write_command(out, &Command::Probe { balancer, upstream });
+            }
+            Action::CloseIdle { server } => {
+                let upstream = &self.upstream_names[server.0 as usize];
+                write_command(out, &Command::CloseIdle { balancer, upstream });
+            }
+            Action::Subscribe => {
+                let enable = true;
+                write_command(out, &Command::Subscribe { balancer, enable });
             }
         }
-        self.actions = actions;
     }
 
-    /// Drops the name of a request that is over and has nothing out.
-    fn forget(&mut self, handle: u64) {
-        if self.jobs.get(&handle).is_some_and(|j| j.over && j.out == 0)
-            && let Some(job) = self.jobs.remove(&handle)
+    fn write_send(
+        &mut self,
+        request: RequestId,
+        server: ServerId,
+        timeout: Span,
+        out: &mut Vec<u8>,
+    ) {
+        let Some(open) = self.requests.get_mut(&request.0) else {
+            return;
+        };
+        open.attempts_in_flight += 1;
+        let command = Command::Send {
+            balancer: self.number,
+            request: &open.name,
+            upstream: &self.upstream_names[server.0 as usize],
+            timeout: ms_from_micros(timeout.0),
+        };
+        write_command(out, &command);
+    }
+
+    /// Writes the command that ends a request, for the request's name.
+    fn write_end(
+        &mut self,
+        request: RequestId,
+        out: &mut Vec<u8>,
+        command: impl FnOnce(&str) -> Command<'_>,
+    ) {
+        let Some(open) = self.requests.get_mut(&request.0) else {
+            return;
+        };
+        open.is_over = true;
+        write_command(out, &command(&open.name));
+        self.remove_if_done(request.0);
+    }
+
+    /// Drops the name of a request that is over and has no attempt in flight.
+    fn remove_if_done(&mut self, id: u64) {
+        let open = self.requests.get(&id);
+        if open.is_some_and(|open| open.is_over && open.attempts_in_flight == 0)
+            && let Some(open) = self.requests.remove(&id)
         {
-            self.by_name.remove(&job.name);
+            self.request_ids.remove(&open.name);
         }
     }
 }
 
-fn write(out: &mut Vec<u8>, command: &Command) {
-    // Writing plain structs to memory cannot fail.
-    let _ = serde_json::to_writer(&mut *out, command);
+fn write_command(out: &mut Vec<u8>, command: &Command) {
+    serde_json::to_writer(&mut *out, command).expect("plain structs, written to memory");
     out.push(b',');
 }
 
-fn outcome(rc: u16) -> Result<d::AttemptOutcome, String> {
-    Ok(match rc {
-        200 => d::AttemptOutcome::Ok,
-        500 => d::AttemptOutcome::Error,
-        503 => d::AttemptOutcome::Rejected,
-        504 => d::AttemptOutcome::Timeout,
-        502 => d::AttemptOutcome::ConnectFailed,
-        598 => d::AttemptOutcome::Reset,
-        499 => d::AttemptOutcome::Cancelled,
-        410 => d::AttemptOutcome::NotIssued,
-        _ => return Err(format!("field `Rc`: no outcome {rc}")),
+fn outcome_from_status(status: u16) -> Result<AttemptOutcome, MessageError> {
+    Ok(match status {
+        200 => AttemptOutcome::Ok,
+        410 => AttemptOutcome::NotIssued,
+        499 => AttemptOutcome::Cancelled,
+        500 => AttemptOutcome::Error,
+        502 => AttemptOutcome::ConnectFailed,
+        503 => AttemptOutcome::Rejected,
+        504 => AttemptOutcome::Timeout,
+        598 => AttemptOutcome::Reset,
+        _ => return Err(MessageError::UnknownStatus(status)),
     })
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,131 +1,144 @@
-//! Hosts many balancers on the bench's wire: reads batches, writes replies, decides nothing.
+//! Hosts many balancers on the simulator's wire: reads a batch of events a line, writes a line of commands for each,
+//! and decides nothing.
+//!
+//! State: one [`Instance`] for each balancer that was started and not stopped, in memory only. The adapter ends when
+//! its input does, and at the first line that it can't follow, with a message that names the batch and the field.
 
+mod error;
 mod instance;
 mod wire;
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
+use error::{AdapterError, MessageError};
 use instance::Instance;
+use load_balancing::interface::Time;
 use rustc_hash::FxHashMap;
 use wire::{Batch, BatchNumber, Event};
 
-/// What ends the adapter: a plain message.
-type Failure = String;
-
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("simulator-adapter: {message}");
+        Err(error) => {
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), Failure> {
+fn run() -> Result<(), AdapterError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut line = Vec::new();
     let mut reply = Vec::new();
     let mut instances = FxHashMap::default();
-    let mut last = None;
+    let mut last_batch = None;
     loop {
         line.clear();
         let read = input.read_until(b'\n', &mut line);
-        if read.map_err(|e| format!("standard input: {e}"))? == 0 {
+        if read.map_err(AdapterError::Input)? == 0 {
             return Ok(());
         }
         if line.trim_ascii().is_empty() {
             continue;
         }
-        let batch = parse(&line, last)?;
-        last = Some(batch.batch);
+        let batch = parse_batch(&line, last_batch)?;
+        last_batch = Some(batch.number);
         reply.clear();
-        answer(&mut instances, &batch, &mut reply)
-            .map_err(|e| format!("batch {}: {e}", batch.batch))?;
-        let sent = output.write_all(&reply).and_then(|()| output.flush());
-        sent.map_err(|e| format!("standard output: {e}"))?;
+        handle_batch(&mut instances, &batch, &mut reply)?;
+        output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .map_err(AdapterError::Output)?;
     }
 }
 
-fn parse(line: &[u8], last: Option<u64>) -> Result<Batch<'_>, Failure> {
-    serde_json::from_slice(line).map_err(|_| malformed(line, last))
+fn parse_batch(line: &[u8], last_batch: Option<u64>) -> Result<Batch<'_>, AdapterError> {
+    serde_json::from_slice(line).map_err(|_| malformed_batch(line, last_batch))
 }
 
 /// Reads the line again, slowly, to name the batch and the field.
-fn malformed(line: &[u8], last: Option<u64>) -> Failure {
-    let batch = match (serde_json::from_slice::<BatchNumber>(line), last) {
-        (Ok(n), _) => format!("batch {}", n.batch),
-        (Err(_), Some(n)) => format!("the batch after {n}"),
+fn malformed_batch(line: &[u8], last_batch: Option<u64>) -> AdapterError {
+    let batch = match (serde_json::from_slice::<BatchNumber>(line), last_batch) {
+        (Ok(batch), _) => format!("batch {}", batch.number),
+        (Err(_), Some(last)) => format!("the batch after {last}"),
         (Err(_), None) => "the first batch".to_string(),
     };
     let mut reader = serde_json::Deserializer::from_slice(line);
-    let error = match serde_path_to_error::deserialize::<_, Batch>(&mut reader) {
+    let cause = match serde_path_to_error::deserialize::<_, Batch>(&mut reader) {
         Err(error) if error.path().iter().len() == 0 => error.into_inner().to_string(),
         Err(error) => format!("field `{}`: {}", error.path(), error.inner()),
         Ok(_) => "something follows the batch on its line".to_string(),
     };
-    format!("{batch}: {error}")
+    AdapterError::MalformedBatch { batch, cause }
 }
 
-fn answer(
+/// Hands each event of a batch to its balancer and writes the line that answers the batch.
+fn handle_batch(
     instances: &mut FxHashMap<u64, Instance>,
     batch: &Batch,
     reply: &mut Vec<u8>,
-) -> Result<(), Failure> {
-    let _ = write!(reply, "{{\"batch\":{},\"cmds\":[", batch.batch);
-    let empty = reply.len();
-    for (place, event) in batch.msgs.iter().enumerate() {
-        deliver(instances, batch.ts, event, reply).map_err(|e| format!("message {place}: {e}"))?;
+) -> Result<(), AdapterError> {
+    write!(reply, "{{\"batch\":{},\"cmds\":[", batch.number).expect("written to memory");
+    let head_bytes = reply.len();
+    let now = instance::time_from_ms(batch.time);
+    for (index, event) in batch.events.iter().enumerate() {
+        handle_event(instances, now, event, reply).map_err(|source| AdapterError::Message {
+            batch: batch.number,
+            index,
+            source,
+        })?;
     }
-    if reply.len() > empty {
+    // Each command has a comma behind it.
+    if reply.len() > head_bytes {
         reply.pop();
     }
     reply.extend_from_slice(b"]}\n");
     Ok(())
 }
 
-fn deliver(
+fn handle_event(
     instances: &mut FxHashMap<u64, Instance>,
-    ts: f64,
+    now: Time,
     event: &Event,
     reply: &mut Vec<u8>,
-) -> Result<(), Failure> {
-    let now = instance::time(ts);
-    let who = match event {
-        Event::Init(m) => {
-            let made = Instance::new(now, m);
-            let made = made.map_err(|e| format!("field `Facts`: {e}"))?;
-            instances.insert(m.who, made);
+) -> Result<(), MessageError> {
+    let balancer = match event {
+        Event::Start(start) => {
+            instances.insert(start.balancer, Instance::new(now, start)?);
             return Ok(());
         }
-        Event::Down(m) => {
-            instances.remove(&m.who);
+        Event::Stop(stop) => {
+            instances.remove(&stop.balancer);
             return Ok(());
         }
-        Event::Order(m) => m.who,
-        Event::Result(m) => m.who,
-        Event::TimeoutFired(m) => m.who,
-        Event::Left(m) => m.who,
-        Event::Membership(m) => m.who,
-        Event::Sampled(m) => m.who,
-        Event::Established(m) => m.who,
-        Event::Memo(m) => m.who,
+        Event::Request(message) => message.balancer,
+        Event::AttemptEnded(message) => message.balancer,
+        Event::TimerFired(message) => message.balancer,
+        Event::ClientDisconnected(message) => message.balancer,
+        Event::Membership(message) => message.balancer,
+        Event::ProbeEnded(message) => message.balancer,
+        Event::ResponseStarted(message) => message.balancer,
+        Event::Memo(message) => message.balancer,
     };
-    // An instance that is down, or was never started, hears nothing.
-    let Some(instance) = instances.get_mut(&who) else {
+    // A balancer that is stopped, or was never started, hears nothing.
+    let Some(instance) = instances.get_mut(&balancer) else {
         return Ok(());
     };
     match event {
-        Event::Order(m) => instance.order(now, m, reply)?,
-        Event::Result(m) => instance.result(now, m, reply)?,
-        Event::TimeoutFired(m) => instance.timer(now, m.token, reply),
-        Event::Left(m) => instance.left(now, &m.job, reply),
-        Event::Membership(m) => instance.membership(now, m, reply),
-        Event::Sampled(m) => instance.sampled(now, m, reply),
-        Event::Established(m) => instance.established(now, &m.job, reply),
-        Event::Memo(_) | Event::Init(_) | Event::Down(_) => {}
+        Event::Request(message) => instance.on_request(now, message, reply)?,
+        Event::AttemptEnded(message) => instance.on_attempt_ended(now, message, reply)?,
+        Event::TimerFired(message) => instance.on_timer_fired(now, message.token, reply),
+        Event::ClientDisconnected(message) => {
+            instance.on_client_disconnected(now, &message.request, reply);
+        }
+        Event::Membership(message) => instance.on_membership(now, message, reply),
+        Event::ProbeEnded(message) => instance.on_probe_ended(now, message, reply),
+        Event::ResponseStarted(message) => {
+            instance.on_response_started(now, &message.request, reply);
+        }
+        Event::Memo(_) | Event::Start(_) | Event::Stop(_) => {}
     }
     Ok(())
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,4 +1,7 @@
-//! The wire's messages, borrowed from the input line.
+//! The simulator's messages, borrowed from the input line.
+//!
+//! The written names are the simulator's; the names in the code are the terms of `docs/GLOSSARY.md`. Times are in
+//! milliseconds on the simulator's clock.
 
 use std::borrow::Cow;
 
@@ -6,210 +9,288 @@
 use load_balancing::settings::SiteSettings;
 use serde::{Deserialize, Serialize};
 
-pub type Text<'a> = Cow<'a, str>;
+/// A string of the input line; owned only where it holds escapes.
+pub(crate) type Text<'a> = Cow<'a, str>;
 
+/// The values of a load report, in the order that the settings state.
+pub(crate) type LoadReportRow = ArrayVec<f64, 4>;
+
+/// One line of input: what happened at one moment, to all balancers.
 #[derive(Deserialize)]
-pub struct Batch<'a> {
+pub(crate) struct Batch<'a> {
     #[serde(rename = "Ts")]
-    pub ts: f64,
-    pub batch: u64,
-    #[serde(borrow)]
-    pub msgs: Vec<Event<'a>>,
+    pub(crate) time: f64,
+    #[serde(rename = "batch")]
+    pub(crate) number: u64,
+    #[serde(borrow, rename = "msgs")]
+    pub(crate) events: Vec<Event<'a>>,
 }
 
-/// Only the number of a batch that could not be read whole.
+/// Only the number of a batch that could not be read as a whole.
 #[derive(Deserialize)]
-pub struct BatchNumber {
-    pub batch: u64,
+pub(crate) struct BatchNumber {
+    #[serde(rename = "batch")]
+    pub(crate) number: u64,
 }
 
+/// What happened to one balancer.
 #[derive(Deserialize)]
-pub enum Event<'a> {
-    #[serde(borrow)]
-    Order(Order<'a>),
-    #[serde(borrow)]
-    Result(Outcome<'a>),
-    TimeoutFired(TimeoutFired),
-    #[serde(borrow)]
-    Left(Left<'a>),
+pub(crate) enum Event<'a> {
+    #[serde(borrow, rename = "Order")]
+    Request(Request<'a>),
+    #[serde(borrow, rename = "Result")]
+    AttemptEnded(AttemptEnded<'a>),
+    #[serde(rename = "TimeoutFired")]
+    TimerFired(TimerFired),
+    #[serde(borrow, rename = "Left")]
+    ClientDisconnected(ClientDisconnected<'a>),
     #[serde(borrow)]
     Membership(Membership<'a>),
-    #[serde(borrow)]
-    Sampled(Sampled<'a>),
-    #[serde(borrow)]
-    Established(Established<'a>),
+    #[serde(borrow, rename = "Sampled")]
+    ProbeEnded(ProbeEnded<'a>),
+    #[serde(borrow, rename = "Established")]
+    ResponseStarted(ResponseStarted<'a>),
+    /// A note that asks for nothing.
     Memo(Memo),
-    Init(Box<Init>),
-    Down(Down),
+    /// A balancer starts.
+    #[serde(rename = "Init")]
+    Start(Box<Start>),
+    /// A balancer is killed.
+    #[serde(rename = "Down")]
+    Stop(Stop),
 }
 
+/// A client's request has arrived.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Order<'a> {
-    pub who: u64,
-    #[serde(borrow)]
-    pub job: Text<'a>,
-    pub tier_class: usize,
-    #[serde(default)]
-    pub party: usize,
-    #[serde(borrow, default)]
-    pub object: Option<Text<'a>>,
-    pub drop_dead: f64,
-    #[serde(default)]
-    pub cost_guess: Option<f64>,
-    #[serde(default)]
-    pub resent: bool,
-    #[serde(default)]
-    pub write: bool,
+pub(crate) struct Request<'a> {
+    #[serde(rename = "Who")]
+    pub(crate) balancer: u64,
+    #[serde(borrow, rename = "Job")]
+    pub(crate) name: Text<'a>,
+    #[serde(rename = "TierClass")]
+    pub(crate) class: usize,
+    #[serde(default, rename = "Party")]
+    pub(crate) tenant: usize,
+    #[serde(borrow, default, rename = "Object")]
+    pub(crate) key: Option<Text<'a>>,
+    #[serde(rename = "DropDead")]
+    pub(crate) deadline: f64,
+    #[serde(default, rename = "CostGuess")]
+    pub(crate) estimated_work: Option<f64>,
+    #[serde(default, rename = "Resent")]
+    pub(crate) is_client_retry: bool,
+    #[serde(default, rename = "Write")]
+    pub(crate) is_write: bool,
 }
 
-pub type Row = ArrayVec<f64, 4>;
-
+/// An attempt has ended.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Outcome<'a> {
-    pub who: u64,
+pub(crate) struct AttemptEnded<'a> {
+    #[serde(rename = "Who")]
+    pub(crate) balancer: u64,
+    #[serde(borrow, rename = "Job")]
+    pub(crate) request: Text<'a>,
+    #[serde(rename = "Go")]
+    pub(crate) attempt: usize,
     #[serde(borrow)]
-    pub job: Text<'a>,
-    pub go: usize,
-    #[serde(borrow)]
-    pub upstream: Text<'a>,
-    pub rc: u16,
-    pub latency: f64,
-    #[serde(default)]
-    pub last: bool,
+    pub(crate) upstream: Text<'a>,
+    #[serde(rename = "Rc")]
+    pub(crate) status: u16,
+    pub(crate) latency: f64,
     #[serde(default)]
-    pub metrics: Option<Row>,
+    pub(crate) last: bool,
+    #[serde(default, rename = "Metrics")]
+    pub(crate) load_report: Option<LoadReportRow>,
 }
 
+/// A timer that the balancer had set is due.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct TimeoutFired {
-    pub who: u64,
-    pub token: u64,
+pub(crate) struct TimerFired {
+    #[serde(rename = "Who")]
+    pub(crate) balancer: u64,
+    pub(crate) token: u64,
 }
 
+/// A client no longer waits.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct Left<'a> {
-    pub who: u64,
-    #[serde(borrow)]
-    pub job: Text<'a>,
+pub(crate) struct ClientDisconnected<'a> {
+    #[serde(rename = "Who")]
+    pub(crate) balancer: u64,
+    #[serde(borrow, rename = "Job")]
+    pub(crate) request: Text<'a>,
 }
 
+/// A response has begun to stream.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct Established<'a> {
-    pub who: u64,
-    #[serde(borrow)]
-    pub job: Text<'a>,
+pub(crate) struct ResponseStarted<'a> {
+    #[serde(rename = "Who")]
+    pub(crate) balancer: u64,
+    #[serde(borrow, rename = "Job")]
+    pub(crate) request: Text<'a>,
 }
 
+/// A health probe has ended.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Sampled<'a> {
-    pub who: u64,
-    pub rc: u16,
-    pub latency: f64,
+pub(crate) struct ProbeEnded<'a> {
+    #[serde(rename = "Who")]
+    pub(crate) balancer: u64,
+    #[serde(rename = "Rc")]
+    pub(crate) status: u16,
+    pub(crate) latency: f64,
     #[serde(borrow)]
-    pub upstream: Text<'a>,
-    #[serde(default)]
-    pub metrics: Option<Row>,
+    pub(crate) upstream: Text<'a>,
+    #[serde(default, rename = "Metrics")]
+    pub(crate) load_report: Option<LoadReportRow>,
 }
 
+/// See [`Event::Memo`].
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct Memo {
-    pub who: u64,
+pub(crate) struct Memo {
+    #[serde(rename = "Who")]
+    pub(crate) balancer: u64,
 }
 
+/// See [`Event::Stop`].
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct Down {
-    pub who: u64,
+pub(crate) struct Stop {
+    #[serde(rename = "Who")]
+    pub(crate) balancer: u64,
 }
 
+/// The list of upstreams, or a change to it.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Membership<'a> {
-    pub who: u64,
-    pub kind: ListKind,
-    #[serde(borrow, default)]
-    pub lines: Vec<Line<'a>>,
+pub(crate) struct Membership<'a> {
+    #[serde(rename = "Who")]
+    pub(crate) balancer: u64,
+    pub(crate) kind: MembershipKind,
+    #[serde(borrow, default, rename = "Lines")]
+    pub(crate) endpoints: Vec<Endpoint<'a>>,
 }
 
-#[derive(Deserialize)]
+/// What kind of list it is.
+#[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ListKind {
+pub(crate) enum MembershipKind {
     Update,
-    Replace,
+    #[serde(rename = "replace")]
+    Complete,
     Restored,
     Unavailable,
 }
 
+/// One upstream of a list.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Line<'a> {
-    #[serde(borrow)]
-    pub upstream: Text<'a>,
-    #[serde(default)]
-    pub az: u32,
+pub(crate) struct Endpoint<'a> {
+    #[serde(borrow, rename = "Upstream")]
+    pub(crate) name: Text<'a>,
+    #[serde(default, rename = "Az")]
+    pub(crate) zone: u32,
     #[serde(default, rename = "Type")]
-    pub kind: u32,
-    #[serde(default)]
-    pub pack: u32,
-    pub status: Status,
-    #[serde(default = "one")]
-    pub capacity_hint: f64,
-    #[serde(default)]
-    pub online_since: f64,
+    pub(crate) kind: u32,
+    #[serde(default, rename = "Pack")]
+    pub(crate) cell: u32,
+    pub(crate) status: Status,
+    #[serde(default = "one", rename = "CapacityHint")]
+    pub(crate) weight: f64,
+    /// When it last started; 0 where nobody tells.
+    #[serde(default, rename = "OnlineSince")]
+    pub(crate) started: f64,
 }
 
 fn one() -> f64 {
     1.0
 }
 
-#[derive(Deserialize)]
+/// State of an upstream in the list.
+#[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Status {
+pub(crate) enum Status {
     Live,
-    Quiescing,
-    Dead,
+    #[serde(rename = "quiescing")]
+    Draining,
+    #[serde(rename = "dead")]
+    Gone,
 }
 
+/// A balancer starts, with nothing but its settings.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct Init {
-    pub who: u64,
-    pub entropy: u64,
-    pub facts: SiteSettings,
+pub(crate) struct Start {
+    #[serde(rename = "Who")]
+    pub(crate) balancer: u64,
+    #[serde(rename = "Entropy")]
+    pub(crate) seed: u64,
+    #[serde(rename = "Facts")]
+    pub(crate) settings: SiteSettings,
 }
 
+/// What a balancer tells the simulator to do.
 #[derive(Serialize)]
-pub enum Command<'a> {
-    #[serde(rename_all = "PascalCase")]
-    Relay {
-        who: u64,
-        job: &'a str,
+pub(crate) enum Command<'a> {
+    #[serde(rename = "Relay", rename_all = "PascalCase")]
+    Send {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        #[serde(rename = "Job")]
+        request: &'a str,
+        upstream: &'a str,
+        #[serde(rename = "AllowFor")]
+        timeout: f64,
+    },
+    #[serde(rename = "NotNow")]
+    Reject {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        #[serde(rename = "Job")]
+        request: &'a str,
+        #[serde(rename = "CoolDown")]
+        retry_after: f64,
+    },
+    #[serde(rename = "FinishError")]
+    Fail {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        #[serde(rename = "Job")]
+        request: &'a str,
+    },
+    #[serde(rename = "Retract")]
+    Cancel {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        #[serde(rename = "Job")]
+        request: &'a str,
+        #[serde(rename = "Go")]
+        attempt: usize,
+    },
+    #[serde(rename = "Arm", rename_all = "PascalCase")]
+    SetTimer {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        token: u64,
+        #[serde(rename = "Instant")]
+        at: f64,
+    },
+    #[serde(rename = "Ping", rename_all = "PascalCase")]
+    Probe {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        upstream: &'a str,
+    },
+    #[serde(rename = "FreeLinks", rename_all = "PascalCase")]
+    CloseIdle {
+        #[serde(rename = "Who")]
+        balancer: u64,
         upstream: &'a str,
-        allow_for: f64,
     },
-    #[serde(rename_all = "PascalCase")]
-    NotNow {
-        who: u64,
-        job: &'a str,
-        cool_down: f64,
+    #[serde(rename = "KeepInformed", rename_all = "PascalCase")]
+    Subscribe {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        enable: bool,
     },
-    #[serde(rename_all = "PascalCase")]
-    FinishError { who: u64, job: &'a str },
-    #[serde(rename_all = "PascalCase")]
-    Retract { who: u64, job: &'a str, go: usize },
-    #[serde(rename_all = "PascalCase")]
-    Arm { who: u64, token: u64, instant: f64 },
-    #[serde(rename_all = "PascalCase")]
-    Ping { who: u64, upstream: &'a str },
-    #[serde(rename_all = "PascalCase")]
-    FreeLinks { who: u64, upstream: &'a str },
-    #[serde(rename_all = "PascalCase")]
-    KeepInformed { who: u64, enable: bool },
 }
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-fn drill(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -21,7 +21,7 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn batch(n: u64, ts: f64, msgs: Value) -> String {
+fn batch(n: u64, ts: f64, msgs: &Value) -> String {
     format!("{}\n", json!({"Ts": ts, "batch": n, "msgs": msgs}))
 }
 
@@ -40,7 +40,7 @@
          "CapacityHint": 1}]}})
 }
 
-fn order(who: u64, job: &str, drop_dead: f64) -> Value {
+fn request_message(who: u64, job: &str, drop_dead: f64) -> Value {
     json!({"Order": {"Who": who, "Job": job, "TierClass": 0, "DropDead": drop_dead}})
 }
 
@@ -51,7 +51,7 @@
         .collect()
 }
 
-fn relays(reply: &Value) -> Vec<&Value> {
+fn sends(reply: &Value) -> Vec<&Value> {
     reply["cmds"]
         .as_array()
         .expect("cmds")
@@ -61,20 +61,23 @@
 }
 
 #[test]
-fn a_request_is_relayed_and_its_instance_named() {
-    let output = drill(&format!(
+fn sends_name_their_balancer() {
+    let output = run_adapter(&format!(
         "{}{}",
-        batch(1, 1000.0, json!([init(3), list(3), init(4), list(4)])),
+        batch(1, 1000.0, &json!([init(3), list(3), init(4), list(4)])),
         batch(
             2,
             1001.5,
-            json!([order(3, "rq_a", 1200.0), order(4, "rq_b", 1200.0)])
+            &json!([
+                request_message(3, "rq_a", 1200.0),
+                request_message(4, "rq_b", 1200.0)
+            ])
         ),
     ));
     assert!(output.status.success());
     let replies = replies(&output);
     assert_eq!(replies[1]["batch"], 2);
-    let sent = relays(&replies[1]);
+    let sent = sends(&replies[1]);
     assert_eq!(sent.len(), 2);
     assert_eq!(
         (&sent[0]["Who"], &sent[0]["Job"]),
@@ -84,19 +87,19 @@
 }
 
 #[test]
-fn a_killed_instance_starts_with_nothing() {
-    let output = drill(&format!(
+fn a_stopped_balancer_restarts_with_nothing() {
+    let output = run_adapter(&format!(
         "{}{}",
         batch(
             1,
             1000.0,
-            json!([init(3), list(3), order(3, "rq_a", 1200.0)])
+            &json!([init(3), list(3), request_message(3, "rq_a", 1200.0)])
         ),
         batch(
             2,
             1010.0,
-            json!([
-            {"Down": {"Who": 3}}, init(3), order(3, "rq_b", 1200.0),
+            &json!([
+            {"Down": {"Who": 3}}, init(3), request_message(3, "rq_b", 1200.0),
             {"Result": {"Who": 3, "Job": "rq_a", "Go": 0, "Upstream": "10.0.0.1:80", "Rc": 200,
                         "Latency": 9.0, "Last": true}},
             {"Left": {"Who": 3, "Job": "rq_none"}}, {"TimeoutFired": {"Who": 9, "Token": 1}}])
@@ -104,23 +107,23 @@
     ));
     assert!(output.status.success());
     let replies = replies(&output);
-    assert_eq!(relays(&replies[0]).len(), 1);
-    assert!(relays(&replies[1]).is_empty(), "it knows no upstream yet");
+    assert_eq!(sends(&replies[0]).len(), 1);
+    assert!(sends(&replies[1]).is_empty(), "it knows no upstream yet");
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed() {
-    let output = drill(&format!(
+fn an_unsafe_request_that_may_have_run_fails() {
+    let output = run_adapter(&format!(
         "{}{}",
         batch(
             1,
             1000.0,
-            json!([init(0), list(0), order(0, "rq_a", 1200.0)])
+            &json!([init(0), list(0), request_message(0, "rq_a", 1200.0)])
         ),
         batch(
             2,
             1010.0,
-            json!([{"Result": {"Who": 0, "Job": "rq_a", "Go": 0,
+            &json!([{"Result": {"Who": 0, "Job": "rq_a", "Go": 0,
             "Upstream": "10.0.0.1:80", "Rc": 598, "Latency": 9.0}}])
         ),
     ));
@@ -134,7 +137,7 @@
     );
 }
 
-fn cmds<'a>(reply: &'a Value, name: &str) -> Vec<&'a Value> {
+fn commands<'a>(reply: &'a Value, name: &str) -> Vec<&'a Value> {
     reply["cmds"]
         .as_array()
         .expect("cmds")
@@ -144,7 +147,7 @@
 }
 
 #[test]
-fn order_placement_and_closing_settings_reach_the_module() {
+fn ordering_binding_and_draining_settings_reach_the_balancer() {
     // Failure: the adapter passed none of ByArrival, TurnGap, ZonesAllowed, BoundTo and DrainClose on.
     let mut start = init(0);
     let facts = &mut start["Init"]["Facts"];
@@ -156,27 +159,27 @@
     facts["Safety"]["TurnGap"] = json!(30.0);
     let line = |name: &str, az: u32, status: &str| json!({"Upstream": name, "Az": az, "Type": 0, "Status": status});
     let lines = |kind: &str, lines: Value| json!({"Membership": {"Who": 0, "Kind": kind, "Generation": 1, "Lines": lines}});
-    let ask = |job: &str, class: u32, key: &str| json!({"Order": {"Who": 0, "Job": job, "TierClass": class, "DropDead": 1300.0, "Object": key}});
+    let request = |job: &str, class: u32, key: &str| json!({"Order": {"Who": 0, "Job": job, "TierClass": class, "DropDead": 1300.0, "Object": key}});
     let all: Vec<_> = (0..4)
         .map(|i| line(&format!("10.0.0.{i}:80"), i % 2, "live"))
         .collect();
-    let output = drill(&format!(
+    let output = run_adapter(&format!(
         "{}{}{}",
-        batch(1, 1000.0, json!([start, lines("restored", json!(all))])),
+        batch(1, 1000.0, &json!([start, lines("restored", json!(all))])),
         batch(
             2,
             1001.0,
-            json!([
-                ask("a", 0, "00ff"),
-                ask("b", 0, "00ff"),
-                ask("c", 1, "0001"),
-                ask("d", 2, "0002")
+            &json!([
+                request("a", 0, "00ff"),
+                request("b", 0, "00ff"),
+                request("c", 1, "0001"),
+                request("d", 2, "0002")
             ])
         ),
         batch(
             3,
             1002.0,
-            json!([lines(
+            &json!([lines(
                 "update",
                 json!([line("10.0.0.1:80", 1, "quiescing")])
             )])
@@ -184,7 +187,7 @@
     ));
     assert!(output.status.success());
     let replies = replies(&output);
-    let sent = relays(&replies[1]);
+    let sent = sends(&replies[1]);
     let jobs: Vec<_> = sent.iter().map(|r| r["Job"].as_str().unwrap()).collect();
     assert_eq!(
         jobs,
@@ -196,11 +199,14 @@
         ["10.0.0.1:80", "10.0.0.3:80"].contains(&at),
         "c goes to zone 1: {at}"
     );
-    assert_eq!(cmds(&replies[2], "FreeLinks")[0]["Upstream"], "10.0.0.1:80");
+    assert_eq!(
+        commands(&replies[2], "FreeLinks")[0]["Upstream"],
+        "10.0.0.1:80"
+    );
 }
 
-fn complaint(line: &str) -> String {
-    let output = drill(&format!("{}{line}\n", batch(7, 1.0, json!([]))));
+fn error_text(line: &str) -> String {
+    let output = run_adapter(&format!("{}{line}\n", batch(7, 1.0, &json!([]))));
     assert_eq!(output.status.code(), Some(1));
     let text = String::from_utf8(output.stderr).expect("UTF-8");
     assert_eq!(text.lines().count(), 1, "{text}");
@@ -211,26 +217,26 @@
 #[test]
 fn malformed_input_is_named_in_one_line() {
     let text =
-        complaint(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":1,"Job":"a","TierClass":0}}]}"#);
+        error_text(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":1,"Job":"a","TierClass":0}}]}"#);
     assert!(
         text.contains("batch 8") && text.contains("DropDead"),
         "{text}"
     );
-    let text = complaint(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":"x"}}]}"#);
+    let text = error_text(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":"x"}}]}"#);
     assert!(text.contains("batch 8") && text.contains("Who"), "{text}");
-    let text = complaint(r#"{"Ts":2,"batch":8,"msgs":[{"Surprise":{"Who":1}}]}"#);
+    let text = error_text(r#"{"Ts":2,"batch":8,"msgs":[{"Surprise":{"Who":1}}]}"#);
     assert!(
         text.contains("batch 8") && text.contains("Surprise"),
         "{text}"
     );
-    let text = complaint(r#"{"Ts":2,"batch":"#);
+    let text = error_text(r#"{"Ts":2,"batch":"#);
     assert!(text.contains("the batch after 7"), "{text}");
-    let odd = json!([init(3), list(3), order(3, "rq_a", 1200.0), {"Result": {"Who": 3,
+    let odd = json!([init(3), list(3), request_message(3, "rq_a", 1200.0), {"Result": {"Who": 3,
         "Job": "rq_a", "Go": 0, "Upstream": "10.0.0.1:80", "Rc": 299, "Latency": 9.0}}]);
-    let text = complaint(batch(8, 1000.0, odd).trim());
+    let text = error_text(batch(8, 1000.0, &odd).trim());
     assert!(text.contains("batch 8") && text.contains("Rc"), "{text}");
     let mut bad = init(1);
     bad["Init"]["Facts"]["Services"] = json!([]);
-    let text = complaint(batch(8, 2.0, json!([bad])).trim());
+    let text = error_text(batch(8, 2.0, &json!([bad])).trim());
     assert!(text.contains("batch 8") && text.contains("Facts"), "{text}");
 }
