--- a/crates/data-plane/src/engine/membership.rs
+++ b/crates/data-plane/src/engine/membership.rs
@@ -65,7 +65,7 @@
         let Some(known) = self.services.get(service) else {
             return;
         };
-        let to_owned_range = |KeyRangeRow(first, last, owner): &KeyRangeRow| OwnedKeyRange {
+        let to_owned_range = |KeyRangeRow { first, last, owner }: &KeyRangeRow| OwnedKeyRange {
             first: *first,
             last: *last,
             server: owner.as_ref().and_then(|id| known.upstreams.server_id(id)),
