--- a/crates/data-plane/src/engine.rs
+++ b/crates/data-plane/src/engine.rs
@@ -10,7 +10,7 @@
 //! **State.** All of it in [`Engine`], which runs as one task; nothing else touches it. The [`EngineHandle`] shares only
 //! the sender of events, whether there are open upstreams, and figures to be reported.
 //!
-//! **Promises.** Each request gets one final reply, at the latest [`DEADLINE_MARGIN`] before its client gives up. A
+//! **Promises.** Each request gets one final reply, at the latest 5 ms (`DEADLINE_MARGIN`) before its client gives up. A
 //! request is rejected, which promises that it never runs, only while none of its attempts may have run. The module
 //! is told of the end of each attempt exactly once.
 //!
@@ -63,9 +63,10 @@
     /// Seeds the modules' random numbers.
     pub seed: u64,
     /// The modules work to a deadline that is so much earlier than the client's, so that a reply at the deadline
-    /// still arrives: the way to the client, and a busy moment here.
+    /// still arrives: the way to the client, and a busy moment here. 30 ms in the data plane.
     pub headroom: Duration,
-    /// How long after the news that an upstream drains a request may still go out to it. From the deployment's pages.
+    /// How long after the news that an upstream drains a request may still go out to it. 0 in the data plane; by the
+    /// deployment's rules in the standalone proxy.
     pub drain_grace: Duration,
     /// Timers fire on multiples of this, so that those of many services fire together.
     pub timer_granularity: Duration,
--- a/crates/data-plane/src/upstream_pool.rs
+++ b/crates/data-plane/src/upstream_pool.rs
@@ -13,7 +13,7 @@
 //!
 //! **May lose.** Idle connections, at any time; nothing else is held here.
 //!
-//! **Upstream silent, replaced or gone.** The attempt ends at its deadline, the connection after [`TCP_USER_TIMEOUT`]
+//! **Upstream silent, replaced or gone.** The attempt ends at its deadline, the connection after 3 s (`TCP_USER_TIMEOUT`)
 //! without an acknowledgement. Requests name the upstream that they are meant for
 //! ([`UpstreamProtocol::target_header`]), so that another one at its address does not run them.
 
@@ -50,16 +50,18 @@
 /// closing it. Longer than three retransmissions of the system take.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// Limits of the connections to upstreams.
+/// Limits of the connections to upstreams. They come from `crate::runtime` in the data plane, from the deployment's
+/// `policy_limits` in the standalone proxy.
 pub struct PoolConfig {
-    /// How many connections may be open at once, idle ones included. From the limit of open files of the process.
+    /// How many connections may be open at once, idle ones included: half of the open files that the process may have.
     pub max_connections: usize,
-    /// An upstream closes what idles for longer, unless it announces another time itself. From the deployment's pages.
+    /// Upstreams close what idles for longer, unless they announce another time in `Keep-Alive`. Connections are closed
+    /// here at three quarters of it.
     pub keepalive: Duration,
-    /// How long an attempt waits for a new connection. From the deployment's pages.
+    /// How long an attempt waits for a new connection, within its own deadline.
     pub connect_timeout: Duration,
-    /// Bytes that responses may take together while they are read or not yet written to their clients. A share of
-    /// the memory limit of the process.
+    /// Bytes that responses may take together while they are read or not yet written to their clients: a quarter of the
+    /// memory that the process may have.
     pub max_response_bytes: usize,
     /// What upstreams and balancer tell each other in headers and statuses.
     pub protocol: UpstreamProtocol,
