--- a/crates/data-plane/src/upstream_connection.rs
+++ b/crates/data-plane/src/upstream_connection.rs
@@ -72,7 +72,7 @@
     /// What was read and does not belong to a response yet.
     unread: BytesMut,
     /// The end of the stream, or an error, was read.
-    ended: bool,
+    stream_ended: bool,
     /// Where it was opened to.
     pub address: SocketAddr,
     /// How long it took to open: a round trip, or a little more.
@@ -94,7 +94,7 @@
         Self {
             stream,
             unread: BytesMut::new(),
-            ended: false,
+            stream_ended: false,
             address,
             connect_time,
             idle_since: Instant::now(),
@@ -241,7 +241,7 @@
         // place whatever the next one's method is.
         let is_distinguishable = awaited.echoed_id.is_none()
             || awaited.id().is_some() && *awaited.method != Method::HEAD;
-        let has_nothing_unread = self.unread.is_empty() && !self.ended;
+        let has_nothing_unread = self.unread.is_empty() && !self.stream_ended;
         is_distinguishable
             && has_nothing_unread
             && !request.progress.is_incomplete()
--- a/crates/data-plane/src/upstream_connection/reading.rs
+++ b/crates/data-plane/src/upstream_connection/reading.rs
@@ -21,13 +21,13 @@
 impl<S: Transport> UpstreamConnection<S> {
     /// Reads what has arrived; false at the end of the connection.
     pub(super) fn poll_read(&mut self, cx: &mut Context<'_>) -> Poll<bool> {
-        if self.ended {
+        if self.stream_ended {
             return Poll::Ready(false);
         }
         self.unread.reserve(READ_BYTES);
         let read = ready!(pin!(self.stream.read_buf(&mut self.unread)).poll(cx));
-        self.ended = !matches!(read, Ok(n) if n > 0);
-        Poll::Ready(!self.ended)
+        self.stream_ended = !matches!(read, Ok(n) if n > 0);
+        Poll::Ready(!self.stream_ended)
     }
 
     /// Waits for more bytes, and writes what is left of the request meanwhile, unless its response has begun.
--- a/crates/data-plane/tests/model/attempts.rs
+++ b/crates/data-plane/tests/model/attempts.rs
@@ -404,8 +404,8 @@
             .headers()
             .get("answer-serial")
             .and_then(|v| v.to_str().ok());
-        let own = |g: &&GivenResponse| g.whole && serial == Some(g.serial.to_string().as_str());
-        let Some(given) = record.given.iter().find(own) else {
+        let own = |g: &&GivenResponse| g.complete && serial == Some(g.serial.to_string().as_str());
+        let Some(given) = record.responses.iter().find(own) else {
             return Err(format!(
                 "call {call} got what was not given to it; {record:?}"
             ));
--- a/crates/data-plane/tests/model/connection.rs
+++ b/crates/data-plane/tests/model/connection.rs
@@ -193,7 +193,7 @@
             Ok(())
         };
     };
-    let Some(given) = record.given.first() else {
+    let Some(given) = record.responses.first() else {
         return err("an answer that was not given");
     };
     let serial = response
@@ -206,7 +206,7 @@
     if response.status().as_u16() != given.status || *response.body() != given.body {
         return err("the answer was changed");
     }
-    if !given.whole {
+    if !given.complete {
         return err("an answer that was cut, or can be read in two ways, is handed on as whole");
     }
     if response.status().is_success() && !given.sealed {
--- a/crates/data-plane/tests/model/schedule.rs
+++ b/crates/data-plane/tests/model/schedule.rs
@@ -275,8 +275,8 @@
             // That a part of a request was run shows in its response, unless a reset or what came before the
             // response hides it.
             let stays = reads_body || [End::HalfClose, End::Silent].contains(&end);
-            let whole = reads_body && before_body.is_empty();
-            let runs = runs && (whole || (answered && !cut && shown && stays));
+            let complete = reads_body && before_body.is_empty();
+            let runs = runs && (complete || (answered && !cut && shown && stays));
             Behaviour {
                 before_body,
                 reads_body,
--- a/crates/data-plane/tests/model/scripted_upstream.rs
+++ b/crates/data-plane/tests/model/scripted_upstream.rs
@@ -318,7 +318,7 @@
     pub serial: usize,
     pub body: Vec<u8>,
     /// All of it was sent, and it can be read in one way only.
-    pub whole: bool,
+    pub complete: bool,
     pub sealed: bool,
 }
 
@@ -333,7 +333,7 @@
     /// The body was left unread and no response sent.
     pub body_left_unread: bool,
     /// The responses to it, one for each time that it came.
-    pub given: Vec<GivenResponse>,
+    pub responses: Vec<GivenResponse>,
 }
 
 type Script = Box<dyn Fn(&Request) -> Behaviour>;
@@ -606,16 +606,16 @@
             let bodiless = answer.has_no_body(&to.method);
             let to_the_end = answer.framing != Framing::Close || end == End::Close;
             let clear = !answer.framing.is_ambiguous() && to_the_end;
-            let whole = answer.cut.is_none() && (bodiless || clear);
+            let complete = answer.cut.is_none() && (bodiless || clear);
             let (status, sealed) = (answer.status, answer.sealed);
             let given = GivenResponse {
                 status,
                 serial,
                 body,
-                whole,
+                complete,
                 sealed,
             };
-            self.update_record(to.call, |record| record.given.push(given));
+            self.update_record(to.call, |record| record.responses.push(given));
         }
         let writes: Vec<&[u8]> = match answer.writes {
             Writes::One => vec![&bytes],
