--- a/crates/data-plane/src/engine/tests.rs
+++ b/crates/data-plane/src/engine/tests.rs
@@ -25,7 +25,7 @@
 /// The time that a reply at the deadline has to reach its client.
 const HEADROOM: Duration = Duration::from_millis(30);
 
-/// An engine that the test drives event by event, and two upstreams that answer when the test says so.
+/// An engine that the test drives event by event, and two upstreams that respond when the test says so.
 struct World {
     engine: Engine,
     upstreams: [TcpListener; 2],
@@ -339,7 +339,7 @@
         world.engine.process_deferred();
         assert!(
             awaits_reply(&mut waiting),
-            "the answer had come before the cancel"
+            "the response had come before the cancel"
         );
         world.engine.handle_event(event);
         assert_eq!(served_response(&mut waiting), Some((200, "own".into())));
@@ -389,7 +389,7 @@
     let test = async |mut world: World| {
         for _ in 0..100 {
             let waiting = world.submit();
-            // What is not told would hold its place at the upstream for good, and this would wait for ever.
+            // An attempt that is not reported would occupy its upstream for good, and this would wait for ever.
             let _stream = world.accept_request(0, &waiting).await;
             world
                 .engine
@@ -499,7 +499,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// An upstream answers with this status after it has run the request.
+/// An upstream responds with this status after it has run the request.
 async fn after_response(status: u16) -> (World, Waiting) {
     let mut world = World::new(Effect::Unsafe).await;
     world.list_upstreams(1);
