--- a/crates/raft/src/applicants.rs
+++ b/crates/raft/src/applicants.rs
@@ -1,6 +1,7 @@
 //! Machines that ask the leader to become members.
 //!
-//! In memory of the leader only: an applicant repeats its request until it is a voter, so that a new leader hears of it.
+//! In memory of the leader only: an applicant repeats its request until it is a voter, so that a
+//! new leader hears of it.
 
 use std::collections::BTreeMap;
 
@@ -19,8 +20,8 @@
 }
 
 impl Applicants {
-    /// A machine asks to take part. It replaces another applicant at its address: one address has one machine, with one
-    /// disk at a time.
+    /// A machine asks to take part. It replaces another applicant at its address: one address has
+    /// one machine, with one disk at a time.
     pub(crate) fn on_request(&mut self, id: NodeId, address: String, now: u64) {
         self.by_id.retain(|_, known| known.address != address);
         let applicant = Applicant {
--- a/crates/raft/src/broadcasts.rs
+++ b/crates/raft/src/broadcasts.rs
@@ -1,8 +1,9 @@
 //! The leader's broadcasts, by which it proves that it still leads.
 //!
-//! Each broadcast has a number, which members return in their responses. Once a majority has answered a broadcast, no
-//! other leader had been elected when it was *sent* (Raft thesis, section 6.4). **Owns** the numbers, the time of the next
-//! heartbeat, and the time of the last confirmed broadcast.
+//! Each broadcast has a number, which members return in their responses. Once a majority has
+//! answered a broadcast, no other leader had been elected when it was *sent* (Raft thesis, section
+//! 6.4). **Owns** the numbers, the time of the next heartbeat, and the time of the last confirmed
+//! broadcast.
 
 use std::collections::VecDeque;
 
--- a/crates/raft/src/contact_tracker.rs
+++ b/crates/raft/src/contact_tracker.rs
@@ -1,13 +1,15 @@
 //! How fresh the applied state of a member is known to be.
 //!
-//! **Quorum contact** is the moment up to which a member's applied state covers all that was acknowledged anywhere. It is
-//! judged by when a broadcast, or the member's own request, was *sent*, never by when a response was handled: a response
-//! that lay in a queue while a process was frozen proves nothing about the time since. **Owns** the requests to the leader
-//! and the last proven moment. **Leader silent:** the moment stays where it is, and its age grows.
+//! **Quorum contact** is the moment up to which a member's applied state covers all that was
+//! acknowledged anywhere. It is judged by when a broadcast, or the member's own request, was
+//! *sent*, never by when a response was handled: a response that lay in a queue while a process was
+//! frozen proves nothing about the time since. **Owns** the requests to the leader and the last
+//! proven moment. **Leader silent:** the moment stays where it is, and its age grows.
 
 use std::collections::VecDeque;
 
-/// Requests to the leader that may be unanswered at a time. A slow link has more than one under way.
+/// Requests to the leader that may be unanswered at a time. A slow link has more than one under
+/// way.
 const MAX_OUTSTANDING_REQUESTS: usize = 4;
 
 /// What a member has learnt from leaders about its contact with a majority.
@@ -44,7 +46,8 @@
         self.confirmed_at = at;
     }
 
-    /// A request to the leader is sent. The oldest unanswered one is forgotten if there are too many.
+    /// A request to the leader is sent. The oldest unanswered one is forgotten if there are too
+    /// many.
     pub(crate) fn on_request_sent(&mut self, token: u64, now: u64) {
         push_bounded(
             &mut self.requests,
@@ -55,13 +58,15 @@
         );
     }
 
-    /// The leader's response: `age_ms` before it took the request, the leader sent what a majority has answered, and
-    /// `index` covers all that was acknowledged before that. Responses to older requests are no longer awaited.
+    /// The leader's response: `age_ms` before it took the request, the leader sent what a majority
+    /// has answered, and `index` covers all that was acknowledged before that. Responses to older
+    /// requests are no longer awaited.
     pub(crate) fn on_response(&mut self, token: u64, age_ms: u64, index: u64, applied_index: u64) {
         let Some(place) = self.requests.iter().position(|r| r.token == token) else {
             return;
         };
-        // The leader took the age after the request was sent: its broadcast was sent no earlier than this.
+        // The leader took the age after the request was sent: its broadcast was sent no earlier
+        // than this.
         let at = self.requests[place].sent_at.checked_sub(age_ms);
         self.requests.drain(..=place);
         if let Some(at) = at.filter(|at| self.confirmed_at.is_none_or(|known| *at > known)) {
--- a/crates/raft/src/entry.rs
+++ b/crates/raft/src/entry.rs
@@ -1,6 +1,7 @@
 //! Entries of the replicated log, and the snapshot that stands for a prefix of it.
 //!
-//! These types are stored and sent: their written names and order are fixed by the golden files of the control plane.
+//! These types are stored and sent: their written names and order are fixed by the golden files of
+//! the control plane.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,13 +15,13 @@
 /// What an entry carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// No operation. The first entry of each leader, which lets it commit the entries of earlier terms (Raft paper,
-    /// sections 5.4.2 and 8).
+    /// No operation. The first entry of each leader, which lets it commit the entries of earlier
+    /// terms (Raft paper, sections 5.4.2 and 8).
     Empty,
     /// A command of the host, which the log does not interpret.
     Data(#[serde(with = "byte_string")] Vec<u8>),
-    /// The members from this entry on. It takes effect once it is in a log, committed or not (Raft thesis, section
-    /// 4.1).
+    /// The members from this entry on. It takes effect once it is in a log, committed or not (Raft
+    /// thesis, section 4.1).
     Members(Members),
 }
 
@@ -47,7 +48,8 @@
 }
 
 impl Entry {
-    /// The size in bytes with an allowance for term and index: an estimate, by which batches and memory are bounded.
+    /// The size in bytes with an allowance for term and index: an estimate, by which batches and
+    /// memory are bounded.
     pub(crate) fn size_bytes(&self) -> usize {
         self.payload.size_bytes() + ENTRY_OVERHEAD_BYTES
     }
@@ -66,8 +68,8 @@
     }
 }
 
-/// A position in a log. Two logs that have an entry of the same term at an index have the same entries up to it (Log
-/// Matching Property: Raft paper, section 5.3).
+/// A position in a log. Two logs that have an entry of the same term at an index have the same
+/// entries up to it (Log Matching Property: Raft paper, section 5.3).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogPosition {
     /// The index of the entry.
--- a/crates/raft/src/incoming_transfer.rs
+++ b/crates/raft/src/incoming_transfer.rs
@@ -1,7 +1,7 @@
 //! A snapshot or a large entry from the leader, as far as its chunks have come.
 //!
-//! In memory only: a member that restarts receives it from the beginning, and it is written to the disk once it is
-//! complete. Chunks that overtake others wait for them.
+//! In memory only: a member that restarts receives it from the beginning, and it is written to the
+//! disk once it is complete. Chunks that overtake others wait for them.
 
 use std::collections::BTreeMap;
 
@@ -48,8 +48,8 @@
         self.bytes
     }
 
-    /// Adds a chunk, and all that follow it and came before it. What the transfer is, once it is complete. Drops a chunk
-    /// beyond the announced size, or further ahead than any leader sends.
+    /// Adds a chunk, and all that follow it and came before it. What the transfer is, once it is
+    /// complete. Drops a chunk beyond the announced size, or further ahead than any leader sends.
     pub(crate) fn add(&mut self, chunk: Chunk) -> Option<TransferContent> {
         let end = chunk.offset.saturating_add(chunk.bytes.len() as u64);
         let max_end = (self.bytes.len() + MAX_WINDOW_BYTES) as u64;
--- a/crates/raft/src/members.rs
+++ b/crates/raft/src/members.rs
@@ -6,7 +6,8 @@
 
 use crate::NodeId;
 
-/// The members, with the address of each. It is stored and sent: written names and order are fixed by golden files.
+/// The members, with the address of each. It is stored and sent: written names and order are fixed
+/// by golden files.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
     /// The members that count for a majority.
--- a/crates/raft/src/membership_policy.rs
+++ b/crates/raft/src/membership_policy.rs
@@ -1,10 +1,12 @@
-//! Which single change of the members comes next. The reasons for each rule are in `docs/design/0003-voters.md`.
+//! Which single change of the members comes next. The reasons for each rule are in
+//! `docs/design/0003-voters.md`.
 //!
-//! The number of **tolerable losses** is that of the voters in contact less a majority. **Promises:** no change lowers it. A
-//! voter is removed only after it has been silent, a learner becomes a voter only while it is in contact and has what is
-//! committed, and one change at a time keeps any two majorities in a row overlapping (Raft thesis, section 4.1). **Member
-//! silent:** it is removed after a timeout, as long as enough voters are left. **Member wiped:** it comes back under
-//! another id at the same address, and the old id is removed at once.
+//! The number of **tolerable losses** is that of the voters in contact less a majority.
+//! **Promises:** no change lowers it. A voter is removed only after it has been silent, a learner
+//! becomes a voter only while it is in contact and has what is committed, and one change at a time
+//! keeps any two majorities in a row overlapping (Raft thesis, section 4.1). **Member silent:** it
+//! is removed after a timeout, as long as enough voters are left. **Member wiped:** it comes back
+//! under another id at the same address, and the old id is removed at once.
 
 use std::collections::BTreeMap;
 
@@ -12,15 +14,16 @@
 
 /// After so many election timeouts of silence a voter is removed, where that helps.
 ///
-/// A replaced machine no longer counts as lost some four seconds after its successor has started: an election takes up
-/// to two timeouts of one second, and two more leave time for the changes themselves. A process that restarts in place
-/// is back sooner.
+/// A replaced machine no longer counts as lost some four seconds after its successor has started:
+/// an election takes up to two timeouts of one second, and two more leave time for the changes
+/// themselves. A process that restarts in place is back sooner.
 const VOTER_REMOVAL_ELECTION_TIMEOUTS: u64 = 2;
-/// After so many election timeouts of silence a voter is removed in any case. Without a replacement, removing one of an
-/// odd number of voters frees nothing, and one that comes back is still useful: longer than a machine is usually without
-/// power or cut off (16 to 20 s).
+/// After so many election timeouts of silence a voter is removed in any case. Without a
+/// replacement, removing one of an odd number of voters frees nothing, and one that comes back is
+/// still useful: longer than a machine is usually without power or cut off (16 to 20 s).
 const UNCONDITIONAL_REMOVAL_ELECTION_TIMEOUTS: u64 = 30;
-/// After so many election timeouts of silence a learner is removed. It counts for no majority: there is no hurry.
+/// After so many election timeouts of silence a learner is removed. It counts for no majority:
+/// there is no hurry.
 const LEARNER_REMOVAL_ELECTION_TIMEOUTS: u64 = 10;
 
 /// When members are removed.
@@ -28,14 +31,15 @@
 pub struct MembershipPolicy {
     /// A member that has answered within this time is in contact.
     pub contact_timeout_ms: u64,
-    /// A voter silent for so long is removed where that makes a majority smaller or a learner is ready to replace it.
+    /// A voter silent for so long is removed where that makes a majority smaller or a learner is
+    /// ready to replace it.
     pub voter_removal_timeout_ms: u64,
     /// A voter silent for so long is removed in any case.
     pub unconditional_removal_timeout_ms: u64,
     /// A learner silent for so long is removed.
     pub learner_removal_timeout_ms: u64,
-    /// No silent voter is removed below this number of voters, but for one whose replacement is ready or whose disk is
-    /// known to be lost.
+    /// No silent voter is removed below this number of voters, but for one whose replacement is
+    /// ready or whose disk is known to be lost.
     pub min_voters: usize,
 }
 
@@ -56,7 +60,8 @@
 /// What the leader has observed of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// Milliseconds since its last response; since this leader first sent it a message, where it has not answered yet.
+    /// Milliseconds since its last response; since this leader first sent it a message, where it
+    /// has not answered yet.
     pub silence_ms: u64,
     /// Whether it has answered this leader.
     pub has_responded: bool,
@@ -84,8 +89,8 @@
 }
 
 impl<F: Fn(NodeId) -> Observation> MembershipView<'_, F> {
-    /// The members after the next single change, if one is due. None unless a majority is in contact: the leader of a
-    /// minority must not remove the others.
+    /// The members after the next single change, if one is due. None unless a majority is in
+    /// contact: the leader of a minority must not remove the others.
     pub fn next_change(&self) -> Option<Members> {
         if !self.members.is_majority(|id| self.in_contact(id)) {
             return None;
@@ -120,7 +125,8 @@
         (self.observe)(id).silence_ms
     }
 
-    /// A silent member at whose address another machine has started: its disk is lost, and it never comes back.
+    /// A silent member at whose address another machine has started: its disk is lost, and it never
+    /// comes back.
     fn superseded_member(&self) -> Option<NodeId> {
         let is_silent = |id| self.silence_ms(id) > self.policy.contact_timeout_ms;
         let is_replaced = |id: NodeId, address: &str| {
@@ -156,8 +162,9 @@
         is_removable.then_some(longest_silent)
     }
 
-    /// The learner to make a voter. Beside an even number of voters it leaves the size of a majority as it is. Beside an
-    /// odd number it makes it larger: not while a voter is silent, which may be removed soon.
+    /// The learner to make a voter. Beside an even number of voters it leaves the size of a
+    /// majority as it is. Beside an odd number it makes it larger: not while a voter is silent,
+    /// which may be removed soon.
     fn promotable_learner(&self) -> Option<NodeId> {
         let all_in_contact = || self.members.voters.keys().all(|id| self.in_contact(*id));
         if self.has_even_voters() || all_in_contact() {
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -1,8 +1,8 @@
 //! Requests and responses between members.
 //!
-//! Any message may be lost, duplicated, delayed or overtaken by another. The written names are those of earlier builds
-//! (`#[serde(rename)]`), and golden files of the control plane hold them: members of two builds talk to each other
-//! during a roll-out.
+//! Any message may be lost, duplicated, delayed or overtaken by another. The written names are
+//! those of earlier builds (`#[serde(rename)]`), and golden files of the control plane hold them:
+//! members of two builds talk to each other during a roll-out.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,7 +15,8 @@
     pub from: NodeId,
     /// The receiver.
     pub to: NodeId,
-    /// The sender's term; for a pre-vote and its grant, the term in which the candidate would campaign.
+    /// The sender's term; for a pre-vote and its grant, the term in which the candidate would
+    /// campaign.
     pub term: u64,
     /// The request or response.
     pub body: MessageBody,
@@ -24,7 +25,8 @@
 /// The requests and responses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// A candidate asks for a vote (Raft paper, section 5.2) or for a pre-vote (Raft thesis, section 9.6).
+    /// A candidate asks for a vote (Raft paper, section 5.2) or for a pre-vote (Raft thesis,
+    /// section 9.6).
     #[serde(rename = "Vote")]
     RequestVote(RequestVote),
     /// The response to [`MessageBody::RequestVote`].
@@ -33,7 +35,8 @@
     /// The leader replicates entries; without entries, a heartbeat (Raft paper, section 5.3).
     #[serde(rename = "Append")]
     AppendEntries(AppendEntries),
-    /// Part of a snapshot (Raft paper, section 7), or of an entry that is too large for one message.
+    /// Part of a snapshot (Raft paper, section 7), or of an entry that is too large for one
+    /// message.
     #[serde(rename = "Piece")]
     Chunk(Chunk),
     /// The response to a [`MessageBody::Chunk`].
@@ -42,11 +45,12 @@
     /// The response to [`MessageBody::AppendEntries`] that matched, or to a complete transfer.
     #[serde(rename = "AppendReply")]
     AppendResponse(AppendResponse),
-    /// The response to [`MessageBody::AppendEntries`] where the entry before the sent ones is missing or has another
-    /// term.
+    /// The response to [`MessageBody::AppendEntries`] where the entry before the sent ones is
+    /// missing or has another term.
     #[serde(rename = "Conflict")]
     AppendConflict(AppendConflict),
-    /// The leader transfers leadership to the receiver, which campaigns at once (Raft thesis, section 3.10).
+    /// The leader transfers leadership to the receiver, which campaigns at once (Raft thesis,
+    /// section 3.10).
     TimeoutNow,
     /// A follower asks the leader for a read index (Raft thesis, section 6.4).
     #[serde(rename = "Read")]
@@ -65,11 +69,12 @@
 /// A candidate asks for a vote, or for a pre-vote.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestVote {
-    /// Asks only whether the vote would be granted. Nobody changes its term for it (Raft thesis, section 9.6).
+    /// Asks only whether the vote would be granted. Nobody changes its term for it (Raft thesis,
+    /// section 9.6).
     #[serde(rename = "pre")]
     pub pre_vote: bool,
-    /// The leader has transferred leadership to the candidate: the vote is granted although the voter has heard from
-    /// that leader within the election timeout (Raft thesis, section 3.10).
+    /// The leader has transferred leadership to the candidate: the vote is granted although the
+    /// voter has heard from that leader within the election timeout (Raft thesis, section 3.10).
     #[serde(default)]
     pub transfer: bool,
     /// The index of the candidate's last entry.
@@ -104,7 +109,8 @@
     /// The leader's commit index.
     #[serde(rename = "commit")]
     pub leader_commit: u64,
-    /// The number of the leader's latest broadcast, to confirm reads and leadership (Raft thesis, section 6.4).
+    /// The number of the leader's latest broadcast, to confirm reads and leadership (Raft thesis,
+    /// section 6.4).
     #[serde(rename = "round")]
     pub sequence: u64,
 }
@@ -122,10 +128,12 @@
 /// The response to [`AppendEntries`] that matched the receiver's log, or to a complete transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendResponse {
-    /// Whether the responder accepts the receiver as leader of the term; not where it knows of a newer term.
+    /// Whether the responder accepts the receiver as leader of the term; not where it knows of a
+    /// newer term.
     #[serde(rename = "ok")]
     pub accepted: bool,
-    /// If accepted, the last entry that is known to match the leader's log and that is synced on the responder's disk.
+    /// If accepted, the last entry that is known to match the leader's log and that is synced on
+    /// the responder's disk.
     #[serde(rename = "index")]
     pub match_index: u64,
     /// The `sequence` of the request.
--- a/crates/raft/src/persistence.rs
+++ b/crates/raft/src/persistence.rs
@@ -1,9 +1,10 @@
 //! What is on its way to the disk, and the messages that wait for it.
 //!
-//! **Owns** the requests that are not synced, the last synced index and the deferred messages. **Promises:** a message that
-//! promises something (a vote, an acknowledged entry) is released only once the request that backs it is synced (Raft
-//! paper, figure 2: persistent state is updated on stable storage before responding to RPCs), and the synced index never
-//! covers an entry that is about to be overwritten. **Disk stalls:** deferred messages and entries wait; the leader bounds
+//! **Owns** the requests that are not synced, the last synced index and the deferred messages.
+//! **Promises:** a message that promises something (a vote, an acknowledged entry) is released only
+//! once the request that backs it is synced (Raft paper, figure 2: persistent state is updated on
+//! stable storage before responding to RPCs), and the synced index never covers an entry that is
+//! about to be overwritten. **Disk stalls:** deferred messages and entries wait; the leader bounds
 //! them by [`PersistencePipeline::unsynced_bytes`].
 
 use std::collections::VecDeque;
@@ -89,8 +90,8 @@
             .push_back(DeferredMessage { sequence, message });
     }
 
-    /// What the disk has after `index`, or will have by requests under way, is about to be overwritten: it no longer
-    /// counts as synced.
+    /// What the disk has after `index`, or will have by requests under way, is about to be
+    /// overwritten: it no longer counts as synced.
     pub(crate) fn limit_synced_index(&mut self, index: u64) {
         self.synced_index = self.synced_index.min(index);
         for request in &mut self.unsynced {
@@ -115,7 +116,8 @@
         covering.map(|request| request.sequence)
     }
 
-    /// Whether an acknowledgement of the log up to `index` to the leader of the term is deferred already.
+    /// Whether an acknowledgement of the log up to `index` to the leader of the term is deferred
+    /// already.
     pub(crate) fn has_deferred_acknowledgement(
         &self,
         leader: NodeId,
--- a/crates/raft/src/raft_log.rs
+++ b/crates/raft/src/raft_log.rs
@@ -1,9 +1,11 @@
-//! The log in memory: a snapshot, the entries that follow it, and how far they are committed and applied.
+//! The log in memory: a snapshot, the entries that follow it, and how far they are committed and
+//! applied.
 //!
-//! **Owns** the snapshot, the entries, the commit index and the applied index. **Promises:** entries are without gaps; what
-//! is committed is never truncated; the commit index only rises, and each committed entry is handed out once, in order.
-//! **May lose** entries that are not committed, when a leader overwrites them. A leader also retains entries that its
-//! snapshot covers already, as long as a member may need them.
+//! **Owns** the snapshot, the entries, the commit index and the applied index. **Promises:**
+//! entries are without gaps; what is committed is never truncated; the commit index only rises, and
+//! each committed entry is handed out once, in order. **May lose** entries that are not committed,
+//! when a leader overwrites them. A leader also retains entries that its snapshot covers already,
+//! as long as a member may need them.
 
 mod retained_entries;
 
@@ -12,15 +14,16 @@
 use crate::{Entry, LogPosition, Members, Payload, Snapshot};
 use retained_entries::RetainedEntries;
 
-/// Entries that the snapshot covers are retained for members that lack them, up to the size of the snapshot, which
-/// would otherwise be sent; between these bounds.
+/// Entries that the snapshot covers are retained for members that lack them, up to the size of the
+/// snapshot, which would otherwise be sent; between these bounds.
 const MIN_RETAINED_BYTES: usize = 64 << 10;
 const MAX_RETAINED_BYTES: usize = 2 << 20;
 
 /// The log of one member.
 #[derive(Debug)]
 pub(crate) struct RaftLog {
-    /// Stands for all entries up to its position. Before the first compaction it holds only the initial members.
+    /// Stands for all entries up to its position. Before the first compaction it holds only the
+    /// initial members.
     snapshot: Snapshot,
     /// The entries after the snapshot.
     entries: VecDeque<Entry>,
@@ -33,7 +36,8 @@
 }
 
 impl RaftLog {
-    /// The log as a disk holds it. What the snapshot covers is committed; whether more is, the leader will tell.
+    /// The log as a disk holds it. What the snapshot covers is committed; whether more is, the
+    /// leader will tell.
     pub(crate) fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
         let entries: VecDeque<Entry> = entries
             .into_iter()
@@ -98,21 +102,22 @@
         self.retained.entry(index)
     }
 
-    /// Whether the log has the entry at that position, and so all before it (Log Matching Property: Raft paper, section
-    /// 5.3).
+    /// Whether the log has the entry at that position, and so all before it (Log Matching Property:
+    /// Raft paper, section 5.3).
     pub(crate) fn contains(&self, position: LogPosition) -> bool {
         self.term_at(position.index) == Some(position.term)
     }
 
-    /// Whether a log that ends at `last` is at least as up to date as this one, so that its owner may be elected (Raft
-    /// paper, section 5.4.1).
+    /// Whether a log that ends at `last` is at least as up to date as this one, so that its owner
+    /// may be elected (Raft paper, section 5.4.1).
     pub(crate) fn is_up_to_date(&self, last: LogPosition) -> bool {
         let own = self.last_position();
         (last.term, last.index) >= (own.term, own.index)
     }
 
-    /// The last index, from `floor` on, at or before `position` whose term is not newer: beyond it the logs can't match.
-    /// So a follower and the leader skip a whole term at a time (Raft paper, end of section 5.3).
+    /// The last index, from `floor` on, at or before `position` whose term is not newer: beyond it
+    /// the logs can't match. So a follower and the leader skip a whole term at a time (Raft paper,
+    /// end of section 5.3).
     pub(crate) fn find_conflict_by_term(&self, position: LogPosition, floor: u64) -> u64 {
         let mut index = position.index.min(self.last_index());
         while index > floor && self.term_at(index).is_some_and(|term| term > position.term) {
@@ -198,8 +203,9 @@
         self.snapshot = snapshot;
     }
 
-    /// Replaces the entries up to `index`, or up to the applied index if that is less, by the host's state as of it.
-    /// `None` if the snapshot covers them already. The replaced entries are retained until [`RaftLog::trim_retained`].
+    /// Replaces the entries up to `index`, or up to the applied index if that is less, by the
+    /// host's state as of it. `None` if the snapshot covers them already. The replaced entries are
+    /// retained until [`RaftLog::trim_retained`].
     pub(crate) fn compact(&mut self, index: u64, data: Vec<u8>) -> Option<&Snapshot> {
         let index = index.min(self.applied_index);
         if index <= self.snapshot.index {
@@ -220,7 +226,8 @@
         Some(&self.snapshot)
     }
 
-    /// Drops retained entries up to `replicated_index`, which no member lacks; all that the snapshot covers if `None`.
+    /// Drops retained entries up to `replicated_index`, which no member lacks; all that the
+    /// snapshot covers if `None`.
     pub(crate) fn trim_retained(&mut self, replicated_index: Option<u64>) {
         let max_bytes = self
             .snapshot
--- a/crates/raft/src/raft_log/retained_entries.rs
+++ b/crates/raft/src/raft_log/retained_entries.rs
@@ -1,13 +1,14 @@
 //! Entries that the leader's snapshot covers and that a member still lacks.
 //!
-//! Without them each snapshot that is made while a member receives the one before would call for another transfer.
+//! Without them each snapshot that is made while a member receives the one before would call for
+//! another transfer.
 
 use std::collections::VecDeque;
 
 use crate::{Entry, LogPosition};
 
-/// The retained entries, without gaps up to the last one that the snapshot covers. In memory only: a lost one costs the
-/// transfer of a snapshot.
+/// The retained entries, without gaps up to the last one that the snapshot covers. In memory only:
+/// a lost one costs the transfer of a snapshot.
 #[derive(Debug, Default)]
 pub(super) struct RetainedEntries {
     /// The position of the entry before the first one.
@@ -48,7 +49,8 @@
         self.size_bytes = 0;
     }
 
-    /// Drops the entries up to `replicated_index`, and the oldest while there are more than `max_bytes`.
+    /// Drops the entries up to `replicated_index`, and the oldest while there are more than
+    /// `max_bytes`.
     pub(super) fn trim(&mut self, replicated_index: u64, max_bytes: usize) {
         while let Some(first) = self.entries.front()
             && (first.index <= replicated_index || self.size_bytes > max_bytes)
--- a/crates/raft/src/raft_node.rs
+++ b/crates/raft/src/raft_node.rs
@@ -1,10 +1,12 @@
-//! The state machine of one member: its state, its clock, and the dispatch of messages to their handlers.
+//! The state machine of one member: its state, its clock, and the dispatch of messages to their
+//! handlers.
 //!
-//! **Owns** the term, the vote and the role, and composes the owners of the rest: the log, the persistence pipeline, the
-//! election timer, the progress of other members, reads, quorum contact. Each handler module adds the messages of one
-//! concern. **Promises** of the Raft paper, figure 3: election safety, leader append-only, log matching, leader
-//! completeness, state machine safety. **Neighbours silent:** a leader that a majority does not answer steps down after an
-//! election timeout, and others campaign. **Neighbours wiped or gone:** see [`crate::MembershipView`].
+//! **Owns** the term, the vote and the role, and composes the owners of the rest: the log, the
+//! persistence pipeline, the election timer, the progress of other members, reads, quorum contact.
+//! Each handler module adds the messages of one concern. **Promises** of the Raft paper, figure 3:
+//! election safety, leader append-only, log matching, leader completeness, state machine safety.
+//! **Neighbours silent:** a leader that a majority does not answer steps down after an election
+//! timeout, and others campaign. **Neighbours wiped or gone:** see [`crate::MembershipView`].
 
 mod append_entries;
 mod chunked_transfer;
@@ -105,7 +107,8 @@
     // Leader.
     tracker: ProgressTracker,
     broadcasts: Broadcasts,
-    /// The index of the leader's first entry, which covers all that earlier leaders have acknowledged.
+    /// The index of the leader's first entry, which covers all that earlier leaders have
+    /// acknowledged.
     term_start_index: u64,
     pending_reads: PendingReads,
     applicants: Applicants,
@@ -121,8 +124,9 @@
 }
 
 impl RaftNode {
-    /// A member with the state that its disk holds. `initial_members` are the members before any entry, the same at
-    /// each of them; they count only where the disk holds nothing. `seed` is that of the random election timeouts.
+    /// A member with the state that its disk holds. `initial_members` are the members before any
+    /// entry, the same at each of them; they count only where the disk holds nothing. `seed` is
+    /// that of the random election timeouts.
     pub fn new(
         id: NodeId,
         timing: Timing,
@@ -186,7 +190,8 @@
         self.log.members()
     }
 
-    /// The members as of an entry that is applied and not covered by the snapshot, or as of the snapshot.
+    /// The members as of an entry that is applied and not covered by the snapshot, or as of the
+    /// snapshot.
     pub fn members_at(&self, index: u64) -> &Members {
         self.log.members_at(index)
     }
@@ -196,17 +201,17 @@
         self.log.len()
     }
 
-    /// The host's state as of entry `index` replaces the log up to there, or up to the last applied entry if that is
-    /// less (Raft paper, section 7). The snapshot, which the host writes before it drops the entries; `None` if the last
-    /// snapshot covers them already.
+    /// The host's state as of entry `index` replaces the log up to there, or up to the last applied
+    /// entry if that is less (Raft paper, section 7). The snapshot, which the host writes before it
+    /// drops the entries; `None` if the last snapshot covers them already.
     pub fn compact(&mut self, index: u64, data: Vec<u8>) -> Option<Snapshot> {
         self.log.compact(index, data)?;
         self.trim_retained_entries();
         Some(self.log.snapshot().clone())
     }
 
-    /// The time is `now`, in milliseconds of a clock that never goes back. To be called often, at the latest at
-    /// [`RaftNode::next_tick_at`].
+    /// The time is `now`, in milliseconds of a clock that never goes back. To be called often, at
+    /// the latest at [`RaftNode::next_tick_at`].
     pub fn tick(&mut self, now: u64) {
         self.advance_clock(now);
         if self.role == Role::Leader {
@@ -220,7 +225,8 @@
 
     fn tick_leader(&mut self) {
         if !self.has_quorum_responses() {
-            // Check-quorum (Raft thesis, section 6.2): a leader that is cut off would keep its callers waiting.
+            // Check-quorum (Raft thesis, section 6.2): a leader that is cut off would keep its
+            // callers waiting.
             self.become_follower(self.term, None);
         } else if self.now >= self.broadcasts.heartbeat_deadline() {
             self.broadcast_heartbeat();
@@ -230,8 +236,8 @@
         self.maybe_transfer_leadership();
     }
 
-    /// The time is `now` for the calls that follow. A host that may have been frozen since the last tick calls this
-    /// before anything else: what arrived meanwhile was not received then.
+    /// The time is `now` for the calls that follow. A host that may have been frozen since the last
+    /// tick calls this before anything else: what arrived meanwhile was not received then.
     pub fn advance_clock(&mut self, now: u64) {
         self.now = self.now.max(now);
     }
@@ -269,18 +275,19 @@
         }
     }
 
-    /// Adopts a newer term, and refuses messages of an older one (Raft paper, section 5.1). Whether the message is to be
-    /// handled.
+    /// Adopts a newer term, and refuses messages of an older one (Raft paper, section 5.1). Whether
+    /// the message is to be handled.
     fn admit_term_of(&mut self, message: &Message) -> bool {
         let leader = match &message.body {
-            // Vote requests have rules of their own. Reads and contact carry tokens, which identify their request
-            // whatever the term.
+            // Vote requests have rules of their own. Reads and contact carry tokens, which identify
+            // their request whatever the term.
             MessageBody::RequestVote(_)
             | MessageBody::ReadIndex(_)
             | MessageBody::ReadIndexResponse(_)
             | MessageBody::QuorumContact(_)
             | MessageBody::QuorumContactResponse(_) => return true,
-            // The term of a granted pre-vote is that in which the candidate would campaign: nobody has it yet.
+            // The term of a granted pre-vote is that in which the candidate would campaign: nobody
+            // has it yet.
             MessageBody::VoteResponse(response) if response.pre_vote && response.granted => {
                 return message.term >= self.term;
             }
@@ -300,8 +307,8 @@
         true
     }
 
-    /// Adds a request to write and sync these entries, or that snapshot in place of the log, with the present term and
-    /// vote. Its number.
+    /// Adds a request to write and sync these entries, or that snapshot in place of the log, with
+    /// the present term and vote. Its number.
     fn persist(&mut self, entries: Vec<Entry>, snapshot: Option<Snapshot>) -> u64 {
         let sequence = self.persistence.enqueue(&entries, snapshot.as_ref());
         self.ready.persist_requests.push(PersistRequest {
--- a/crates/raft/src/raft_node/append_entries.rs
+++ b/crates/raft/src/raft_node/append_entries.rs
@@ -41,7 +41,8 @@
         self.acknowledge(from, match_index, request.sequence, persisted);
     }
 
-    /// Replaces what the log has from the first of these entries on. The number of the request that persists them.
+    /// Replaces what the log has from the first of these entries on. The number of the request that
+    /// persists them.
     fn overwrite_log(&mut self, entries: Vec<Entry>) -> u64 {
         let last_kept = entries
             .first()
@@ -52,8 +53,8 @@
         self.persist(entries, None)
     }
 
-    /// Tells the leader where this log may match its own: at the last entry at or before `prev` whose term is not newer,
-    /// and not before what is committed.
+    /// Tells the leader where this log may match its own: at the last entry at or before `prev`
+    /// whose term is not newer, and not before what is committed.
     fn send_conflict(&mut self, to: NodeId, prev: LogPosition, sequence: u64) {
         let commit_index = self.log.commit_index();
         let index = self.log.find_conflict_by_term(prev, commit_index);
@@ -84,8 +85,9 @@
         self.send(message.from, MessageBody::AppendResponse(response));
     }
 
-    /// The log matches the leader's up to `match_index`, and up to what is committed: acknowledges it as far as it is
-    /// synced, and the rest once it is. `persisted` is the request that writes new entries, if there are any.
+    /// The log matches the leader's up to `match_index`, and up to what is committed: acknowledges
+    /// it as far as it is synced, and the rest once it is. `persisted` is the request that writes
+    /// new entries, if there are any.
     pub(super) fn acknowledge(
         &mut self,
         to: NodeId,
@@ -120,17 +122,20 @@
         }
     }
 
-    /// Replaces the log by the leader's snapshot, unless it reaches that far already (Raft paper, section 7).
+    /// Replaces the log by the leader's snapshot, unless it reaches that far already (Raft paper,
+    /// section 7).
     pub(super) fn install_snapshot(&mut self, from: NodeId, snapshot: Snapshot, sequence: u64) {
         let index = snapshot.index;
         if self.log.contains(snapshot.position()) {
-            // The log has all that the snapshot covers; what follows may have been acknowledged already.
+            // The log has all that the snapshot covers; what follows may have been acknowledged
+            // already.
             self.commit_to(index);
         }
         if index <= self.log.commit_index() {
             return self.acknowledge(from, index, sequence, None);
         }
-        // Of what is on the disk, or on its way there, only what is committed matches the leader's log.
+        // Of what is on the disk, or on its way there, only what is committed matches the leader's
+        // log.
         self.persistence.limit_synced_index(self.log.commit_index());
         self.log.restore(snapshot.clone());
         self.ready.committed_entries.clear();
--- a/crates/raft/src/raft_node/chunked_transfer.rs
+++ b/crates/raft/src/raft_node/chunked_transfer.rs
@@ -1,7 +1,9 @@
-//! Transfer of snapshots and large entries in chunks (Raft paper, section 7), one to each member at a time.
+//! Transfer of snapshots and large entries in chunks (Raft paper, section 7), one to each member at
+//! a time.
 //!
-//! The leader sends no more than the member's window allows and resumes where the member stands when messages were lost;
-//! the member keeps what it has received in memory, and accepts it only complete and with the right checksum.
+//! The leader sends no more than the member's window allows and resumes where the member stands
+//! when messages were lost; the member keeps what it has received in memory, and accepts it only
+//! complete and with the right checksum.
 
 use std::sync::Arc;
 
@@ -13,12 +15,13 @@
     Snapshot, TransferContent, TransferId,
 };
 
-/// A member that has not answered for so long is not there: what it is sent once it is back is newer.
+/// A member that has not answered for so long is not there: what it is sent once it is back is
+/// newer.
 const ABANDON_TIMEOUT_MS: u64 = 10_000;
 
 impl RaftNode {
-    /// Begins to send a member the snapshot, if it has answered lately: one that is away is sent a newer one once it is
-    /// back.
+    /// Begins to send a member the snapshot, if it has answered lately: one that is away is sent a
+    /// newer one once it is back.
     pub(super) fn start_snapshot_transfer(&self, progress: &mut Progress) {
         let since = self.now.saturating_sub(self.timing.election_timeout_ms);
         if progress.last_response_at < since {
--- a/crates/raft/src/raft_node/election.rs
+++ b/crates/raft/src/raft_node/election.rs
@@ -1,7 +1,8 @@
 //! Leader election, with pre-vote (Raft paper, section 5.2; Raft thesis, section 9.6).
 //!
-//! A vote counts for its voter and for the candidate only once it is synced. Voters that hear a leader answer no vote
-//! request (Raft thesis, section 4.2.3), so that a member that was removed or cut off does not unseat it.
+//! A vote counts for its voter and for the candidate only once it is synced. Voters that hear a
+//! leader answer no vote request (Raft thesis, section 4.2.3), so that a member that was removed or
+//! cut off does not unseat it.
 
 use std::collections::BTreeSet;
 
@@ -38,7 +39,8 @@
             Some(self.become_candidate())
         };
         self.request_votes(campaign, persisted);
-        // Alone, a member has a majority by its own vote; as the leader it counts its entries once they are synced.
+        // Alone, a member has a majority by its own vote; as the leader it counts its entries once
+        // they are synced.
         self.on_vote_counted(pre_vote);
     }
 
@@ -82,7 +84,8 @@
         self.votes_granted = BTreeSet::from([self.id]);
     }
 
-    /// Leads the term. The first entry, without a payload, lets it commit what came before (Raft paper, section 8).
+    /// Leads the term. The first entry, without a payload, lets it commit what came before (Raft
+    /// paper, section 8).
     fn become_leader(&mut self) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
@@ -93,7 +96,8 @@
         self.broadcast_heartbeat();
     }
 
-    /// Follows `leader` in `term`, or waits for a leader of it. A newer term is persisted, without a vote.
+    /// Follows `leader` in `term`, or waits for a leader of it. A newer term is persisted, without
+    /// a vote.
     pub(super) fn become_follower(&mut self, term: u64, leader: Option<NodeId>) {
         if term > self.term {
             (self.term, self.voted_for) = (term, None);
@@ -129,8 +133,8 @@
         }
         let granted = self.can_grant_vote(from, term, request);
         if granted && self.role == Role::PreCandidate && from > self.id {
-            // Of two that would both be elected the one with the higher id goes on: else they split the votes, which was
-            // seen to repeat for up to five seconds.
+            // Of two that would both be elected the one with the higher id goes on: else they split
+            // the votes, which was seen to repeat for up to five seconds.
             self.role = Role::Follower;
         }
         let mut persisted = None;
@@ -152,7 +156,8 @@
         self.send_once_persisted(persisted, message);
     }
 
-    /// One vote a term, and only for a log that is at least as up to date (Raft paper, sections 5.2 and 5.4.1).
+    /// One vote a term, and only for a log that is at least as up to date (Raft paper, sections 5.2
+    /// and 5.4.1).
     fn can_grant_vote(&self, candidate: NodeId, term: u64, request: &RequestVote) -> bool {
         let last = LogPosition {
             index: request.last_log_index,
@@ -187,7 +192,8 @@
             return;
         }
         if !response.granted {
-            // With four voters two candidates got two votes each, and both waited for an election timeout.
+            // With four voters two candidates got two votes each, and both waited for an election
+            // timeout.
             if !response.pre_vote {
                 self.election_timer.schedule_pre_vote(self.now);
             }
@@ -218,8 +224,8 @@
         self.election_timer.reset(self.now, turn);
     }
 
-    /// The number of voters that campaign before this member when this leader is lost: all do in the order of their ids,
-    /// beginning after the leader's.
+    /// The number of voters that campaign before this member when this leader is lost: all do in
+    /// the order of their ids, beginning after the leader's.
     fn election_turn(&self, leader: NodeId) -> u64 {
         let candidates = || self.members().voters.keys().filter(|id| **id != leader);
         let rank = |id: NodeId| candidates().filter(|other| **other < id).count();
--- a/crates/raft/src/raft_node/leadership_transfer.rs
+++ b/crates/raft/src/raft_node/leadership_transfer.rs
@@ -5,8 +5,8 @@
 use crate::{MessageBody, NodeId};
 
 impl RaftNode {
-    /// The process is about to end. The member campaigns no more, and if it leads, it transfers leadership once a
-    /// majority of the voters has all entries without counting its own disk.
+    /// The process is about to end. The member campaigns no more, and if it leads, it transfers
+    /// leadership once a majority of the voters has all entries without counting its own disk.
     pub fn begin_shutdown(&mut self) {
         self.shutting_down = true;
         self.maybe_transfer_leadership();
@@ -17,8 +17,9 @@
         self.leader.is_some_and(|leader| leader != self.id)
     }
 
-    /// Tells the best successor to campaign at once, and steps down: from then on this member confirms no read, so that
-    /// an election before its timeout meets no leader that relies on the timeout.
+    /// Tells the best successor to campaign at once, and steps down: from then on this member
+    /// confirms no read, so that an election before its timeout meets no leader that relies on the
+    /// timeout.
     pub(super) fn maybe_transfer_leadership(&mut self) {
         let has_uncommitted = self.log.commit_index() < self.log.last_index();
         if !self.shutting_down || self.role != Role::Leader || has_uncommitted {
--- a/crates/raft/src/raft_node/membership.rs
+++ b/crates/raft/src/raft_node/membership.rs
@@ -1,5 +1,5 @@
-//! The leader's changes of the members, one at a time (Raft thesis, section 4.1). Which change comes next is decided by
-//! [`MembershipView`].
+//! The leader's changes of the members, one at a time (Raft thesis, section 4.1). Which change
+//! comes next is decided by [`MembershipView`].
 
 use std::collections::BTreeMap;
 
@@ -38,13 +38,14 @@
         self.policy = policy;
     }
 
-    /// Whether this member has to ask the others to let it take part: it has no vote, or hears no leader, maybe because
-    /// it was removed while it was away.
+    /// Whether this member has to ask the others to let it take part: it has no vote, or hears no
+    /// leader, maybe because it was removed while it was away.
     pub fn wants_to_join(&self) -> bool {
         !self.is_voter() || self.leader.is_none()
     }
 
-    /// A machine asks to become a member. Only a leader takes it up; the machine repeats the request until it votes.
+    /// A machine asks to become a member. Only a leader takes it up; the machine repeats the
+    /// request until it votes.
     pub fn handle_join_request(&mut self, id: NodeId, address: String) {
         if self.role != Role::Leader || self.members().voters.contains_key(&id) {
             return;
@@ -53,9 +54,9 @@
         self.maybe_change_members();
     }
 
-    /// Appends the next change that is due. One at a time, so that the majorities before and after it share a member, and
-    /// only once an entry of this term is committed: else two leaders in a row could each add a member of their own, and
-    /// their majorities need not overlap.
+    /// Appends the next change that is due. One at a time, so that the majorities before and after
+    /// it share a member, and only once an entry of this term is committed: else two leaders in a
+    /// row could each add a member of their own, and their majorities need not overlap.
     pub(super) fn maybe_change_members(&mut self) {
         let has_pending = self.log.has_uncommitted_membership_change();
         let has_committed = self.log.has_committed_in(self.term);
--- a/crates/raft/src/raft_node/quorum_contact.rs
+++ b/crates/raft/src/raft_node/quorum_contact.rs
@@ -1,19 +1,21 @@
-//! Quorum contact: how fresh the applied state of this member is known to be. See [`crate::contact_tracker`].
+//! Quorum contact: how fresh the applied state of this member is known to be. See
+//! [`crate::contact_tracker`].
 
 use super::{RaftNode, Role};
 use crate::{MessageBody, NodeId, QuorumContact, QuorumContactResponse};
 
 impl RaftNode {
-    /// When this member is known to have led, by the clock of [`RaftNode::tick`]: a majority has answered what it sent
-    /// then, so whoever is elected after it was elected later. `None` where it does not lead.
+    /// When this member is known to have led, by the clock of [`RaftNode::tick`]: a majority has
+    /// answered what it sent then, so whoever is elected after it was elected later. `None` where
+    /// it does not lead.
     pub fn leadership_confirmed_at(&self) -> Option<u64> {
         self.broadcasts
             .confirmed_at()
             .filter(|_| self.role == Role::Leader)
     }
 
-    /// The moment, by the clock of [`RaftNode::tick`], up to which the applied state covers all that was acknowledged
-    /// anywhere. `None` where that is not known.
+    /// The moment, by the clock of [`RaftNode::tick`], up to which the applied state covers all
+    /// that was acknowledged anywhere. `None` where that is not known.
     pub fn quorum_contact_at(&self) -> Option<u64> {
         let as_leader = self
             .broadcasts
@@ -22,14 +24,15 @@
         self.contact.confirmed_at().max(as_leader)
     }
 
-    /// Whether this member leads and knows how far the log is committed: not before its own first entry is (Raft thesis,
-    /// section 6.4).
+    /// Whether this member leads and knows how far the log is committed: not before its own first
+    /// entry is (Raft thesis, section 6.4).
     fn knows_commit_index(&self) -> bool {
         self.role == Role::Leader && self.log.has_committed_in(self.term)
     }
 
-    /// Asks the leader for its contact, so that [`RaftNode::quorum_contact_at`] moves on. The leader responds at once, by
-    /// the last broadcast that was answered: asking costs no broadcast. For tokens see [`RaftNode::request_read`].
+    /// Asks the leader for its contact, so that [`RaftNode::quorum_contact_at`] moves on. The
+    /// leader responds at once, by the last broadcast that was answered: asking costs no broadcast.
+    /// For tokens see [`RaftNode::request_read`].
     pub fn request_quorum_contact(&mut self, token: u64) {
         let Some(leader) = self.leader.filter(|leader| *leader != self.id) else {
             return;
--- a/crates/raft/src/raft_node/read_index.rs
+++ b/crates/raft/src/raft_node/read_index.rs
@@ -1,8 +1,9 @@
 //! Linearizable reads (Raft thesis, section 6.4).
 //!
-//! A read waits for a broadcast that began after it and that a majority has answered: whoever is elected later was elected
-//! after the read was requested. One broadcast serves all reads that wait for it, and a follower has one request to the
-//! leader under way at a time, for all that wait at it.
+//! A read waits for a broadcast that began after it and that a majority has answered: whoever is
+//! elected later was elected after the read was requested. One broadcast serves all reads that wait
+//! for it, and a follower has one request to the leader under way at a time, for all that wait at
+//! it.
 
 use super::{RaftNode, Role};
 use crate::read_only::PendingRead;
@@ -10,8 +11,9 @@
 
 impl RaftNode {
     /// Requests an index that covers all that was acknowledged before this call. It comes in
-    /// [`Ready::read_states`](crate::Ready::read_states). A token is never used again, not by a later incarnation of the
-    /// member either: a response to an earlier request must not pass for the response to this one.
+    /// [`Ready::read_states`](crate::Ready::read_states). A token is never used again, not by a
+    /// later incarnation of the member either: a response to an earlier request must not pass for
+    /// the response to this one.
     pub fn request_read(&mut self, token: u64) {
         match self.leader {
             Some(leader) if leader != self.id => {
@@ -41,7 +43,8 @@
         }
     }
 
-    /// The leader that was asked may no longer lead: the reads that wait here have to be requested again.
+    /// The leader that was asked may no longer lead: the reads that wait here have to be requested
+    /// again.
     pub(super) fn fail_forwarded_reads(&mut self) {
         let tokens = self.forwarded_reads.take_all();
         self.finish_reads(tokens, None);
@@ -73,7 +76,8 @@
         if self.role != Role::Leader {
             return self.respond_to_read(from, token, None);
         }
-        // A broadcast that is under way began before this read: the next one serves all reads that come until then.
+        // A broadcast that is under way began before this read: the next one serves all reads that
+        // come until then.
         let is_under_way = !self.is_answered_by_majority(self.broadcasts.sequence());
         if !is_under_way {
             self.broadcast_heartbeat();
@@ -88,8 +92,8 @@
         self.confirm_broadcasts();
     }
 
-    /// Confirms the broadcasts that a majority has answered, responds to the reads that waited for them, and begins
-    /// another broadcast if reads wait for it.
+    /// Confirms the broadcasts that a majority has answered, responds to the reads that waited for
+    /// them, and begins another broadcast if reads wait for it.
     pub(super) fn confirm_broadcasts(&mut self) {
         while let Some(sequence) = self.broadcasts.oldest_unconfirmed()
             && self.is_answered_by_majority(sequence)
@@ -127,7 +131,8 @@
         self.send(from, MessageBody::ReadIndexResponse(response));
     }
 
-    /// The leader steps down: the reads that wait here have to be requested again. The contact that it had still holds.
+    /// The leader steps down: the reads that wait here have to be requested again. The contact that
+    /// it had still holds.
     pub(super) fn fail_pending_reads(&mut self) {
         self.contact.set_confirmed_at(self.quorum_contact_at());
         for read in std::mem::take(&mut self.pending_reads) {
--- a/crates/raft/src/raft_node/replication.rs
+++ b/crates/raft/src/raft_node/replication.rs
@@ -1,9 +1,11 @@
 //! The leader's side of log replication (Raft paper, section 5.3).
 //!
-//! A leader finds out where a member's log matches its own ([`ProgressState::Probe`]), then sends entries without waiting
-//! for responses as far as the member's window allows ([`ProgressState::Replicate`]), or a snapshot or a large entry in
-//! chunks ([`ProgressState::Transfer`]). Heartbeats carry no entries and go to every member whatever else is in flight.
-//! The leader's own disk counts like any other, once it has synced (Raft thesis, section 10.2.1).
+//! A leader finds out where a member's log matches its own ([`ProgressState::Probe`]), then sends
+//! entries without waiting for responses as far as the member's window allows
+//! ([`ProgressState::Replicate`]), or a snapshot or a large entry in chunks
+//! ([`ProgressState::Transfer`]). Heartbeats carry no entries and go to every member whatever else
+//! is in flight. The leader's own disk counts like any other, once it has synced (Raft thesis,
+//! section 10.2.1).
 
 use super::{RaftNode, Role};
 use crate::entry::ENTRY_OVERHEAD_BYTES;
@@ -14,10 +16,11 @@
 
 /// Entries that one append carries at the most.
 const MAX_BATCH_ENTRIES: usize = 64;
-/// The payload bytes that one append carries at the most. A larger entry is sent by itself, in chunks.
+/// The payload bytes that one append carries at the most. A larger entry is sent by itself, in
+/// chunks.
 const MAX_BATCH_BYTES: usize = 16 << 10;
-/// A leader whose disk stalls goes on with the disks of others, but what waits for its own takes memory: beyond this it
-/// accepts no proposals.
+/// A leader whose disk stalls goes on with the disks of others, but what waits for its own takes
+/// memory: beyond this it accepts no proposals.
 const MAX_UNSYNCED_BYTES: usize = 8 << 20;
 
 /// The entries of one append.
@@ -27,8 +30,8 @@
 }
 
 impl RaftNode {
-    /// Proposes a command. The index that it has if it is ever committed, in the present term; `None` where this member
-    /// does not lead, is shutting down, or its disk is far behind.
+    /// Proposes a command. The index that it has if it is ever committed, in the present term;
+    /// `None` where this member does not lead, is shutting down, or its disk is far behind.
     pub fn propose(&mut self, data: Vec<u8>) -> Option<u64> {
         let is_disk_behind = self.persistence.unsynced_bytes() > MAX_UNSYNCED_BYTES;
         if self.role != Role::Leader || self.shutting_down || is_disk_behind {
@@ -52,7 +55,8 @@
         index
     }
 
-    /// Sends each member what it lacks, and at least a heartbeat. Begins a broadcast that confirms reads.
+    /// Sends each member what it lacks, and at least a heartbeat. Begins a broadcast that confirms
+    /// reads.
     pub(super) fn broadcast_heartbeat(&mut self) {
         let interval = self.timing.heartbeat_interval_ms;
         self.broadcasts.begin(self.now, interval);
@@ -75,7 +79,8 @@
         }
     }
 
-    /// Sends a member what it lacks and its window has room for, and at least a heartbeat if `with_heartbeat`.
+    /// Sends a member what it lacks and its window has room for, and at least a heartbeat if
+    /// `with_heartbeat`.
     pub(super) fn replicate(&mut self, to: NodeId, with_heartbeat: bool) {
         let Some(mut progress) = self.tracker.take(to) else {
             return;
@@ -173,8 +178,8 @@
         self.send(to, MessageBody::AppendEntries(request));
     }
 
-    /// Sends an append without entries: at the end of what was sent, whose response tells whether that arrived; beside a
-    /// transfer, at the end of what the member is known to have.
+    /// Sends an append without entries: at the end of what was sent, whose response tells whether
+    /// that arrived; beside a transfer, at the end of what the member is known to have.
     fn send_heartbeat(&mut self, to: NodeId, progress: &mut Progress) {
         let prev_index = match progress.state {
             ProgressState::Transfer(_) => progress.match_index,
@@ -190,7 +195,8 @@
         Some(LogPosition { index, term })
     }
 
-    /// A member has synced the leader's log up to an entry; or, not accepted, it knows of a newer term.
+    /// A member has synced the leader's log up to an entry; or, not accepted, it knows of a newer
+    /// term.
     pub(super) fn handle_append_response(&mut self, from: NodeId, response: &AppendResponse) {
         if self.role != Role::Leader || !response.accepted {
             return;
@@ -210,8 +216,8 @@
         self.maybe_change_members();
     }
 
-    /// A member's log has no such entry before the sent ones. Goes back to where the logs may match (Raft paper, end of
-    /// section 5.3).
+    /// A member's log has no such entry before the sent ones. Goes back to where the logs may match
+    /// (Raft paper, end of section 5.3).
     pub(super) fn handle_append_conflict(&mut self, from: NodeId, response: &AppendConflict) {
         if self.role != Role::Leader {
             return;
@@ -231,7 +237,8 @@
         self.replicate(from, false);
     }
 
-    /// Tells a member the commit index once it has the entries, if it lacked them when others were told.
+    /// Tells a member the commit index once it has the entries, if it lacked them when others were
+    /// told.
     fn send_missed_commit_index(&mut self, to: NodeId) {
         let Some(mut progress) = self.tracker.take(to) else {
             return;
@@ -244,8 +251,9 @@
         self.tracker.put(to, progress);
     }
 
-    /// Commits what a majority has synced, if the last of it is an entry of this term: one of an earlier term may still
-    /// be overwritten although a majority has it (Raft paper, section 5.4.2).
+    /// Commits what a majority has synced, if the last of it is an entry of this term: one of an
+    /// earlier term may still be overwritten although a majority has it (Raft paper, section
+    /// 5.4.2).
     pub(super) fn maybe_commit(&mut self) {
         if self.role != Role::Leader {
             return;
@@ -262,7 +270,8 @@
         }
     }
 
-    /// Whether a majority of the voters has synced the log up to an entry. The leader's own disk counts like any other.
+    /// Whether a majority of the voters has synced the log up to an entry. The leader's own disk
+    /// counts like any other.
     fn is_synced_by_majority(&self, index: u64) -> bool {
         self.members().is_majority(|id| {
             if id == self.id {
--- a/crates/raft/src/read_only.rs
+++ b/crates/raft/src/read_only.rs
@@ -1,4 +1,5 @@
-//! Linearizable reads that wait: at the leader for a majority, at a follower for the leader (Raft thesis, section 6.4).
+//! Linearizable reads that wait: at the leader for a majority, at a follower for the leader (Raft
+//! thesis, section 6.4).
 
 use std::collections::VecDeque;
 
@@ -19,8 +20,8 @@
 /// The reads that wait at the leader, in the order of their broadcasts.
 pub(crate) type PendingReads = VecDeque<PendingRead>;
 
-/// The reads of a follower. One request to the leader is under way at a time and stands for all reads that waited when
-/// it was sent.
+/// The reads of a follower. One request to the leader is under way at a time and stands for all
+/// reads that waited when it was sent.
 #[derive(Debug, Default)]
 pub(crate) struct ForwardedReads {
     /// The reads that the request stands for. Its token is that of the last one.
@@ -49,7 +50,8 @@
         !self.in_flight.is_empty() && now >= self.sent_at + heartbeat_interval_ms
     }
 
-    /// Ends the request under way. The reads that it stood for; none if the token is that of another request.
+    /// Ends the request under way. The reads that it stood for; none if the token is that of
+    /// another request.
     pub(crate) fn complete(&mut self, token: u64) -> Option<Vec<u64>> {
         (self.in_flight.last() == Some(&token)).then(|| std::mem::take(&mut self.in_flight))
     }
--- a/crates/raft/src/ready.rs
+++ b/crates/raft/src/ready.rs
@@ -2,8 +2,9 @@
 
 use crate::{Entry, Message, PersistRequest, Snapshot};
 
-/// What the host has to carry out, from [`RaftNode::take_ready`](crate::RaftNode::take_ready). The parts are independent of
-/// each other but for the order that is stated here; messages never depend on `persist_requests` of the same `Ready`.
+/// What the host has to carry out, from [`RaftNode::take_ready`](crate::RaftNode::take_ready). The
+/// parts are independent of each other but for the order that is stated here; messages never depend
+/// on `persist_requests` of the same `Ready`.
 #[derive(Debug, Default)]
 pub struct Ready {
     /// To be written and synced, in order.
@@ -23,7 +24,7 @@
 pub struct ReadState {
     /// The token of the read.
     pub token: u64,
-    /// The index that the host has to apply before it reads; `None` if the read has to be requested again, since no
-    /// leader confirmed it.
+    /// The index that the host has to apply before it reads; `None` if the read has to be requested
+    /// again, since no leader confirmed it.
     pub index: Option<u64>,
 }
--- a/crates/raft/src/storage.rs
+++ b/crates/raft/src/storage.rs
@@ -1,7 +1,7 @@
 //! What a member keeps on disk, and the requests by which the host brings it there.
 //!
-//! Term, vote and log have to be on stable storage before a member answers a request (Raft paper, figure 2). The host
-//! writes each [`PersistRequest`] in the order given, syncs, and calls
+//! Term, vote and log have to be on stable storage before a member answers a request (Raft paper,
+//! figure 2). The host writes each [`PersistRequest`] in the order given, syncs, and calls
 //! [`RaftNode::on_persisted`](crate::RaftNode::on_persisted).
 
 use crate::{Entry, NodeId, Snapshot};
@@ -9,7 +9,8 @@
 /// What has to be written and synced before the member may promise it to others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PersistRequest {
-    /// The number of the request, to be passed to [`RaftNode::on_persisted`](crate::RaftNode::on_persisted).
+    /// The number of the request, to be passed to
+    /// [`RaftNode::on_persisted`](crate::RaftNode::on_persisted).
     pub sequence: u64,
     /// The current term.
     pub term: u64,
@@ -48,8 +49,8 @@
         }
     }
 
-    /// The state once a snapshot that [`RaftNode::compact`](crate::RaftNode::compact) returned is synced: it replaces the
-    /// entries that it covers.
+    /// The state once a snapshot that [`RaftNode::compact`](crate::RaftNode::compact) returned is
+    /// synced: it replaces the entries that it covers.
     pub fn compact(&mut self, snapshot: Snapshot) {
         self.entries.retain(|entry| entry.index > snapshot.index);
         self.snapshot = Some(snapshot);
--- a/crates/raft/src/tracker.rs
+++ b/crates/raft/src/tracker.rs
@@ -28,7 +28,8 @@
         self.by_id.get_mut(&id)
     }
 
-    /// Takes a member's progress out, while messages to it are made from it and from the rest of the node.
+    /// Takes a member's progress out, while messages to it are made from it and from the rest of
+    /// the node.
     pub(crate) fn take(&mut self, id: NodeId) -> Option<Progress> {
         self.by_id.remove(&id)
     }
@@ -59,8 +60,8 @@
         self.get(id).map_or(0, |progress| progress.match_index)
     }
 
-    /// The last entry that all members have, or will have once a transfer under way is complete. `None` without other
-    /// members.
+    /// The last entry that all members have, or will have once a transfer under way is complete.
+    /// `None` without other members.
     pub(crate) fn min_replicated_index(&self) -> Option<u64> {
         self.by_id.values().map(Progress::replicated_index).min()
     }
--- a/crates/raft/src/tracker/inflights.rs
+++ b/crates/raft/src/tracker/inflights.rs
@@ -1,18 +1,21 @@
-//! Bounds what is in flight to a member by the time that its responses take, so that heartbeats never wait long behind
-//! it.
+//! Bounds what is in flight to a member by the time that its responses take, so that heartbeats
+//! never wait long behind it.
 
 use std::collections::VecDeque;
 
-/// The bytes that may be in flight to a member at first and at the least: a quarter of a second on a link of 1 Mbit/s.
-/// Heartbeats wait no longer than that behind it.
+/// The bytes that may be in flight to a member at first and at the least: a quarter of a second on
+/// a link of 1 Mbit/s. Heartbeats wait no longer than that behind it.
 const MIN_WINDOW_BYTES: usize = 32 << 10;
-/// The bytes that may be in flight at the most: a link of 100 Mbit/s is full with it at a round trip of 80 ms.
+/// The bytes that may be in flight at the most: a link of 100 Mbit/s is full with it at a round
+/// trip of 80 ms.
 pub(crate) const MAX_WINDOW_BYTES: usize = 1 << 20;
 /// Messages in flight at the most, however small.
 const MAX_INFLIGHT_MESSAGES: usize = 128;
-/// A response that is later than the fastest one by no more than this met no queue: the window grows.
+/// A response that is later than the fastest one by no more than this met no queue: the window
+/// grows.
 const NO_QUEUE_DELAY_MS: u64 = 100;
-/// A response that is later than the fastest one by more than this met a long queue: the window shrinks.
+/// A response that is later than the fastest one by more than this met a long queue: the window
+/// shrinks.
 const LONG_QUEUE_DELAY_MS: u64 = 250;
 
 /// What was sent to a member and is not answered yet, and how much may be.
@@ -64,7 +67,8 @@
         });
     }
 
-    /// All messages that end at or before `end` are answered. Adapts the window to the time that this took.
+    /// All messages that end at or before `end` are answered. Adapts the window to the time that
+    /// this took.
     pub(crate) fn free_to(&mut self, end: u64, now: u64) {
         let half_full = self.inflight_bytes * 2 >= self.window_bytes;
         let (mut freed_bytes, mut delay) = (0, None);
--- a/crates/raft/src/tracker/outgoing_transfer.rs
+++ b/crates/raft/src/tracker/outgoing_transfer.rs
@@ -1,5 +1,5 @@
-//! A snapshot or a large entry on its way to a member, in chunks: no more of it in flight than the window allows, and
-//! resumed where it stood when messages were lost.
+//! A snapshot or a large entry on its way to a member, in chunks: no more of it in flight than the
+//! window allows, and resumed where it stood when messages were lost.
 
 use std::sync::Arc;
 
@@ -8,12 +8,13 @@
 
 /// The size of a chunk: a tenth of a second on a link of 1 Mbit/s.
 const CHUNK_BYTES: usize = 8 << 10;
-/// Chunks in flight are sent again after so long without a response, then after twice as long, and so on.
+/// Chunks in flight are sent again after so long without a response, then after twice as long, and
+/// so on.
 const INITIAL_RESEND_TIMEOUT_MS: u64 = 1000;
 /// The resend timeout doubles up to this.
 const MAX_RESEND_TIMEOUT_MS: u64 = 8000;
-/// A response that the member has nothing, this long after one that it has something, means that the member has
-/// restarted. One that comes sooner was overtaken.
+/// A response that the member has nothing, this long after one that it has something, means that
+/// the member has restarted. One that comes sooner was overtaken.
 const RESTART_DETECTION_MS: u64 = 500;
 
 /// What is transferred. Shared by the transfers to several members.
@@ -92,12 +93,14 @@
         &self.data
     }
 
-    /// Goes back to what the member has, if it had no more for the resend timeout: messages were lost.
+    /// Goes back to what the member has, if it had no more for the resend timeout: messages were
+    /// lost.
     pub(crate) fn resume_if_stalled(&mut self, inflights: &mut Inflights, now: u64) {
         if now < self.resend_timer_start + self.resend_timeout_ms {
             return;
         }
-        // The last chunk is sent again even to a member that has all bytes: the response to it may be lost.
+        // The last chunk is sent again even to a member that has all bytes: the response to it may
+        // be lost.
         let last_chunk = self.data.bytes.len().saturating_sub(1) / CHUNK_BYTES * CHUNK_BYTES;
         self.rewind(self.received_bytes.min(last_chunk), inflights);
         inflights.shrink_window();
--- a/crates/raft/src/tracker/progress.rs
+++ b/crates/raft/src/tracker/progress.rs
@@ -39,7 +39,8 @@
 }
 
 impl Progress {
-    /// The progress of a member of which nothing is known. It is given the time of an election to answer.
+    /// The progress of a member of which nothing is known. It is given the time of an election to
+    /// answer.
     pub(super) fn new(next_index: u64, now: u64) -> Self {
         Self {
             state: ProgressState::Probe {
@@ -105,7 +106,8 @@
         matched_since || repeated
     }
 
-    /// The logs match up to `index` if `matches`, else at most up to there. `sequence` is the last broadcast.
+    /// The logs match up to `index` if `matches`, else at most up to there. `sequence` is the last
+    /// broadcast.
     pub(crate) fn reset(&mut self, index: u64, matches: bool, sequence: u64) {
         self.state = if matches {
             ProgressState::Replicate
--- a/crates/raft/tests/consensus/catch_up.rs
+++ b/crates/raft/tests/consensus/catch_up.rs
@@ -1,6 +1,6 @@
-//! A member that comes back after many changes, over links of given bandwidth, while changes go on: it catches up in a
-//! stated time, the leader stays, heartbeats and reads go on beside the transfer, and whoever is elected has all that is
-//! committed.
+//! A member that comes back after many changes, over links of given bandwidth, while changes go on:
+//! it catches up in a stated time, the leader stays, heartbeats and reads go on beside the
+//! transfer, and whoever is elected has all that is committed.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -402,7 +402,8 @@
         );
     }
 
-    /// How long a member takes until it has applied all but what is in flight; changes go on meanwhile.
+    /// How long a member takes until it has applied all but what is in flight; changes go on
+    /// meanwhile.
     fn time_to_catch_up(&mut self, id: NodeId, max_ms: u64) -> u64 {
         let begin = self.now;
         loop {
@@ -444,8 +445,9 @@
     }
 }
 
-/// What the design note states: two seconds, and one and a half times what the snapshot, a log of the length at which it
-/// is compacted, and the entries that are retained beside a snapshot take on the link.
+/// What the design note states: two seconds, and one and a half times what the snapshot, a log of
+/// the length at which it is compacted, and the entries that are retained beside a snapshot take on
+/// the link.
 fn stated_time_ms(state_bytes: usize, bits_per_s: u64) -> u64 {
     let entries_bytes = COMPACT_AFTER_ENTRIES * (CHANGE_BYTES + 40) + (64 << 10);
     2000 + (state_bytes + entries_bytes) as u64 * 8 * 1500 / bits_per_s
@@ -586,8 +588,8 @@
         cluster.start(behind);
         for crash in 0..6 {
             cluster.run(400 + 170 * seed + 90 * crash, 50);
-            // The member itself in the middle of a transfer or of a write, or the leader for longer than an election
-            // takes, or both at once.
+            // The member itself in the middle of a transfer or of a write, or the leader for longer
+            // than an election takes, or both at once.
             let leader = cluster.leader().filter(|_| crash % 3 != 0);
             let member = (crash % 2 == 0).then_some(behind);
             let stopped: Vec<NodeId> = leader.into_iter().chain(member).collect();
@@ -711,7 +713,8 @@
     cluster.limit_bandwidth(behind, 2_000_000);
     cluster.start(behind);
     cluster.sent_bytes.clear();
-    // 200 changes a second: a snapshot is made every 1.3 seconds, and the transfer of one takes twice that.
+    // 200 changes a second: a snapshot is made every 1.3 seconds, and the transfer of one takes
+    // twice that.
     cluster.change_bytes = 60;
     let begin = cluster.now;
     while cluster.applied_index(behind) + 40 < cluster.acknowledged {
@@ -735,8 +738,8 @@
     );
 }
 
-/// Bytes between regions are paid for. Without changes, a request and a response for each member and heartbeat; a change
-/// takes twice that.
+/// Bytes between regions are paid for. Without changes, a request and a response for each member
+/// and heartbeat; a change takes twice that.
 #[test]
 fn message_count_when_idle_and_per_change() {
     for (change_interval_ms, changes) in [(u64::MAX, 0), (1000, 30)] {
@@ -758,8 +761,8 @@
 
 #[test]
 fn reordered_chunks_neither_stall_nor_multiply() {
-    // A chunk that came before the one ahead of it was once dropped, and each response that had been overtaken called for
-    // all in flight once more.
+    // A chunk that came before the one ahead of it was once dropped, and each response that had
+    // been overtaken called for all in flight once more.
     for seed in 0..20 {
         let OneBehind {
             mut cluster,
--- a/crates/raft/tests/consensus/cluster.rs
+++ b/crates/raft/tests/consensus/cluster.rs
@@ -1,9 +1,10 @@
-//! Clusters of nodes on one seeded clock, network and disk: messages are lost, duplicated, delayed and partitioned;
-//! processes crash and lose what was not synced; disks are wiped and their machines come back as new members.
+//! Clusters of nodes on one seeded clock, network and disk: messages are lost, duplicated, delayed
+//! and partitioned; processes crash and lose what was not synced; disks are wiped and their
+//! machines come back as new members.
 //!
-//! Checked all along: one leader a term; committed logs agree; no read is older than what was acknowledged before it; no
-//! member acknowledges what its disk has not synced; a member in quorum contact up to some moment has applied all that was
-//! acknowledged before it.
+//! Checked all along: one leader a term; committed logs agree; no read is older than what was
+//! acknowledged before it; no member acknowledges what its disk has not synced; a member in quorum
+//! contact up to some moment has applied all that was acknowledged before it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -250,7 +251,8 @@
         }
     }
 
-    /// A member with more than `max_entries` entries replaces those that are committed by a snapshot of that size.
+    /// A member with more than `max_entries` entries replaces those that are committed by a
+    /// snapshot of that size.
     pub(crate) fn compact(&mut self, i: usize, max_entries: usize, state_bytes: usize) {
         let Some(node) = &self.machines[i].node else {
             return;
--- a/crates/raft/tests/consensus/election.rs
+++ b/crates/raft/tests/consensus/election.rs
@@ -69,7 +69,8 @@
 
 #[test]
 fn cold_start_elects_a_leader_quickly() {
-    // After a power loss of all machines nothing was served for up to two seconds more than necessary.
+    // After a power loss of all machines nothing was served for up to two seconds more than
+    // necessary.
     let wait_ms = |seed| first_election(&[0, 40, 250, 410], seed).wait_ms;
     let mut waits: Vec<u64> = (0..200).map(wait_ms).collect();
     waits.sort_unstable();
--- a/crates/raft/tests/consensus/leader.rs
+++ b/crates/raft/tests/consensus/leader.rs
@@ -97,7 +97,8 @@
 #[test]
 fn earlier_term_entry_commits_only_with_own_entry() {
     let mut elected = Elected::new();
-    // A majority has it, and still a third member with a newer term in its log could be elected and overwrite it.
+    // A majority has it, and still a third member with a newer term in its log could be elected and
+    // overwrite it.
     elected.receive_acknowledgement(EARLIER_INDEX);
     assert_eq!(elected.commit_index(), 0);
     elected.receive_acknowledgement(EARLIER_INDEX + 1);
@@ -106,7 +107,8 @@
 
 #[test]
 fn no_membership_change_before_own_commit() {
-    // Two leaders in a row could else each add a member of its own, and their majorities need not overlap.
+    // Two leaders in a row could else each add a member of its own, and their majorities need not
+    // overlap.
     let mut elected = Elected::new();
     elected.receive_acknowledgement(EARLIER_INDEX);
     elected.node.handle_join_request(9, address(9));
@@ -136,7 +138,8 @@
 
 #[test]
 fn read_waits_for_a_later_broadcast() {
-    // A member that answers a broadcast that was under way may have elected another leader since, before the read.
+    // A member that answers a broadcast that was under way may have elected another leader since,
+    // before the read.
     let mut elected = Elected::new();
     elected.node.request_read(5);
     elected.receive(acknowledgement(EARLIER_INDEX + 1, 1));
--- a/crates/raft/tests/consensus/machine_loss.rs
+++ b/crates/raft/tests/consensus/machine_loss.rs
@@ -1,6 +1,7 @@
-//! Machines are lost, replaced at other addresses and lost again: while no more are lost at once than is to be tolerated,
-//! there is a leader that commits, and nothing acknowledged is lost. A machine counts as lost while it is away and for
-//! `SETTLE_TIME_MS` after it, or its successor, has started.
+//! Machines are lost, replaced at other addresses and lost again: while no more are lost at once
+//! than is to be tolerated, there is a leader that commits, and nothing acknowledged is lost. A
+//! machine counts as lost while it is away and for `SETTLE_TIME_MS` after it, or its successor, has
+//! started.
 
 use std::collections::BTreeMap;
 
@@ -27,8 +28,8 @@
 const SETTLE_TIME_MS: u64 = 4000;
 /// A loss lasts for so long.
 const LOSS_DURATION_MS: u64 = 16_000;
-/// The longest time without a commit: an election takes up to two timeouts, split votes some more, and what the lost
-/// machine had just begun is begun again.
+/// The longest time without a commit: an election takes up to two timeouts, split votes some more,
+/// and what the lost machine had just begun is begun again.
 const MAX_COMMIT_GAP_MS: u64 = 5000;
 
 /// How a machine is lost.
@@ -320,8 +321,8 @@
         );
     }
 
-    /// Right after an acknowledgement so many disks are lost, the leader's among them, and all other machines lose power at
-    /// the same time.
+    /// Right after an acknowledgement so many disks are lost, the leader's among them, and all
+    /// other machines lose power at the same time.
     fn assert_survives_disk_losses(&mut self, wiped: usize) {
         let acknowledged = self.cluster.acknowledged;
         for _ in 0..MAX_COMMIT_GAP_MS / STEP_MS {
@@ -392,7 +393,8 @@
 
 #[test]
 fn repeated_replacements_keep_tolerable_losses() {
-    // Each replaced machine once stayed a voter for ever, and after two the next loss left no majority.
+    // Each replaced machine once stayed a voter for ever, and after two the next loss left no
+    // majority.
     rehearse(0..140, |number| {
         let (size, tolerated_losses) =
             [(4, 1), (6, 2), (8, 2), (10, 2), (3, 1)][number as usize % 5];
@@ -443,7 +445,8 @@
 
 #[test]
 fn early_second_loss_stops_commits_until_return() {
-    // Four machines tolerate one loss: a second one within four seconds may stop everything, but loses nothing.
+    // Four machines tolerate one loss: a second one within four seconds may stop everything, but
+    // loses nothing.
     for number in 0..64u64 {
         let mut rehearsal = Rehearsal::new(2000 + number, 3 + number % 2, 1);
         let first = [Loss::Wiped, Loss::Replaced, Loss::Planned, Loss::Power][number as usize % 4];
--- a/crates/raft/tests/consensus/main.rs
+++ b/crates/raft/tests/consensus/main.rs
@@ -9,4 +9,5 @@
 mod membership_policy;
 mod quorum_contact;
 mod simulation;
+mod status;
 mod support;
--- a/crates/raft/tests/consensus/membership_policy.rs
+++ b/crates/raft/tests/consensus/membership_policy.rs
@@ -92,7 +92,8 @@
     assert_eq!(case.next_members(&voting, 1), None);
 }
 
-/// The voters once all changes are made that are due after so many milliseconds of silence of each member.
+/// The voters once all changes are made that are due after so many milliseconds of silence of each
+/// member.
 fn settled_voters(
     voters: u64,
     tolerated_losses: usize,
@@ -182,7 +183,8 @@
 
 #[test]
 fn unanswered_members_are_not_in_contact() {
-    // Beside seven voters, three of them just lost, two learners were once made voters in the first second.
+    // Beside seven voters, three of them just lost, two learners were once made voters in the first
+    // second.
     let mut case = Case {
         voters: 3,
         learners: vec![7],
--- a/crates/raft/tests/consensus/quorum_contact.rs
+++ b/crates/raft/tests/consensus/quorum_contact.rs
@@ -1,4 +1,5 @@
-//! What a member may take for known of what was acknowledged elsewhere while it, or its leader, was frozen.
+//! What a member may take for known of what was acknowledged elsewhere while it, or its leader, was
+//! frozen.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -148,7 +149,8 @@
         self.check_contact(i);
     }
 
-    /// A member has applied all that was acknowledged before the moment up to which it is in contact.
+    /// A member has applied all that was acknowledged before the moment up to which it is in
+    /// contact.
     fn check_contact(&mut self, i: usize) {
         let contact = self.nodes[i].quorum_contact_at();
         let history = &self.acknowledged_history;
@@ -164,8 +166,9 @@
     }
 }
 
-/// The leader is frozen while the others elect another one; a follower that is cut off from them goes on asking it. What it
-/// responds when it thaws must not pass for what is acknowledged by then.
+/// The leader is frozen while the others elect another one; a follower that is cut off from them
+/// goes on asking it. What it responds when it thaws must not pass for what is acknowledged by
+/// then.
 #[test]
 fn frozen_leader_proves_no_later_contact() {
     let mut advances = 0;
@@ -217,7 +220,8 @@
     assert!(advances > 0, "no response was taken");
 }
 
-/// However many reads are requested at once, at however many members: a broadcast or two confirms them all.
+/// However many reads are requested at once, at however many members: a broadcast or two confirms
+/// them all.
 #[test]
 fn many_reads_share_two_broadcasts() {
     let mut cluster = Cluster::new(7);
@@ -227,7 +231,8 @@
     let before = cluster.in_flight.len();
     (0..40).for_each(|n| cluster.request_contact_and_read(n % CLUSTER_SIZE));
     let sent = cluster.in_flight.len() - before;
-    // Each follower has one read request under way and eight for contact; the leader begins one broadcast.
+    // Each follower has one read request under way and eight for contact; the leader begins one
+    // broadcast.
     assert!(
         sent <= (CLUSTER_SIZE - 1) * 10 + 2 * CLUSTER_SIZE,
         "{sent} messages for 40 reads"
--- a/crates/raft/tests/consensus/simulation.rs
+++ b/crates/raft/tests/consensus/simulation.rs
@@ -1,6 +1,6 @@
-//! Random schedules: whatever the network, the processes and the disks do, nothing that was acknowledged is lost, one
-//! leader leads a term, no read is older than what was acknowledged before it, and a member in quorum contact has applied
-//! what was acknowledged by then.
+//! Random schedules: whatever the network, the processes and the disks do, nothing that was
+//! acknowledged is lost, one leader leads a term, no read is older than what was acknowledged
+//! before it, and a member in quorum contact has applied what was acknowledged by then.
 
 use std::panic::{AssertUnwindSafe, catch_unwind, resume_unwind};
 
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Whether all machines are voters, as the leader has committed it: then the loss of one disk is tolerated.
+    /// Whether all machines are voters, as the leader has committed it: then the loss of one disk
+    /// is tolerated.
     fn all_are_voters(&self) -> bool {
         let mut nodes = self.machines.iter().filter_map(|m| m.node.as_ref());
         let Some(leader) = nodes.find(|node| support::is_leader(node)) else {
--- /dev/null
+++ b/crates/raft/tests/consensus/status.rs
@@ -0,0 +1,24 @@
+//! What a member reports of itself.
+
+use raft::Role;
+
+/// The control plane's status page shows it, and operators' tools read it.
+#[test]
+fn role_text_is_stable() {
+    let texts = [
+        Role::Follower,
+        Role::PreCandidate,
+        Role::Candidate,
+        Role::Leader,
+    ]
+    .map(|role| role.to_string());
+    assert_eq!(
+        texts,
+        [
+            "follower",
+            "candidate { pre: true }",
+            "candidate { pre: false }",
+            "leader"
+        ]
+    );
+}
--- a/crates/raft/tests/consensus/support.rs
+++ b/crates/raft/tests/consensus/support.rs
@@ -1,4 +1,5 @@
-//! What the tests share: the timing of the control plane, initial members, and the host's part for one node.
+//! What the tests share: the timing of the control plane, initial members, and the host's part for
+//! one node.
 
 use raft::{Members, Message, NodeId, PersistentState, RaftNode, Ready, Role, Snapshot, Timing};
 
@@ -36,7 +37,8 @@
     }
 }
 
-/// Carries out what a node asks for until it asks for no sync, with a disk that syncs at once. All its messages.
+/// Carries out what a node asks for until it asks for no sync, with a disk that syncs at once. All
+/// its messages.
 pub(crate) fn sync_all(node: &mut RaftNode) -> Vec<Message> {
     let mut messages = Vec::new();
     loop {
--- a/crates/raft/tests/model.rs
+++ b/crates/raft/tests/model.rs
@@ -1,9 +1,10 @@
-//! The rules of the log with changes of the members, explored exhaustively: three members, a spare machine and two
-//! changes, with any order of elections, replications and commits, up to two terms and four entries.
+//! The rules of the log with changes of the members, explored exhaustively: three members, a spare
+//! machine and two changes, with any order of elections, replications and commits, up to two terms
+//! and four entries.
 //!
-//! It is a model of the rules, not of the code: a request and its response are one step, and pre-votes, timeouts and
-//! snapshots are left out, since they decide when something happens, not whether it may. The code itself runs in
-//! `consensus`.
+//! It is a model of the rules, not of the code: a request and its response are one step, and
+//! pre-votes, timeouts and snapshots are left out, since they decide when something happens, not
+//! whether it may. The code itself runs in `consensus`.
 
 use stateright::{Checker, Model, Property};
 
@@ -63,7 +64,8 @@
         if term > self.term {
             (self.term, self.voted_for) = (term, None);
         }
-        // A node that does not lead needs no commit here: what was committed is kept beside the nodes.
+        // A node that does not lead needs no commit here: what was committed is kept beside the
+        // nodes.
         (self.is_leader, self.match_index, self.commit_index) = (false, Vec::new(), 0);
     }
 }
