--- a/crates/data-plane/tests/model/connection.rs
+++ b/crates/data-plane/tests/model/connection.rs
@@ -68,7 +68,7 @@
     }
 }
 
-pub fn pool(max_connections: usize) -> Rc<UpstreamPool> {
+pub(crate) fn pool(max_connections: usize) -> Rc<UpstreamPool> {
     UpstreamPool::new(PoolConfig {
         max_connections,
         keepalive: Duration::from_secs(8),
@@ -79,7 +79,7 @@
 }
 
 /// A request of a caller, whose path names the call.
-pub fn forward(call: usize, id: &str, method: &Method, body: usize) -> ForwardedRequest {
+pub(crate) fn forward(call: usize, id: &str, method: &Method, body: usize) -> ForwardedRequest {
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_static("h"));
     headers.insert("attempt-id", HeaderValue::from_str(id).expect("an id"));
@@ -193,7 +193,7 @@
             Ok(())
         };
     };
-    let Some(given) = record.given.first() else {
+    let Some(given) = record.responses.first() else {
         return err("an answer that was not given");
     };
     let serial = response
@@ -206,7 +206,7 @@
     if response.status().as_u16() != given.status || *response.body() != given.body {
         return err("the answer was changed");
     }
-    if !given.whole {
+    if !given.complete {
         return err("an answer that was cut, or can be read in two ways, is handed on as whole");
     }
     if response.status().is_success() && !given.sealed {
