--- /dev/null
+++ b/crates/standalone-proxy/src/api/mod.rs
@@ -0,0 +1,215 @@
+//! The interface to clients: classes, tenants and deadlines by header, under `/api`.
+//!
+//! A request is checked, read to its end, and handed to the engine; its client gets the engine's one reply. Whoever
+//! disconnects drops the future that waits here, which tells the engine.
+
+mod open_ids;
+mod validation;
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use data_plane::body::BodyBudget;
+use data_plane::engine::{EngineHandle, EngineReply, IncomingRequest};
+use data_plane::headers::{
+    ClientResponse, bad_request, empty_response, forward_request_headers, forward_response,
+    retry_later,
+};
+use data_plane::listener::RequestHandler;
+use data_plane::upstream_pool::ForwardedRequest;
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use hyper::header::{CONNECTION, HeaderName, HeaderValue};
+use hyper::http::request::Parts;
+use hyper::{Method, Request, StatusCode};
+use load_balancing::interface::{Effect, RequestClass, Span};
+use load_balancing::settings::{SiteSettings, key_hash};
+use tokio::time::{Instant, timeout};
+
+use crate::SERVICE;
+use crate::config::Config;
+use open_ids::OpenIds;
+use validation::{cookie, header_text, validate_head};
+
+/// The largest body that a client may send.
+const MAX_BODY_BYTES: usize = 64 << 10;
+/// A body must be complete this long after its head: clients here send both at once.
+const BODY_TIMEOUT: Duration = Duration::from_millis(750);
+/// Bodies that are read or held may take one part in so many of the memory together.
+const MEMORY_PER_BODIES: usize = 8;
+/// What an upstream says to the balancer only.
+const INTERNAL_HEADERS: [HeaderName; 2] = [
+    HeaderName::from_static("x-load"),
+    HeaderName::from_static("x-not-run"),
+];
+
+/// Answers clients' requests.
+pub(crate) struct Api {
+    engine: EngineHandle,
+    site: SiteSettings,
+    /// By class.
+    effects: Vec<Effect>,
+    /// By class.
+    deadlines: Vec<Duration>,
+    open_ids: OpenIds,
+    bodies: BodyBudget,
+}
+
+impl Api {
+    pub(crate) fn new(config: &Config, engine: EngineHandle) -> Self {
+        let settings = config.site.to_settings();
+        let deadline = |c: &RequestClass| Duration::from_micros(c.deadline.0.max(0) as u64);
+        Self {
+            engine,
+            site: config.site.clone(),
+            effects: settings.classes.iter().map(|c| c.effect).collect(),
+            deadlines: settings.classes.iter().map(deadline).collect(),
+            open_ids: OpenIds::default(),
+            bodies: BodyBudget::new(config.max_memory_bytes / MEMORY_PER_BODIES),
+        }
+    }
+
+    /// The longest that any client waits.
+    pub(crate) fn longest_deadline(&self) -> Duration {
+        self.deadlines.iter().max().copied().unwrap_or_default()
+    }
+
+    async fn answer_api(&self, request: Request<Incoming>, arrived: Instant) -> ClientResponse {
+        let (head, body) = request.into_parts();
+        if let Err(what) = validate_head(&head) {
+            return bad_request(what);
+        }
+        // With no transfer coding the length is known ahead.
+        let length = body.size_hint().exact().unwrap_or(u64::MAX);
+        if length > MAX_BODY_BYTES as u64 {
+            return empty_response(StatusCode::PAYLOAD_TOO_LARGE);
+        }
+        let Some(_reservation) = self.bodies.reserve(length as usize) else {
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE);
+        };
+        let body = match timeout(BODY_TIMEOUT, body.collect()).await {
+            Ok(Ok(body)) => body.to_bytes(),
+            Ok(Err(_)) => return bad_request("body"),
+            Err(_) => return empty_response(StatusCode::REQUEST_TIMEOUT),
+        };
+        // Two requests of one id could not be told apart at an upstream.
+        let id = head.headers.get("x-request-id");
+        let Some(_open_id) = id.and_then(|id| self.open_ids.open(id)) else {
+            return empty_response(StatusCode::CONFLICT);
+        };
+        match self.incoming_request(&head, &body, arrived) {
+            Ok(incoming) => self.submit(incoming, head, body).await,
+            Err(what) => bad_request(what),
+        }
+    }
+
+    /// Hands a request to the engine and waits for its reply.
+    async fn submit(&self, incoming: IncomingRequest, head: Parts, body: Bytes) -> ClientResponse {
+        let forward = ForwardedRequest {
+            method: head.method,
+            uri: head.uri,
+            headers: forward_request_headers(head.headers, body.len()),
+            body,
+        };
+        match self.engine.submit(SERVICE, incoming, forward).await {
+            EngineReply::Served(response) => forward_response(response, &INTERNAL_HEADERS),
+            EngineReply::Rejected { retry_after } => {
+                retry_later(StatusCode::SERVICE_UNAVAILABLE, retry_after)
+            }
+            EngineReply::Failed { timed_out: true } => empty_response(StatusCode::GATEWAY_TIMEOUT),
+            EngineReply::Failed { timed_out: false } => empty_response(StatusCode::BAD_GATEWAY),
+        }
+    }
+
+    /// Reads what the balancer needs to know; the error names what is wrong.
+    fn incoming_request(
+        &self,
+        head: &Parts,
+        body: &Bytes,
+        arrived: Instant,
+    ) -> Result<IncomingRequest, &'static str> {
+        let class = self.class_of(head)?;
+        if !self.fits_effect(class, head, body) {
+            return Err("method");
+        }
+        // No client waits longer than its class's deadline, whatever it says.
+        let deadline = deadline_of(head)?.min(self.deadlines[class]);
+        let tenant = self.tenant_of(head)?;
+        let work_us = header_text(head, "x-cost-hint").and_then(|v| v.trim().parse::<f64>().ok());
+        Ok(IncomingRequest {
+            class,
+            tenant,
+            shard: None,
+            key: cookie(&head.headers, "sid").map(key_hash),
+            deadline: arrived + deadline,
+            estimated_work: work_us
+                .filter(|us| us.is_finite() && *us > 0.0)
+                .map(|us| Span(us as i64)),
+            is_client_retry: header_text(head, "x-retry").is_some_and(|v| v == "1"),
+        })
+    }
+
+    fn class_of(&self, head: &Parts) -> Result<usize, &'static str> {
+        let name = header_text(head, "x-class").ok_or("X-Class")?;
+        let class = self.site.services.iter().position(|s| s.name == name);
+        class.ok_or("X-Class")
+    }
+
+    fn tenant_of(&self, head: &Parts) -> Result<usize, &'static str> {
+        if self.site.tenants.is_empty() {
+            return Ok(0);
+        }
+        let name = header_text(head, "x-tenant").unwrap_or_default();
+        let tenant = self.site.tenants.iter().position(|t| t.name == name);
+        tenant.ok_or("X-Tenant")
+    }
+
+    /// Whether method, body and idempotency key are those of the class's effect.
+    fn fits_effect(&self, class: usize, head: &Parts, body: &Bytes) -> bool {
+        let key = head.headers.get("idempotency-key");
+        match self.effects[class] {
+            Effect::Safe => head.method == Method::GET && body.is_empty(),
+            Effect::Keyed => head.method == Method::POST && key.is_some_and(|k| !k.is_empty()),
+            Effect::Unsafe => head.method == Method::POST && key.is_none(),
+        }
+    }
+}
+
+/// How long the client waits, as it says.
+fn deadline_of(head: &Parts) -> Result<Duration, &'static str> {
+    header_text(head, "x-deadline-ms")
+        .filter(|text| text.bytes().all(|b| b.is_ascii_digit()))
+        .and_then(|text| text.parse::<u64>().ok())
+        .filter(|ms| *ms > 0)
+        .map(Duration::from_millis)
+        .ok_or("X-Deadline-Ms")
+}
+
+impl RequestHandler for Api {
+    async fn answer(
+        &self,
+        request: Request<Incoming>,
+        arrived: Instant,
+        stopping: bool,
+    ) -> ClientResponse {
+        let path = request.uri().path();
+        let mut response = if path == "/-/ready" {
+            let is_ready = self.engine.is_ready() && !stopping;
+            empty_response(if is_ready {
+                StatusCode::OK
+            } else {
+                StatusCode::SERVICE_UNAVAILABLE
+            })
+        } else if path == "/api" || path.starts_with("/api/") {
+            self.answer_api(request, arrived).await
+        } else {
+            empty_response(StatusCode::NOT_FOUND)
+        };
+        // What follows on the connection of a client whose request makes no sense makes none either.
+        if response.status().is_client_error() {
+            let close = HeaderValue::from_static("close");
+            response.headers_mut().insert(CONNECTION, close);
+        }
+        response
+    }
+}
--- a/crates/standalone-proxy/tests/node/stubs.rs
+++ b/crates/standalone-proxy/tests/proxy/harness.rs
@@ -1,4 +1,4 @@
-//! The node as a process, between stand-ins for a client, upstreams and discovery. All on ephemeral
+//! The proxy as a process, between stand-ins for a client, upstreams and discovery. All on ephemeral
 //! loopback ports; tests wait for events, with a limit wide enough for a busy machine.
 
 use std::collections::HashMap;
@@ -13,18 +13,18 @@
 use serde_json::{Value, json};
 
 /// Longest wait for anything that has to happen.
-pub const SOON: Duration = Duration::from_secs(20);
+pub(crate) const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A message as it came: its first line, headers with lower-case names, and body.
 #[derive(Clone, Debug)]
-pub struct Message {
+pub(crate) struct Message {
     pub first: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.first
             .split(' ')
             .nth(1)
@@ -32,13 +32,13 @@
             .parse()
             .expect("a number")
     }
-    pub fn header(&self, name: &str) -> &str {
+    pub(crate) fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
 /// Reads one message; `None` where the connection ends first.
-pub fn read_message(stream: &mut BufReader<TcpStream>) -> Option<Message> {
+pub(crate) fn read_message(stream: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut line = || {
         let mut line = String::new();
         stream.read_line(&mut line).ok().filter(|n| *n > 0)?;
@@ -67,50 +67,52 @@
 
 /// What an upstream does with a request.
 #[derive(Clone)]
-pub enum Does {
+pub(crate) enum UpstreamBehavior {
     /// Writes this, and keeps the connection.
-    Answers(String),
+    Respond(String),
     /// Writes this, and closes the connection.
-    Ends(String),
+    RespondAndClose(String),
     /// Writes this, and closes the connection once it is told to.
-    EndsLater(String, Arc<std::sync::Mutex<Receiver<()>>>),
+    RespondThenClose(String, Arc<std::sync::Mutex<Receiver<()>>>),
     /// Writes this, and the same again once it is told to.
-    AnswersTwice(String, Arc<std::sync::Mutex<Receiver<()>>>),
+    RespondTwice(String, Arc<std::sync::Mutex<Receiver<()>>>),
     /// Nothing, on an open connection.
-    Hangs,
-    /// Answers once it is told to.
-    Waits(Arc<std::sync::Mutex<Receiver<()>>>),
+    Hang,
+    /// Respond once it is told to.
+    RespondLater(Arc<std::sync::Mutex<Receiver<()>>>),
 }
 
-pub fn ok(body: &str) -> Does {
-    Does::Answers(format!(
+pub(crate) fn ok(body: &str) -> UpstreamBehavior {
+    UpstreamBehavior::Respond(format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     ))
 }
 
-pub fn answers(status: &str, headers: &str) -> Does {
-    Does::Answers(format!(
+pub(crate) fn empty_response_with(status: &str, headers: &str) -> UpstreamBehavior {
+    UpstreamBehavior::Respond(format!(
         "HTTP/1.1 {status}\r\n{headers}Content-Length: 0\r\n\r\n"
     ))
 }
 
 /// What was seen at an upstream, in order.
 #[derive(Debug)]
-pub enum Seen {
+pub(crate) enum UpstreamEvent {
     Request(SocketAddr, Message),
     /// A second copy of an answer is out.
     Wrote,
     Closed,
 }
 
-pub struct Upstream {
+pub(crate) struct Upstream {
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
+    pub seen: Receiver<UpstreamEvent>,
 }
 
 impl Upstream {
-    pub fn start(does: impl Fn(&Message) -> Does + Send + Sync + 'static) -> Self {
+    pub(crate) fn start(
+        does: impl Fn(&Message) -> UpstreamBehavior + Send + Sync + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (tell, seen) = channel();
@@ -120,8 +122,8 @@
                 let (stream, tell, does) = (stream.expect("accepted"), tell.clone(), does.clone());
                 thread::spawn(move || {
                     let peer = stream.peer_addr().expect("a peer");
-                    converse(stream, peer, &tell, &*does);
-                    let _ = tell.send(Seen::Closed);
+                    serve_connection(stream, peer, &tell, &*does);
+                    let _ = tell.send(UpstreamEvent::Closed);
                 });
             }
         });
@@ -129,54 +131,54 @@
     }
 
     /// The next request, past whatever else is seen.
-    pub fn request(&self) -> (SocketAddr, Message) {
+    pub(crate) fn request(&self) -> (SocketAddr, Message) {
         loop {
-            match self.seen.recv_timeout(SOON).expect("a request") {
-                Seen::Request(from, message) => return (from, message),
+            match self.seen.recv_timeout(EVENT_TIMEOUT).expect("a request") {
+                UpstreamEvent::Request(from, message) => return (from, message),
                 _ => continue,
             }
         }
     }
 
     /// All requests seen so far and not yet taken.
-    pub fn requests_so_far(&self) -> usize {
+    pub(crate) fn requests_so_far(&self) -> usize {
         self.seen
             .try_iter()
-            .filter(|s| matches!(s, Seen::Request(..)))
+            .filter(|s| matches!(s, UpstreamEvent::Request(..)))
             .count()
     }
 }
 
-fn converse(
+fn serve_connection(
     stream: TcpStream,
     peer: SocketAddr,
-    tell: &Sender<Seen>,
-    does: &dyn Fn(&Message) -> Does,
+    tell: &Sender<UpstreamEvent>,
+    does: &dyn Fn(&Message) -> UpstreamBehavior,
 ) {
     let mut out = stream.try_clone().expect("a second handle");
     let mut reader = BufReader::new(stream);
     while let Some(message) = read_message(&mut reader) {
-        let _ = tell.send(Seen::Request(peer, message.clone()));
+        let _ = tell.send(UpstreamEvent::Request(peer, message.clone()));
         match does(&message) {
-            Does::Answers(text) => out.write_all(text.as_bytes()).unwrap_or(()),
-            Does::Ends(text) => {
+            UpstreamBehavior::Respond(text) => out.write_all(text.as_bytes()).unwrap_or(()),
+            UpstreamBehavior::RespondAndClose(text) => {
                 let _ = out.write_all(text.as_bytes());
                 return;
             }
-            Does::EndsLater(text, go) => {
+            UpstreamBehavior::RespondThenClose(text, go) => {
                 let _ = out.write_all(text.as_bytes());
-                let _ = go.lock().expect("not poisoned").recv_timeout(SOON);
+                let _ = go.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
                 return;
             }
-            Does::AnswersTwice(text, go) => {
+            UpstreamBehavior::RespondTwice(text, go) => {
                 let _ = out.write_all(text.as_bytes());
-                let _ = go.lock().expect("not poisoned").recv_timeout(SOON);
+                let _ = go.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
                 let _ = out.write_all(text.as_bytes());
-                let _ = tell.send(Seen::Wrote);
+                let _ = tell.send(UpstreamEvent::Wrote);
             }
-            Does::Hangs => {}
-            Does::Waits(go) => {
-                let _ = go.lock().expect("not poisoned").recv_timeout(SOON);
+            UpstreamBehavior::Hang => {}
+            UpstreamBehavior::RespondLater(go) => {
+                let _ = go.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
                 let _ = out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
             }
         }
@@ -184,13 +186,13 @@
 }
 
 /// Discovery: tells each watch's request line, and hands over its connection, head written.
-pub struct Discovery {
+pub(crate) struct Discovery {
     pub address: SocketAddr,
     pub watches: Receiver<(String, TcpStream)>,
 }
 
 impl Discovery {
-    pub fn start() -> Self {
+    pub(crate) fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (tell, watches) = channel();
@@ -209,30 +211,30 @@
         Self { address, watches }
     }
 
-    pub fn watch(&self) -> (String, TcpStream) {
-        self.watches.recv_timeout(SOON).expect("a watch")
+    pub(crate) fn watch(&self) -> (String, TcpStream) {
+        self.watches.recv_timeout(EVENT_TIMEOUT).expect("a watch")
     }
 }
 
 /// Writes a piece of a watch as one chunk.
-pub fn chunk(stream: &mut TcpStream, text: &str) {
+pub(crate) fn send_chunk(stream: &mut TcpStream, text: &str) {
     let framed = format!("{:x}\r\n{text}\r\n", text.len());
     stream
         .write_all(framed.as_bytes())
         .expect("the watch is open");
 }
 
-pub fn member(id: &str, address: SocketAddr, phase: &str) -> Value {
+pub(crate) fn entry_of(id: &str, address: SocketAddr, phase: &str) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "a", "flavor": "m", "cell": 0,
         "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-pub fn members(upstreams: &[&Upstream]) -> Vec<Value> {
-    let name = |(i, u): (usize, &&Upstream)| member(&format!("s-{i}"), u.address, "SERVING");
+pub(crate) fn serving_entries(upstreams: &[&Upstream]) -> Vec<Value> {
+    let name = |(i, u): (usize, &&Upstream)| entry_of(&format!("s-{i}"), u.address, "SERVING");
     upstreams.iter().enumerate().map(name).collect()
 }
 
-pub fn config(known: Vec<Value>) -> Value {
+pub(crate) fn config(known: &[Value]) -> Value {
     json!({
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -255,14 +257,14 @@
     })
 }
 
-pub struct Node {
+pub(crate) struct Proxy {
     pub child: Child,
     pub address: SocketAddr,
     pub discovery: Discovery,
     config: std::path::PathBuf,
 }
 
-impl Drop for Node {
+impl Drop for Proxy {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -270,9 +272,9 @@
     }
 }
 
-pub const NODE: &str = env!("CARGO_BIN_EXE_standalone-proxy");
+pub(crate) const PROXY_BINARY: &str = env!("CARGO_BIN_EXE_standalone-proxy");
 
-pub fn write_config(config: &str) -> std::path::PathBuf {
+pub(crate) fn write_config(config: &str) -> std::path::PathBuf {
     static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let name = format!("standalone-proxy-{}-{n}.json", std::process::id());
@@ -281,13 +283,13 @@
     path
 }
 
-impl Node {
-    pub fn start(config: &Value) -> Self {
-        Self::start_by(Command::new(NODE), config)
+impl Proxy {
+    pub(crate) fn start(config: &Value) -> Self {
+        Self::start_by(Command::new(PROXY_BINARY), config)
     }
 
     /// Starts it by this command, and waits until it listens.
-    pub fn start_by(mut command: Command, config: &Value) -> Self {
+    pub(crate) fn start_by(mut command: Command, config: &Value) -> Self {
         let discovery = Discovery::start();
         let path = write_config(&config.to_string());
         let mut child = command
@@ -297,7 +299,7 @@
             .env("LB_CONFIG", &path)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the node starts");
+            .expect("the proxy starts");
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
         let address = loop {
             let line = log
@@ -314,7 +316,7 @@
             }
         };
         // The pipe must not fill up.
-        thread::spawn(move || log.for_each(|l| eprintln!("node: {}", l.unwrap_or_default())));
+        thread::spawn(move || log.for_each(|l| eprintln!("proxy: {}", l.unwrap_or_default())));
         Self {
             child,
             address,
@@ -323,29 +325,29 @@
         }
     }
 
-    pub fn client(&self) -> Client {
+    pub(crate) fn client(&self) -> Client {
         Client::to(self.address)
     }
 
-    pub fn exit_code(&mut self) -> Option<i32> {
+    pub(crate) fn exit_code(&mut self) -> Option<i32> {
         let from = Instant::now();
-        while from.elapsed() < SOON {
+        while from.elapsed() < EVENT_TIMEOUT {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status.code();
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("the node goes on");
+        panic!("the proxy goes on");
     }
 
     /// Replaces its configuration, and tells it so.
-    pub fn reconfigure(&self, text: &str) {
+    pub(crate) fn reconfigure(&self, text: &str) {
         std::fs::write(&self.config, text).expect("written");
         self.signal("HUP");
     }
 
     /// Sends it a signal, by its name.
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let sent = Command::new("sh")
             .args(["-c", "kill -\"$1\" \"$0\"", &pid, name])
@@ -354,35 +356,35 @@
     }
 }
 
-pub struct Client(BufReader<TcpStream>);
+pub(crate) struct Client(BufReader<TcpStream>);
 
 impl Client {
-    pub fn to(address: SocketAddr) -> Self {
+    pub(crate) fn to(address: SocketAddr) -> Self {
         Self::try_to(address).expect("it accepts")
     }
-    pub fn try_to(address: SocketAddr) -> std::io::Result<Self> {
+    pub(crate) fn try_to(address: SocketAddr) -> std::io::Result<Self> {
         let stream = TcpStream::connect(address)?;
-        stream.set_read_timeout(Some(SOON))?;
+        stream.set_read_timeout(Some(EVENT_TIMEOUT))?;
         Ok(Self(BufReader::new(stream)))
     }
-    pub fn send(&mut self, text: &str) {
+    pub(crate) fn send(&mut self, text: &str) {
         self.try_send(text).expect("written");
     }
-    pub fn try_send(&mut self, text: &str) -> std::io::Result<()> {
+    pub(crate) fn try_send(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
     /// The next answer; `None` where the connection ends first.
-    pub fn answer(&mut self) -> Option<Message> {
+    pub(crate) fn answer(&mut self) -> Option<Message> {
         read_message(&mut self.0)
     }
-    pub fn ask(&mut self, text: &str) -> Message {
+    pub(crate) fn ask(&mut self, text: &str) -> Message {
         self.send(text);
         self.answer().expect("an answer")
     }
 }
 
 /// A request of the class that is safe to repeat.
-pub fn read(id: &str, deadline_ms: u64) -> String {
+pub(crate) fn safe_request(id: &str, deadline_ms: u64) -> String {
     format!(
         "GET /api?of={id} HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\nX-Class: read\r\n\
          Cookie: sid=7f3a9c21e0b4d655\r\nX-Deadline-Ms: {deadline_ms}\r\n\r\n"
@@ -390,7 +392,7 @@
 }
 
 /// A request that must never run twice.
-pub fn alarm(id: &str, deadline_ms: u64, body: &str) -> String {
+pub(crate) fn unsafe_request(id: &str, deadline_ms: u64, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\nX-Class: alarm\r\n\
          X-Deadline-Ms: {deadline_ms}\r\nContent-Length: {}\r\n\r\n{body}",
--- a/crates/standalone-proxy/tests/node/serving.rs
+++ b/crates/standalone-proxy/tests/proxy/serving.rs
@@ -8,14 +8,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use crate::stubs::*;
+use crate::harness::*;
 use serde_json::json;
 
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_its_answer() {
+fn forwards_requests_and_responses_unchanged() {
     let upstream = Upstream::start(|_| ok("done"));
-    let node = Node::start(&config(members(&[&upstream])));
-    let answer = node.client().ask(
+    let proxy = Proxy::start(&config(&serving_entries(&[&upstream])));
+    let answer = proxy.client().ask(
         "POST /api?x=1%20y HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: r1\r\nX-Class: log\r\n\
          Idempotency-Key: k1\r\nX-Deadline-Ms: 5000\r\nContent-Length: 5\r\n\r\nhello",
     );
@@ -41,9 +41,9 @@
 }
 
 #[test]
-fn what_is_malformed_is_answered_here() {
+fn rejects_malformed_requests_without_an_upstream() {
     let upstream = Upstream::start(|_| ok(""));
-    let node = Node::start(&config(members(&[&upstream])));
+    let proxy = Proxy::start(&config(&serving_entries(&[&upstream])));
     let head = "Host: a\r\nX-Request-Id: r\r\n";
     let late = "X-Deadline-Ms: 5000\r\n";
     let class = "X-Class: read\r\n";
@@ -61,45 +61,59 @@
     ];
     for text in wrong {
         let short: String = text.chars().take(160).collect();
-        assert_eq!(node.client().ask(&text).status(), 400, "{short}");
+        assert_eq!(proxy.client().ask(&text).status(), 400, "{short}");
     }
     assert_eq!(
-        node.client()
+        proxy
+            .client()
             .ask("GET /other HTTP/1.1\r\nHost: a\r\n\r\n")
             .status(),
         404
     );
     assert_eq!(
-        node.client()
+        proxy
+            .client()
             .ask("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
             .status(),
         200
     );
     assert_eq!(upstream.requests_so_far(), 0);
     let long = "x".repeat((64 << 10) + 1);
-    assert_eq!(node.client().ask(&alarm("r", 5000, &long)).status(), 413);
+    assert_eq!(
+        proxy
+            .client()
+            .ask(&unsafe_request("r", 5000, &long))
+            .status(),
+        413
+    );
     let whole = "x".repeat(64 << 10);
-    assert_eq!(node.client().ask(&alarm("r", 5000, &whole)).status(), 200);
+    assert_eq!(
+        proxy
+            .client()
+            .ask(&unsafe_request("r", 5000, &whole))
+            .status(),
+        200
+    );
 }
 
 #[test]
-fn ready_only_once_there_is_an_upstream() {
-    let node = Node::start(&config(vec![]));
-    let mut client = node.client();
+fn is_ready_once_there_is_an_upstream() {
+    let proxy = Proxy::start(&config(&[]));
+    let mut client = proxy.client();
     let ready = "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
     assert_eq!(client.ask(ready).status(), 503);
     let upstream = Upstream::start(|_| ok(""));
-    let (_, mut watch) = node.discovery.watch();
-    let list = json!({"revision": 42, "complete": true, "members": members(&[&upstream])});
-    chunk(&mut watch, &format!("{list}\n"));
+    let (_, mut watch) = proxy.discovery.watch();
+    let list = json!({"revision": 42, "complete": true, "members": serving_entries(&[&upstream])});
+    send_chunk(&mut watch, &format!("{list}\n"));
     let from = Instant::now();
     while client.ask(ready).status() != 200 {
-        assert!(from.elapsed() < SOON, "not ready with an upstream");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "not ready with an upstream");
     }
 }
 
 /// A pair of upstreams of which the first that is asked does this, and every later request is served.
-fn first_does(does: Does) -> (Upstream, Upstream) {
+fn pair_whose_first_request(does: &UpstreamBehavior) -> (Upstream, Upstream) {
     let asked = Arc::new(AtomicUsize::new(0));
     let start = || {
         let (asked, does) = (asked.clone(), does.clone());
@@ -111,92 +125,106 @@
     (start(), start())
 }
 
-fn seen_at(pair: &(Upstream, Upstream)) -> usize {
+fn requests_at(pair: &(Upstream, Upstream)) -> usize {
     pair.0.requests_so_far() + pair.1.requests_so_far()
 }
 
 #[test]
-fn an_unsafe_request_that_was_turned_away_is_sent_elsewhere() {
+fn retries_an_unsafe_request_that_was_rejected() {
     for status in ["503 Service Unavailable", "504 Gateway Timeout"] {
-        let pair = first_does(answers(status, "X-Not-Run: 1\r\n"));
-        let node = Node::start(&config(members(&[&pair.0, &pair.1])));
-        let answer = node.client().ask(&alarm("r1", 5000, "x"));
+        let pair = pair_whose_first_request(&empty_response_with(status, "X-Not-Run: 1\r\n"));
+        let proxy = Proxy::start(&config(&serving_entries(&[&pair.0, &pair.1])));
+        let answer = proxy.client().ask(&unsafe_request("r1", 5000, "x"));
         assert_eq!(
             (answer.status(), answer.body.as_slice()),
             (200, &b"second"[..])
         );
-        assert_eq!(seen_at(&pair), 2);
+        assert_eq!(requests_at(&pair), 2);
     }
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
+fn never_retries_an_unsafe_request_that_may_have_run() {
     let may_have_run = [
-        answers("503 Service Unavailable", ""),
-        answers("504 Gateway Timeout", ""),
-        answers("500 Internal Server Error", "X-Not-Run: 1\r\n"),
-        Does::Ends(String::new()),
+        empty_response_with("503 Service Unavailable", ""),
+        empty_response_with("504 Gateway Timeout", ""),
+        empty_response_with("500 Internal Server Error", "X-Not-Run: 1\r\n"),
+        UpstreamBehavior::RespondAndClose(String::new()),
         // Cut short: it must not pass for an answer.
-        Does::Ends("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_string()),
+        UpstreamBehavior::RespondAndClose(
+            "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_string(),
+        ),
     ];
     for does in may_have_run {
-        let pair = first_does(does);
-        let node = Node::start(&config(members(&[&pair.0, &pair.1])));
-        assert_eq!(node.client().ask(&alarm("r1", 5000, "x")).status(), 502);
-        assert_eq!(seen_at(&pair), 1);
+        let pair = pair_whose_first_request(&does);
+        let proxy = Proxy::start(&config(&serving_entries(&[&pair.0, &pair.1])));
+        assert_eq!(
+            proxy
+                .client()
+                .ask(&unsafe_request("r1", 5000, "x"))
+                .status(),
+            502
+        );
+        assert_eq!(requests_at(&pair), 1);
     }
 }
 
 #[test]
-fn a_refused_connection_never_ran() {
+fn retries_after_a_refused_connection() {
     let dead = TcpListener::bind("127.0.0.1:0")
         .expect("a port")
         .local_addr()
         .expect("an address");
     let upstream = Upstream::start(|_| ok("served"));
-    let both = vec![
-        member("s-0", dead, "SERVING"),
-        member("s-1", upstream.address, "SERVING"),
+    let both = [
+        entry_of("s-0", dead, "SERVING"),
+        entry_of("s-1", upstream.address, "SERVING"),
     ];
-    let node = Node::start(&config(both));
+    let proxy = Proxy::start(&config(&both));
     for id in ["r1", "r2", "r3"] {
-        assert_eq!(node.client().ask(&alarm(id, 5000, "x")).status(), 200);
+        assert_eq!(
+            proxy.client().ask(&unsafe_request(id, 5000, "x")).status(),
+            200
+        );
     }
 }
 
 #[test]
-fn a_silent_upstream_is_answered_for_before_the_deadline() {
-    let upstream = Upstream::start(|_| Does::Hangs);
-    let mut config = config(members(&[&upstream]));
+fn answers_for_a_silent_upstream_by_the_deadline() {
+    let upstream = Upstream::start(|_| UpstreamBehavior::Hang);
+    let mut config = config(&serving_entries(&[&upstream]));
     config["settings"]["Services"][2]["Deadline"] = json!(600_000.0);
-    let node = Node::start(&config);
+    let proxy = Proxy::start(&config);
     // The aim is later than this deadline, and the class's own is out of reach: only the request's can have ended
     // it. How long before it: `a_silent_upstream_is_answered_for_right_before_the_deadline` of the engine.
-    let answer = node.client().ask(&alarm("r1", 1500, "x"));
+    let answer = proxy.client().ask(&unsafe_request("r1", 1500, "x"));
     assert_eq!(answer.status(), 504);
     // Its connection is of no more use, and closed.
     let from = Instant::now();
-    while !matches!(upstream.seen.recv_timeout(SOON), Ok(Seen::Closed)) {
-        assert!(from.elapsed() < SOON, "the connection stays");
+    while !matches!(
+        upstream.seen.recv_timeout(EVENT_TIMEOUT),
+        Ok(UpstreamEvent::Closed)
+    ) {
+        assert!(from.elapsed() < EVENT_TIMEOUT, "the connection stays");
     }
 }
 
 #[test]
-fn a_late_answer_to_a_client_that_left_goes_to_nobody_else() {
+fn a_late_response_goes_to_no_other_client() {
     let (go, waits) = channel();
     let waits = Arc::new(Mutex::new(waits));
     let upstream = Upstream::start(move |m| match m.header("x-request-id") {
-        "r1" => Does::Waits(waits.clone()),
+        "r1" => UpstreamBehavior::RespondLater(waits.clone()),
         _ => ok("own"),
     });
-    let node = Node::start(&config(members(&[&upstream])));
-    let mut leaves = node.client();
-    leaves.send(&read("r1", 5000));
+    let proxy = Proxy::start(&config(&serving_entries(&[&upstream])));
+    let mut leaves = proxy.client();
+    leaves.send(&safe_request("r1", 5000));
     let (first, _) = upstream.request();
     drop(leaves);
     // The one slot is still taken, so the second waits for the first one's end.
-    let mut stays = node.client();
-    stays.send(&read("r2", 5000));
+    let mut stays = proxy.client();
+    stays.send(&safe_request("r2", 5000));
     go.send(()).expect("the upstream waits");
     let answer = stays.answer().expect("an answer");
     assert_eq!(
@@ -208,35 +236,38 @@
 }
 
 #[test]
-fn a_connection_that_the_upstream_closed_is_not_used() {
-    // Both happen while the node is held up, in either order: the close and the next request are then
+fn does_not_use_a_connection_that_the_upstream_closed() {
+    // Both happen while the proxy is held up, in either order: the close and the next request are then
     // ready for it at the same moment.
     for close_first in [true, false] {
         let (go, waits) = channel();
         let waits = Arc::new(Mutex::new(waits));
         let upstream = Upstream::start(move |m| match m.header("x-request-id") {
-            "r1" => Does::EndsLater(
+            "r1" => UpstreamBehavior::RespondThenClose(
                 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_string(),
                 waits.clone(),
             ),
             _ => ok("ok"),
         });
-        let node = Node::start(&config(members(&[&upstream])));
-        let mut client = node.client();
-        assert_eq!(client.ask(&alarm("r1", 5000, "x")).status(), 200);
+        let proxy = Proxy::start(&config(&serving_entries(&[&upstream])));
+        let mut client = proxy.client();
+        assert_eq!(client.ask(&unsafe_request("r1", 5000, "x")).status(), 200);
         let close = || {
             go.send(()).expect("the upstream waits");
-            while !matches!(upstream.seen.recv_timeout(SOON), Ok(Seen::Closed)) {}
+            while !matches!(
+                upstream.seen.recv_timeout(EVENT_TIMEOUT),
+                Ok(UpstreamEvent::Closed)
+            ) {}
         };
-        node.signal("STOP");
+        proxy.signal("STOP");
         if close_first {
             close();
         }
-        client.send(&alarm("r2", 5000, "x"));
+        client.send(&unsafe_request("r2", 5000, "x"));
         if !close_first {
             close();
         }
-        node.signal("CONT");
+        proxy.signal("CONT");
         assert_eq!(
             client.answer().expect("an answer").status(),
             200,
@@ -246,57 +277,63 @@
 }
 
 #[test]
-fn an_idle_connection_is_dropped_before_the_upstream_would() {
+fn closes_idle_connections_before_the_upstream_does() {
     let upstream = Upstream::start(|_| ok("ok"));
-    let mut config = config(members(&[&upstream]));
+    let mut config = config(&serving_entries(&[&upstream]));
     config["settings"]["PolicyLimits"]["Keepalive"] = json!(4000.0);
-    let node = Node::start(&config);
-    assert_eq!(node.client().ask(&read("r1", 5000)).status(), 200);
+    let proxy = Proxy::start(&config);
+    assert_eq!(proxy.client().ask(&safe_request("r1", 5000)).status(), 200);
     let from = Instant::now();
-    while !matches!(upstream.seen.recv_timeout(SOON), Ok(Seen::Closed)) {
+    while !matches!(
+        upstream.seen.recv_timeout(EVENT_TIMEOUT),
+        Ok(UpstreamEvent::Closed)
+    ) {
         // How long before: `an_idle_connection_is_closed_before_its_upstream_would` of the data plane.
-        assert!(from.elapsed() < SOON, "the connection stays");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "the connection stays");
     }
 }
 
 #[test]
-fn the_watch_is_followed_and_asked_for_again() {
+fn follows_the_discovery_watch_and_renews_it() {
     let (old, new) = (
         Upstream::start(|_| ok("old")),
         Upstream::start(|_| ok("new")),
     );
-    let node = Node::start(&config(members(&[&old])));
-    let mut client = node.client();
-    assert_eq!(client.ask(&read("r1", 5000)).body, b"old");
-    let (call, mut watch) = node.discovery.watch();
+    let proxy = Proxy::start(&config(&serving_entries(&[&old])));
+    let mut client = proxy.client();
+    assert_eq!(client.ask(&safe_request("r1", 5000)).body, b"old");
+    let (call, mut watch) = proxy.discovery.watch();
     assert_eq!(call, "GET /api/targets?stream=1&index=41 HTTP/1.1");
     // Heartbeats, an update in two pieces, and the same upstream under another address.
     let moved = json!({"revision": 43, "complete": false,
-        "members": [member("s-0", new.address, "SERVING")]});
+        "members": [entry_of("s-0", new.address, "SERVING")]});
     let text = format!("\n\n{moved}\n\n");
     let (a, b) = text.split_at(30);
-    chunk(&mut watch, a);
-    chunk(&mut watch, b);
+    send_chunk(&mut watch, a);
+    send_chunk(&mut watch, b);
     let from = Instant::now();
-    while client.ask(&read("r2", 5000)).body != b"new" {
-        assert!(from.elapsed() < SOON, "the new address is not used");
+    while client.ask(&safe_request("r2", 5000)).body != b"new" {
+        assert!(
+            from.elapsed() < EVENT_TIMEOUT,
+            "the new address is not used"
+        );
     }
     // An ended watch is asked for again, from where it ended.
     drop(watch);
-    let (call, _) = node.discovery.watch();
+    let (call, _) = proxy.discovery.watch();
     assert_eq!(call, "GET /api/targets?stream=1&index=43 HTTP/1.1");
 }
 
 #[test]
-fn a_silent_watch_is_given_up() {
+fn gives_up_a_silent_discovery_watch() {
     let upstream = Upstream::start(|_| ok("ok"));
-    let node = Node::start(&config(members(&[&upstream])));
-    let (_, mut first) = node.discovery.watch();
+    let proxy = Proxy::start(&config(&serving_entries(&[&upstream])));
+    let (_, mut first) = proxy.discovery.watch();
     // With a first word the module takes the watch as standing, and will not ask again by itself.
     let list = json!({"revision": 42, "complete": false, "members": []});
-    chunk(&mut first, &format!("{list}\n\n"));
+    send_chunk(&mut first, &format!("{list}\n\n"));
     // Held open and silent, as by a machine that was cut off.
-    let (_, second) = node.discovery.watch();
+    let (_, second) = proxy.discovery.watch();
     drop((first, second));
 }
 
@@ -308,21 +345,21 @@
     })
 }
 
-/// Waits until two requests at once are both served by one upstream, which has one slot: while two are open,
+/// RespondLater until two requests at once are both served by one upstream, which has one slot: while two are open,
 /// each would get one. Then it must stay so.
-fn only(node: &Node, left: &str) {
-    let mut pair = [node.client(), node.client()];
+fn wait_until_only(proxy: &Proxy, left: &str) {
+    let mut pair = [proxy.client(), proxy.client()];
     let mut all_there = || {
         pair.iter_mut()
             .zip(["r1", "r2"])
-            .for_each(|(c, id)| c.send(&read(id, 5000)));
+            .for_each(|(c, id)| c.send(&safe_request(id, 5000)));
         pair.each_mut()
             .map(|c| c.answer().expect("an answer").body == left.as_bytes())
             == [true; 2]
     };
     let from = Instant::now();
     while !all_there() {
-        assert!(from.elapsed() < SOON, "the news was lost");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "the news was lost");
     }
     for _ in 0..4 {
         assert!(all_there());
@@ -330,35 +367,35 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_costs_no_other_its_news() {
+fn an_unreadable_entry_does_not_hold_up_others() {
     let (a, b) = (slow("a"), slow("b"));
-    let node = Node::start(&config(members(&[&a, &b])));
-    let (_, mut watch) = node.discovery.watch();
+    let proxy = Proxy::start(&config(&serving_entries(&[&a, &b])));
+    let (_, mut watch) = proxy.discovery.watch();
     // Each way round; what takes no requests comes without an address.
     let phases = [["DRAINING", "SERVING"], ["SERVING", "DELETED"]];
     for (revision, (phases, left)) in phases.into_iter().zip(["b", "a"]).enumerate() {
         let entry = |id, upstream: &Upstream, phase| match phase {
-            "SERVING" => member(id, upstream.address, phase),
+            "SERVING" => entry_of(id, upstream.address, phase),
             _ => json!({"id": id, "phase": phase}),
         };
         let list = json!({"revision": 42 + revision, "complete": false, "members":
             [{"id": 7, "phase": []}, entry("s-0", &a, phases[0]), entry("s-1", &b, phases[1])]});
-        chunk(&mut watch, &format!("{list}\n"));
-        only(&node, left);
+        send_chunk(&mut watch, &format!("{list}\n"));
+        wait_until_only(&proxy, left);
     }
 }
 
 #[test]
-fn what_is_refused_is_answered_at_once_and_told_when_to_come_back() {
-    let upstream = Upstream::start(|_| Does::Hangs);
-    let mut config = config(members(&[&upstream]));
+fn rejects_at_once_with_retry_after() {
+    let upstream = Upstream::start(|_| UpstreamBehavior::Hang);
+    let mut config = config(&serving_entries(&[&upstream]));
     config["settings"]["Services"][0]["Deadline"] = json!(600_000.0);
-    let node = Node::start(&config);
-    let mut clients: Vec<Client> = (0..20).map(|_| node.client()).collect();
+    let proxy = Proxy::start(&config);
+    let mut clients: Vec<Client> = (0..20).map(|_| proxy.client()).collect();
     clients
         .iter_mut()
         .enumerate()
-        .for_each(|(i, c)| c.send(&read(&format!("r{i}"), 600_000)));
+        .for_each(|(i, c)| c.send(&safe_request(&format!("r{i}"), 600_000)));
     // One slot at one upstream: most of twenty can't be held. What is held back has no answer for ten minutes.
     let refused = clients
         .pop()
@@ -371,22 +408,22 @@
 }
 
 #[test]
-fn nothing_new_goes_to_what_drains_or_is_left_out_of_a_whole_list() {
+fn sends_nothing_to_draining_or_removed_upstreams() {
     let (a, b) = (slow("a"), slow("b"));
-    let node = Node::start(&config(members(&[&a, &b])));
-    let (_, mut watch) = node.discovery.watch();
+    let proxy = Proxy::start(&config(&serving_entries(&[&a, &b])));
+    let (_, mut watch) = proxy.discovery.watch();
     let list = |revision, complete, members| {
         let list = json!({"revision": revision, "complete": complete, "members": members});
         format!("{list}\n")
     };
     let phases = |a_phase, b_phase| {
         json!([
-            member("s-0", a.address, a_phase),
-            member("s-1", b.address, b_phase)
+            entry_of("s-0", a.address, a_phase),
+            entry_of("s-1", b.address, b_phase)
         ])
     };
     let [only_a, only_b] =
-        [("s-0", &a), ("s-1", &b)].map(|(id, u)| json!([member(id, u.address, "SERVING")]));
+        [("s-0", &a), ("s-1", &b)].map(|(id, u)| json!([entry_of(id, u.address, "SERVING")]));
     // Each way round: which of the two would be asked first is not for this test to say.
     let told = [
         (list(42, false, phases("DRAINING", "SERVING")), "b"),
@@ -396,13 +433,13 @@
         (list(46, true, only_b), "b"),
     ];
     for (list, left) in told {
-        chunk(&mut watch, &list);
-        only(&node, left);
+        send_chunk(&mut watch, &list);
+        wait_until_only(&proxy, left);
     }
 }
 
 #[test]
-fn what_waited_for_its_connection_past_the_grace_of_a_drain_is_not_sent() {
+fn sends_nothing_after_the_drain_grace() {
     // A full backlog: connections to it come up only once there is room again.
     let full = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
     let full = full.expect("a socket");
@@ -415,18 +452,18 @@
     let fillers: Vec<TcpStream> = std::iter::from_fn(|| fill().ok()).take(64).collect();
     assert!(fillers.len() < 64, "the backlog does not fill");
 
-    let mut config = config(vec![member("s-0", address, "SERVING")]);
+    let mut config = config(&[entry_of("s-0", address, "SERVING")]);
     config["settings"]["PolicyLimits"]["ConnectTimeout"] = json!(20_000.0);
     config["settings"]["Services"][2]["Aim"] = json!(25_000.0);
     config["settings"]["Services"][2]["Deadline"] = json!(30_000.0);
-    let node = Node::start(&config);
-    let (_, mut watch) = node.discovery.watch();
-    let mut client = node.client();
-    client.send(&alarm("r1", 30_000, "x"));
+    let proxy = Proxy::start(&config);
+    let (_, mut watch) = proxy.discovery.watch();
+    let mut client = proxy.client();
+    client.send(&unsafe_request("r1", 30_000, "x"));
     std::thread::sleep(Duration::from_millis(200)); // It is on its way, and cannot come up.
     let list = json!({"revision": 42, "complete": false,
-        "members": [member("s-0", address, "DRAINING")]});
-    chunk(&mut watch, &format!("{list}\n"));
+        "members": [entry_of("s-0", address, "DRAINING")]});
+    send_chunk(&mut watch, &format!("{list}\n"));
     std::thread::sleep(Duration::from_millis(1500)); // Past the grace of 500 ms.
     let (tell, seen) = channel();
     std::thread::spawn(move || {
@@ -441,30 +478,30 @@
     // Never ran, and nowhere else to go: the harmless answer.
     assert_eq!(client.answer().expect("an answer").status(), 503);
     drop(fillers);
-    drop(node);
+    drop(proxy);
     while let Ok(read) = seen.recv_timeout(Duration::from_millis(300)) {
         assert_eq!(read, 0, "it was sent all the same");
     }
 }
 
 #[test]
-fn sigterm_finishes_what_was_taken() {
+fn sigterm_completes_accepted_requests() {
     let (go, waits) = channel();
     let waits = Arc::new(Mutex::new(waits));
     let upstream = Upstream::start(move |m| match m.header("x-request-id") {
-        "r1" => Does::Waits(waits.clone()),
+        "r1" => UpstreamBehavior::RespondLater(waits.clone()),
         _ => ok("ok"),
     });
     let quick = Upstream::start(|_| ok("ok"));
-    let mut node = Node::start(&config(members(&[&upstream])));
-    let mut taken = node.client();
-    taken.send(&read("r1", 5500));
+    let mut proxy = Proxy::start(&config(&serving_entries(&[&upstream])));
+    let mut taken = proxy.client();
+    taken.send(&safe_request("r1", 5500));
     upstream.request();
-    let idle = node.client();
-    node.signal("TERM");
+    let idle = proxy.client();
+    proxy.signal("TERM");
     drop(quick);
     // New connections still find it for a moment.
-    let mut new = node.client();
+    let mut new = proxy.client();
     new.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     new.answer().expect("an answer");
     go.send(()).expect("the upstream waits");
@@ -474,28 +511,28 @@
         (200, "close")
     );
     drop(idle);
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(proxy.exit_code(), Some(0));
 }
 
 #[test]
-fn what_is_taken_last_before_the_end_has_its_whole_deadline() {
-    let upstream = Upstream::start(|_| Does::Hangs);
+fn requests_accepted_after_sigterm_have_their_whole_deadline() {
+    let upstream = Upstream::start(|_| UpstreamBehavior::Hang);
     // Enough slots for all of them to be out until their deadlines.
-    let many = (0..80)
-        .map(|i| member(&format!("s-{i}"), upstream.address, "SERVING"))
+    let many: Vec<_> = (0..80)
+        .map(|i| entry_of(&format!("s-{i}"), upstream.address, "SERVING"))
         .collect();
-    let mut config = config(many);
+    let mut config = config(&many);
     for class in 0..3 {
         config["settings"]["Services"][class]["Deadline"] = json!(1000.0);
     }
-    let mut node = Node::start(&config);
+    let mut proxy = Proxy::start(&config);
     let mut taken = Vec::new();
     // Over all of the half second in which it still accepts. Which of them it has taken tells the upstream, however
     // busy the machine is.
-    node.signal("TERM");
-    while let Ok(mut client) = Client::try_to(node.address) {
+    proxy.signal("TERM");
+    while let Ok(mut client) = Client::try_to(proxy.address) {
         if client
-            .try_send(&alarm(&format!("r{}", taken.len()), 1000, "x"))
+            .try_send(&unsafe_request(&format!("r{}", taken.len()), 1000, "x"))
             .is_err()
         {
             break;
@@ -506,7 +543,7 @@
     let answers: Vec<_> = taken.iter_mut().map(Client::answer).collect();
     let mut reached = 0;
     for seen in upstream.seen.try_iter() {
-        let Seen::Request(_, request) = seen else {
+        let UpstreamEvent::Request(_, request) = seen else {
             continue;
         };
         let id = request
@@ -524,30 +561,30 @@
     assert!(reached > 0, "it still accepts for a moment");
     // What is not taken is not read, and ends without a word.
     assert_eq!(answers.iter().flatten().count(), reached);
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(proxy.exit_code(), Some(0));
 }
 
 #[test]
-fn a_full_descriptor_table_is_survived() {
+fn survives_a_full_descriptor_table() {
     let upstream = Upstream::start(|_| ok("ok"));
     let mut command = Command::new("sh");
-    command.args(["-c", "ulimit -n 40; exec \"$0\"", NODE]);
-    let mut node = Node::start_by(command, &config(members(&[&upstream])));
+    command.args(["-c", "ulimit -n 40; exec \"$0\"", PROXY_BINARY]);
+    let mut proxy = Proxy::start_by(command, &config(&serving_entries(&[&upstream])));
     // More clients than descriptors; the rest waits in the backlog.
     let crowd: Vec<TcpStream> = (0..80)
-        .map(|_| TcpStream::connect(node.address).expect("the backlog holds it"))
+        .map(|_| TcpStream::connect(proxy.address).expect("the backlog holds it"))
         .collect();
     std::thread::sleep(Duration::from_millis(300));
     drop(crowd);
-    assert_eq!(node.client().ask(&read("r1", 5000)).status(), 200);
-    assert!(node.child.try_wait().expect("a child").is_none());
+    assert_eq!(proxy.client().ask(&safe_request("r1", 5000)).status(), 200);
+    assert!(proxy.child.try_wait().expect("a child").is_none());
 }
 
 #[test]
-fn a_bad_configuration_is_told_plainly() {
+fn reports_an_unusable_configuration() {
     let run = |file: &str| {
         let path = write_config(file);
-        let output = Command::new(NODE)
+        let output = Command::new(PROXY_BINARY)
             .env("LB_CONFIG", &path)
             .env("LB_LISTEN", "127.0.0.1:0")
             .env("LB_DISCOVERY", "127.0.0.1:1")
@@ -557,24 +594,30 @@
         assert!(!output.status.success());
         String::from_utf8(output.stderr).expect("UTF-8")
     };
-    let mut bad = config(vec![]);
+    let mut bad = config(&[]);
     bad["settings"]["Tick"] = json!("often");
     assert!(run(&bad.to_string()).contains("settings.Tick"));
     assert!(run("{").contains("EOF"));
-    let mut bad = config(vec![]);
+    let mut bad = config(&[]);
     bad["settings"]["Services"] = json!([]);
     assert!(run(&bad.to_string()).contains("no request class"));
 }
 
 #[test]
-fn a_request_cut_off_before_its_end_reaches_nobody() {
+fn a_truncated_request_reaches_no_upstream() {
     let upstream = Upstream::start(|_| ok("ok"));
-    let node = Node::start(&config(members(&[&upstream])));
-    let text = alarm("r1", 5000, "whole");
-    let mut cut = TcpStream::connect(node.address).expect("it accepts");
+    let proxy = Proxy::start(&config(&serving_entries(&[&upstream])));
+    let text = unsafe_request("r1", 5000, "whole");
+    let mut cut = TcpStream::connect(proxy.address).expect("it accepts");
     cut.write_all(&text.as_bytes()[..text.len() - 2])
         .expect("written");
     drop(cut);
-    assert_eq!(node.client().ask(&alarm("r2", 5000, "x")).status(), 200);
+    assert_eq!(
+        proxy
+            .client()
+            .ask(&unsafe_request("r2", 5000, "x"))
+            .status(),
+        200
+    );
     assert_eq!(upstream.requests_so_far(), 1);
 }
