--- a/crates/load-balancing/src/policy/mod.rs
+++ b/crates/load-balancing/src/policy/mod.rs
@@ -2,19 +2,19 @@
 //!
 //! The ordinary path is the mechanism of Ould Deye et al.:
 //!
-//! - A request joins a first-come, first-served queue ([`queue`]).
+//! - A request joins a first-come, first-served queue (`queue`).
 //! - It is sent once an upstream has fewer than `K_i = 2*TP_i/TS_i + 1` of this balancer's attempts in flight, where
-//!   TP_i is the propagation time to upstream i and TS_i its service time ([`dispatch`], [`estimates`]).
+//!   TP_i is the propagation time to upstream i and TS_i its service time (`dispatch`, `estimates`).
 //! - It is rejected at once when queued and in-flight requests reach the sum of `N_i = T_QoS / (2*TP_i + TS_i)`,
-//!   where T_QoS is the time that a request may take ([`admission`]).
-//! - Every answer updates TP_i and TS_i ([`state::latency_estimate`]).
+//!   where T_QoS is the time that a request may take (`admission`).
+//! - Every answer updates TP_i and TS_i (`state::latency_estimate`).
 //!
 //! The paper has one balancer, equal requests, and upstreams that run one request at a time and never fail. What
-//! goes beyond it has a module each: [`fair_share`] and [`subset`] (many balancers), [`concurrency`] (upstreams that
-//! run several), [`attempts`], [`retries`] and [`hedging`] (failures), [`slow_start`] and [`membership`] (upstreams
-//! come and go), [`tenants`] (quotas).
+//! goes beyond it has a module each: `fair_share` and `subset` (many balancers), `concurrency` (upstreams that
+//! run several), `attempts`, `retries` and `hedging` (failures), `slow_start` and `membership` (upstreams
+//! come and go), `tenants` (quotas).
 //!
-//! State: [`Balancer`] owns all of it, in memory only; the records are in [`state`]. After a restart it begins with
+//! State: [`Balancer`] owns all of it, in memory only; the records are in `state`. After a restart it begins with
 //! a list of upstreams and estimates that hold for none of them, and learns from the first answers. What it promises:
 //! each request that it was told of gets one final action at most ([`Action::Reject`], [`Action::Fail`], or an attempt
 //! whose answer the host passes on); a request that may have run is never rejected where a repeat could do harm, and
