--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use data_plane::control_client::{HEARTBEAT_INTERVAL, IDLE_TIMEOUT, dial};
+use data_plane::control_client::{HEARTBEAT_INTERVAL, IDLE_TIMEOUT, connect};
 use data_plane::upstream_pool::AbortOnDrop;
 use protocol::wire::{
     self, Handshake, PROTOCOL_VERSION, PeerMessage, Session, SessionMessage, WatchRequest,
@@ -51,7 +51,7 @@
     loop {
         // Its own call shows that it is there: no use in waiting for an old one of ours.
         let dialled = tokio::select! {
-            dialled = dial(request.address) => dialled,
+            dialled = connect(request.address) => dialled,
             () = request.connected.notified() => continue,
         };
         let ended = match dialled {
--- a/crates/control-plane/src/http_api.rs
+++ b/crates/control-plane/src/http_api.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use data_plane::headers::{ClientResponse, empty_response};
-use data_plane::listener::{DeliveryReceipts, DeliveryStatus, RequestHandler};
+use data_plane::listener::{DeliveryReceipt, DeliveryStatus, RequestHandler};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderName, HeaderValue, LOCATION};
@@ -87,9 +87,9 @@
 }
 
 impl RequestHandler for OperatorApi {
-    const WANTS_RECEIPTS: bool = true;
+    const WANTS_RECEIPT: bool = true;
 
-    async fn answer(
+    async fn handle_request(
         &self,
         request: Request<Incoming>,
         arrived: Instant,
@@ -130,7 +130,7 @@
         begin: bool,
         arrived: Instant,
     ) -> ClientResponse {
-        let receipts = request.extensions().get::<DeliveryReceipts>().cloned();
+        let receipts = request.extensions().get::<DeliveryReceipt>().cloned();
         let mut acknowledgement = match self
             .server
             .submit_zone_command(zone, begin, COMMAND_TIMEOUT)
@@ -297,8 +297,8 @@
 
 /// Notes what the end of its connection tells of an acknowledgement: a caller that has read it closes at once, and
 /// one that has not stays until it gives up.
-async fn settle(acknowledgement: Acknowledgement, mut receipts: DeliveryReceipts, until: Instant) {
-    match timeout_at(until, receipts.next()).await {
+async fn settle(acknowledgement: Acknowledgement, mut receipts: DeliveryReceipt, until: Instant) {
+    match timeout_at(until, receipts.wait()).await {
         Ok(DeliveryStatus::Delivered) => acknowledgement.confirm().await,
         Ok(DeliveryStatus::Broken) => acknowledgement.mark_connection_broken().await,
         Ok(DeliveryStatus::Unknown) | Err(_) => {}
@@ -306,7 +306,12 @@
 }
 
 impl RequestHandler for DirectoryApi {
-    async fn answer(&self, request: Request<Incoming>, _: Instant, _: bool) -> ClientResponse {
+    async fn handle_request(
+        &self,
+        request: Request<Incoming>,
+        _: Instant,
+        _: bool,
+    ) -> ClientResponse {
         if request.method() != Method::GET || request.uri().path() != "/-/resolve" {
             return empty_response(StatusCode::NOT_FOUND);
         }
--- a/crates/control-plane/src/metrics.rs
+++ b/crates/control-plane/src/metrics.rs
@@ -92,7 +92,7 @@
             .set(known as i64);
     }
     registry.register("upstreams", "Upstreams known, by zone", upstreams);
-    data_plane::metrics::text(&registry)
+    data_plane::metrics::encode_text(&registry)
 }
 
 /// How far each member is behind, and for how long it has been silent.
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -25,7 +25,7 @@
 const HEAD: usize = 16 << 10;
 /// Callers of `ctl` and `dir` may take and stay idle for so long.
 const TIMES: ClientTimeouts = ClientTimeouts {
-    head: Duration::from_secs(3),
+    header: Duration::from_secs(3),
     idle: Duration::from_secs(15),
 };
 /// A leader that ends hands over within round trips; an election in its place takes as long as this at least.
--- a/crates/control-plane/tests/common/balancers.rs
+++ b/crates/control-plane/tests/common/balancers.rs
@@ -48,7 +48,7 @@
 }
 
 impl UpdateHandler for Told {
-    fn ask(&self) -> WatchRequest {
+    fn watch_request(&self) -> WatchRequest {
         let bank = Some(FleetView {
             balancers: self.bank.get(),
             position: 0,
@@ -62,7 +62,7 @@
         }
     }
 
-    fn take(&self, news: &WatchUpdate) -> bool {
+    fn handle_update(&self, news: &WatchUpdate) -> bool {
         if let Some((index, config)) = &news.config {
             assert!(!news.out_of_contact, "told without contact");
             if *index > self.config() {
@@ -70,25 +70,25 @@
                 let target = config.routes.first().map_or(0, |route| route.target_ms);
                 let told = (Instant::now(), *index, format!("\"target_ms\":{target},"));
                 self.versions.borrow_mut().push(told);
-                self.wake();
+                self.wake_sessions();
             }
         }
         false
     }
 
-    fn work(&self) -> WorkCounts {
+    fn take_work_counts(&self) -> WorkCounts {
         WorkCounts::new()
     }
 
-    fn bank(&self, bank: FleetView) {
+    fn handle_fleet_view(&self, bank: FleetView) {
         self.bank.set(bank.balancers);
     }
 
-    fn changes(&self) -> ChangeWatcher {
+    fn watch_changes(&self) -> ChangeWatcher {
         self.changes.watch()
     }
 
-    fn wake(&self) {
+    fn wake_sessions(&self) {
         self.changes.notify();
     }
 }
@@ -109,7 +109,7 @@
 impl Network for Way {
     type Stream = DuplexStream;
 
-    async fn dial(&self, at: SocketAddr) -> io::Result<DuplexStream> {
+    async fn connect(&self, at: SocketAddr) -> io::Result<DuplexStream> {
         let i = callable()
             .find(|i| settings(*i).internal_addr() == at)
             .ok_or(io::ErrorKind::NotFound)?;
--- a/crates/data-plane/src/change_notifier.rs
+++ b/crates/data-plane/src/change_notifier.rs
@@ -1,5 +1,8 @@
-//! A count of changes that tasks of one thread wait on. Tasks wake in the order in which they began to wait, so that a
-//! simulation plays the same each time; `tokio::sync::watch` wakes them in an order of its own drawing.
+//! A count of changes that tasks of one thread wait on.
+//!
+//! Tasks wake in the order in which they began to wait, so that a simulation plays the same each time;
+//! `tokio::sync::watch` wakes them in a random order. A change that comes while a watcher is not waiting is not missed:
+//! its next wait ends at once.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,23 +10,23 @@
 use tokio::sync::Notify;
 
 #[derive(Default)]
-struct Count {
+struct SharedCount {
     changes: Cell<u64>,
-    changed: Notify,
+    notify: Notify,
 }
 
 /// Something that changes.
 #[derive(Default)]
-pub struct ChangeNotifier(Rc<Count>);
+pub struct ChangeNotifier(Rc<SharedCount>);
 
 impl ChangeNotifier {
-    /// It has changed: whoever waits wakes.
+    /// Notes a change, and wakes whoever waits for one.
     pub fn notify(&self) {
         self.0.changes.set(self.0.changes.get() + 1);
-        self.0.changed.notify_waiters();
+        self.0.notify.notify_waiters();
     }
 
-    /// A watcher to whom all that has changed by now is known.
+    /// A watcher that has seen all changes up to now.
     pub fn watch(&self) -> ChangeWatcher {
         ChangeWatcher {
             seen: self.0.changes.get(),
@@ -34,31 +37,30 @@
 
 /// Waits for changes that it has not seen.
 pub struct ChangeWatcher {
-    count: Rc<Count>,
+    count: Rc<SharedCount>,
     seen: u64,
 }
 
 impl ChangeWatcher {
-    /// All that has changed by now is seen.
+    /// Takes all changes up to now as seen.
     pub fn mark_all_seen(&mut self) {
         self.seen = self.count.changes.get();
     }
 
-    /// Waits for a change that was not seen; at once if there was one.
+    /// Waits for a change that was not seen, and takes all changes up to then as seen; ends at once if there was one.
     pub async fn changed(&mut self) {
         loop {
-            // It hears of what changes from here on, polled or not.
-            let changed = self.count.changed.notified();
+            // Made before the count is read: it hears of what changes from here on, polled or not.
+            let notified = self.count.notify.notified();
             let changes = self.count.changes.get();
             if changes != self.seen {
                 self.seen = changes;
                 return;
             }
-            changed.await;
+            notified.await;
         }
     }
 }
 
 #[cfg(test)]
-#[path = "changes_tests.rs"]
 mod tests;
--- a/crates/data-plane/src/changes_tests.rs
+++ b/crates/data-plane/src/change_notifier/tests.rs
@@ -1,3 +1,5 @@
+//! Waking order and missed changes.
+
 use std::cell::RefCell;
 
 use tokio::task::{LocalSet, spawn_local, yield_now};
@@ -5,7 +7,7 @@
 use super::*;
 
 #[tokio::test]
-async fn who_waits_wakes_in_turn_and_misses_nothing() {
+async fn watchers_wake_in_order_and_miss_no_change() {
     let test = async {
         let changes = ChangeNotifier::default();
         let woken: Rc<RefCell<Vec<usize>>> = Rc::default();
--- a/crates/data-plane/src/client_connections/tests.rs
+++ b/crates/data-plane/src/client_connections/tests.rs
@@ -1,105 +1,114 @@
+//! Limits of clients' connections and who makes room for whom, in paused time.
+
+use std::task::Poll;
+use std::time::Duration;
+
 use tokio::time::{advance, timeout};
 
+use super::connection::{EVICT_KEPT_AFTER, EVICT_UNUSED_AFTER};
 use super::*;
 
-const TIMES: ClientTimeouts = ClientTimeouts {
-    head: Duration::from_millis(2000),
+const TIMEOUTS: ClientTimeouts = ClientTimeouts {
+    header: Duration::from_millis(2000),
     idle: Duration::from_secs(4),
 };
 
-async fn gone(seat: &ConnectionSlot) -> bool {
-    timeout(Duration::ZERO, seat.connection.evicted())
+/// Whether it was chosen to make room.
+async fn is_evicted(slot: &ConnectionSlot) -> bool {
+    timeout(Duration::ZERO, slot.connection.wait_for_eviction())
         .await
         .is_ok()
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_one_that_has_idled_longest_gives_way_and_none_with_an_open_request() {
-    let all = Connections::new(3, 3, TIMES);
-    let seats: Vec<ConnectionSlot> = (0..3).map(|_| all.seat(Traffic::default())).collect();
-    assert!(all.full());
-    seats[0].connection.asked();
-    all.evict();
+async fn longest_idle_connection_is_evicted_but_none_with_an_open_request() {
+    let all = ClientConnections::new(3, 3, TIMEOUTS);
+    let slots: Vec<ConnectionSlot> = (0..3).map(|_| all.register(Traffic::default())).collect();
+    assert!(all.is_full());
+    slots[0].connection.on_request();
+    all.evict_idle();
     assert!(
-        !gone(&seats[1]).await && !gone(&seats[2]).await,
+        !is_evicted(&slots[1]).await && !is_evicted(&slots[2]).await,
         "they have had no time to ask"
     );
-    advance(SILENT).await;
-    seats[1].answered();
-    all.evict();
-    assert!(gone(&seats[2]).await && !gone(&seats[1]).await && !gone(&seats[0]).await);
-    drop(seats);
+    advance(EVICT_UNUSED_AFTER).await;
+    slots[1].on_response();
+    all.evict_idle();
+    assert!(
+        is_evicted(&slots[2]).await && !is_evicted(&slots[1]).await && !is_evicted(&slots[0]).await
+    );
+    drop(slots);
     assert_eq!(all.len(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_many_that_are_kept_the_longest_idle_go_and_the_rest_stays() {
-    let all = Connections::new(100, 4, TIMES);
-    let mut seats = Vec::new();
+async fn longest_idle_connections_are_closed_beyond_the_threshold() {
+    let all = ClientConnections::new(100, 4, TIMEOUTS);
+    let mut slots = Vec::new();
     for _ in 0..10 {
-        let seat = all.seat(Traffic::default());
-        seat.connection.asked();
+        let slot = all.register(Traffic::default());
+        slot.connection.on_request();
         advance(Duration::from_millis(1)).await;
-        seat.answered();
-        seats.push(seat);
+        slot.on_response();
+        slots.push(slot);
     }
-    for (i, seat) in seats.iter().enumerate() {
-        assert_eq!(gone(seat).await, i < 6, "connection {i}");
+    for (i, slot) in slots.iter().enumerate() {
+        assert_eq!(is_evicted(slot).await, i < 6, "connection {i}");
     }
 }
 
 /// Whether it has to go.
-async fn outstayed(seat: &ConnectionSlot) -> bool {
-    timeout(Duration::ZERO, seat.connection.outstays())
+async fn has_ended(slot: &ConnectionSlot) -> bool {
+    timeout(Duration::ZERO, slot.connection.wait_for_end())
         .await
         .is_ok()
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_is_read_slowly_is_written_to_its_end_and_its_connection_idles_from_then() {
-    let all = Connections::new(1, 1, TIMES);
+async fn slowly_read_answer_is_written_to_its_end_before_the_idle_timeout_starts() {
+    let all = ClientConnections::new(1, 1, TIMEOUTS);
     let traffic = Traffic::default();
-    let seat = all.seat(traffic.clone());
-    seat.answered();
+    let slot = all.register(traffic.clone());
+    slot.on_response();
     let second = Duration::from_secs(1);
     for _ in 0..3 {
-        traffic.add_written(&Poll::Ready(Ok(1000)));
-        traffic.add_written(&Poll::Pending);
-        assert!(!seat.connection.is_silent());
+        traffic.record_write(&Poll::Ready(Ok(1000)));
+        traffic.record_write(&Poll::Pending);
+        assert!(!slot.connection.is_idle());
         // The next request has begun meanwhile.
-        traffic.add_read(10);
-        assert!(!outstayed(&seat).await);
+        traffic.record_read(10);
+        assert!(!has_ended(&slot).await);
         advance(3 * second).await;
-        all.evict();
-        assert!(!outstayed(&seat).await && !seat.connection.is_silent());
+        all.evict_idle();
+        assert!(!has_ended(&slot).await && !slot.connection.is_idle());
     }
-    traffic.add_written(&Poll::Ready(Ok(1000)));
+    traffic.record_write(&Poll::Ready(Ok(1000)));
     assert!(
-        !outstayed(&seat).await,
+        !has_ended(&slot).await,
         "its next head has a time of its own"
     );
     advance(2 * second).await;
-    assert!(outstayed(&seat).await, "but no more than that");
+    assert!(has_ended(&slot).await, "but no more than that");
 
-    seat.answered();
+    slot.on_response();
     advance(3 * second).await;
-    traffic.add_written(&Poll::Ready(Ok(1000)));
-    assert!(!outstayed(&seat).await);
+    traffic.record_write(&Poll::Ready(Ok(1000)));
+    assert!(!has_ended(&slot).await);
     advance(3 * second).await;
-    assert!(!outstayed(&seat).await, "it has idled since its last byte");
+    assert!(!has_ended(&slot).await, "it has idled since its last byte");
     advance(second).await;
-    assert!(outstayed(&seat).await);
+    assert!(has_ended(&slot).await);
 
     // A reader that takes nothing for as long as it may idle, and one that takes next to nothing.
     for (pace, ends_after) in [(4, 1), (3, 6)] {
-        seat.answered();
+        slot.on_response();
         for turn in 1..=ends_after {
-            traffic.add_written(&Poll::Ready(Ok(1)));
-            traffic.add_written(&Poll::Pending);
-            assert!(!outstayed(&seat).await, "{pace} s");
+            traffic.record_write(&Poll::Ready(Ok(1)));
+            traffic.record_write(&Poll::Pending);
+            assert!(!has_ended(&slot).await, "{pace} s");
             advance(pace * second).await;
             assert_eq!(
-                outstayed(&seat).await,
+                has_ended(&slot).await,
                 turn == ends_after,
                 "{pace} s, turn {turn}"
             );
@@ -108,14 +117,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_crosses_with_the_word_to_go_is_served() {
-    let all = Connections::new(1, 1, TIMES);
-    let seat = all.seat(Traffic::default());
-    seat.answered();
-    advance(KEPT).await;
-    all.evict();
-    seat.connection.asked();
-    assert!(!gone(&seat).await);
-    seat.answered();
-    assert!(!gone(&seat).await);
+async fn request_that_crosses_with_an_eviction_is_served() {
+    let all = ClientConnections::new(1, 1, TIMEOUTS);
+    let slot = all.register(Traffic::default());
+    slot.on_response();
+    advance(EVICT_KEPT_AFTER).await;
+    all.evict_idle();
+    slot.connection.on_request();
+    assert!(!is_evicted(&slot).await);
+    slot.on_response();
+    assert!(!is_evicted(&slot).await);
 }
--- a/crates/data-plane/src/control_client.rs
+++ b/crates/data-plane/src/control_client.rs
@@ -1,409 +1,248 @@
-//! Sessions with the control plane: asks with the versions it has, takes what is new, and thereby shows that
-//! it is there. It keeps two sessions, with the nearest control balancers that answer, so that a silent one is
-//! not silence.
+//! Client of the control plane: keeps sessions with control nodes, hands what they send to an [`UpdateHandler`], and
+//! thereby shows that this balancer is up.
 //!
-//! A control balancer that is out of contact with a majority says so. A session that hears that moves to another
-//! control balancer at once, if one may be of more use; never both sessions at a time, because the directory names
-//! those whose session stands somewhere.
+//! It keeps two sessions, each with the nearest control node that answers, so that the silence of one node is not
+//! the silence of the control plane. One session is the *primary*: it also reports the work on keys. Which one that
+//! is stands in each watch request (`is_secondary`).
 //!
-//! Seeds may name control balancers without a disk, which hold nothing that is agreed on. They tell who serves
-//! control, and a session with one keeps the balancer in the directory while nobody else answers; but the other
-//! session goes on looking for a member of the core.
+//! - [`transport`]: how a control node is reached, and the time limits of a connection.
+//! - [`control_nodes`]: which control nodes are known, and which one is called next.
+//! - [`session_table`]: the sessions that are open, the state of each, and which one is the primary.
+//! - [`session`]: one session, from the handshake to its end.
 //!
-//! **Neighbours down.** Without any control balancer, or with none in contact, all stays as it was last told; who
-//! was told nothing yet is not ready.
+//! **Time-outs.** A connection has to come up within [`CONNECT_TIMEOUT`]. Each side sends at least every
+//! [`HEARTBEAT_INTERVAL`]; a session on which nothing arrives, or can be sent, for [`IDLE_TIMEOUT`] ends. After that
+//! its control node comes behind all others for [`RECONNECT_BACKOFF`], or for
+//! [`RECONNECT_BACKOFF_OUT_OF_CONTACT`] if it had no quorum; the next connection is tried after
+//! [`RECONNECT_INTERVAL`].
+//!
+//! **Fallback sessions.** Seeds may name control nodes without a disk, which are no members of the replicated log and
+//! hold nothing that is agreed on. They tell who the members are, and a session with one of them keeps this balancer
+//! in the directory while nobody else answers. Once members are known, at most one session may be such a fallback;
+//! the other goes on looking for a member, and the fallback is left as soon as a member is free.
+//!
+//! **Promises.** At most one session at a time leaves its control node by choice, and only while another one stands:
+//! the directory names a balancer only while a session of it stands somewhere.
+//!
+//! **May lose.** Work on keys that was counted but not delivered when a session broke. Everything else is requested
+//! again by version.
+//!
+//! **Neighbours down.** A control node that is out of contact with a majority says so, and the session moves to
+//! another node at once if one may be of more use. Without any control node, or with none in contact, the handler
+//! keeps what it was told last; a balancer that was told nothing yet is not ready.
 
-use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet};
-use std::convert::Infallible;
-use std::future::Future;
+mod control_nodes;
+mod session;
+mod session_table;
+mod transport;
+
+use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::change_notifier::ChangeWatcher;
 use protocol::key_ranges::WorkCounts;
-use protocol::wire::{
-    self, Balancer, ControlNode, FleetView, Handshake, PROTOCOL_VERSION, SessionMessage,
-    WatchRequest, WatchUpdate,
-};
-use socket2::SockRef;
-use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, BufReader, BufWriter, WriteHalf};
-use tokio::net::TcpStream;
-use tokio::time::{Instant, sleep, sleep_until, timeout};
+use protocol::wire::{Balancer, ControlNode, FleetView, WatchRequest, WatchUpdate};
+use tokio::time::{Instant, sleep};
+
+use crate::change_notifier::ChangeWatcher;
+use control_nodes::ControlNodes;
+use session::Session;
+use session_table::{SessionState, SessionTable};
+pub use transport::{Network, TcpNetwork, configure_socket, connect};
 
-/// A word at least this often, in both directions.
+/// Each side of a session sends a message at least this often. A test of liveness within [`IDLE_TIMEOUT`] has to
+/// survive one message that comes late.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
-/// Without a word for so long, the other side is not there.
+/// A session on which no message has arrived for this long, or on which a write has not ended by then, is over.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A connection that does not come up within this, longer than a round trip takes anywhere, is tried anew: a
-/// machine that was without power a moment ago has dropped the opening packet.
+/// A connection that has not come up within this time is tried anew. It is longer than a round trip takes anywhere,
+/// and short because a machine that was without power a moment ago has dropped the opening packet.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Sessions at the same time.
+/// Sessions that are kept at the same time.
 const SESSIONS: usize = 2;
-/// A control balancer that failed is called again before others only after this.
-const REST: Duration = Duration::from_secs(5);
-/// One that was out of contact is called again before others only after this: it may be cut off for long.
-const REST_OUT_OF_CONTACT: Duration = Duration::from_secs(10);
-/// Between two calls.
-const AGAIN: Duration = Duration::from_millis(200);
-
-/// What changed here is said to the control balancers at most this often, unless they wait for it.
-const GATHER: Duration = Duration::from_millis(400);
-
-/// Sets a connection up. Silence ends it by the time limits on every read and write; what was written and nobody
-/// acknowledges ends it too.
-pub fn configure_socket(stream: &TcpStream) {
-    // Without them words are only later; a connection that is broken says so when it is read.
-    let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(IDLE_TIMEOUT));
-}
-
-/// A connection to another process of the system.
-pub async fn dial(at: SocketAddr) -> io::Result<TcpStream> {
-    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(at)).await??;
-    configure_socket(&stream);
-    Ok(stream)
-}
-
-/// How control balancers are reached.
-pub trait Network: 'static {
-    /// A connection.
-    type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
-
-    /// Connects to a control balancer.
-    fn dial(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
-}
-
-/// The machine's own network.
-pub struct TcpNetwork;
-
-impl Network for TcpNetwork {
-    type Stream = TcpStream;
-
-    async fn dial(&self, at: SocketAddr) -> io::Result<TcpStream> {
-        dial(at).await
-    }
-}
-
-/// Whoever wants the news.
+/// A control node whose session failed comes behind all others for this long.
+const RECONNECT_BACKOFF: Duration = Duration::from_secs(5);
+/// The same for one that was out of contact with a majority: it may be cut off for long.
+const RECONNECT_BACKOFF_OUT_OF_CONTACT: Duration = Duration::from_secs(10);
+/// Pause between the end of a session and the next connection, and between looks for a control node while none is free.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(200);
+/// Changes here that no control node waits for are sent together, at most this long after the first.
+const CHANGE_COALESCING: Duration = Duration::from_millis(400);
+
+/// Takes what the control plane sends, and says what is held already.
 pub trait UpdateHandler: 'static {
-    /// The versions it has by now; the bank and the control balancers are the session's own.
-    fn ask(&self) -> WatchRequest;
-    /// Takes news in; what is not newer changes nothing. Whether something has to be told anew.
-    fn take(&self, news: &WatchUpdate) -> bool;
-    /// The work on keys that upstreams divide, since this was asked last.
-    fn work(&self) -> WorkCounts;
-    /// The bank as the sessions tell it.
-    fn bank(&self, bank: FleetView);
-    /// Wakes when there is something else to ask.
-    fn changes(&self) -> ChangeWatcher;
-    /// Wakes the sessions.
-    fn wake(&self);
+    /// The versions that are held by now. The session fills in the fleet view, the digest of the control nodes and
+    /// its role.
+    fn watch_request(&self) -> WatchRequest;
+    /// Takes an update in; what is not newer than what is held changes nothing. Returns whether something has to be
+    /// sent whole, because an update built on a version that is not held.
+    fn handle_update(&self, update: &WatchUpdate) -> bool;
+    /// The work on keys that upstreams divide, counted since the last call.
+    fn take_work_counts(&self) -> WorkCounts;
+    /// Takes the fleet's size and this balancer's position in it, as the sessions tell it.
+    fn handle_fleet_view(&self, fleet: FleetView);
+    /// A watcher that wakes when [`Self::watch_request`] gives something else.
+    fn watch_changes(&self) -> ChangeWatcher;
+    /// Wakes all watchers: another session has become the primary.
+    fn wake_sessions(&self);
 }
 
-/// What is known of a control balancer.
-#[derive(Default)]
-struct Known {
-    at: Option<ControlNode>,
-    /// It failed, or was out of contact: until then others come first.
-    rests_until: Option<Instant>,
-    in_use: bool,
-}
-
-impl Known {
-    /// Until when others come first, if they do.
-    fn rest(&self) -> Option<Instant> {
-        self.rests_until.filter(|until| Instant::now() < *until)
-    }
-
-    /// Whether it is known to take part in the log: those that are told of do.
-    fn is_member(&self) -> bool {
-        self.at.is_some()
-    }
-}
-
-/// How a control balancer compares with others: the least is called first. Of those that rest it is the one whose
-/// rest ends first, so that they are called in turn.
-type Distance = (Option<Instant>, u8, u64);
-
 /// Why a session ended.
 #[derive(Debug, thiserror::Error)]
-enum Ended {
-    #[error("a nearer control balancer is there")]
-    Nearer,
-    #[error("it is out of contact with a majority")]
+enum SessionEnd {
+    /// Left by choice.
+    #[error("a nearer control node is available")]
+    NearerAvailable,
+    /// Left by choice: another node may be in contact with a majority.
+    #[error("the control node is out of contact with a majority")]
     OutOfContact,
+    /// The connection could not be made, broke, or was silent for [`IDLE_TIMEOUT`].
     #[error(transparent)]
     Failed(#[from] io::Error),
 }
 
-impl Ended {
-    /// How long the control balancer comes after others.
-    fn rest(&self) -> Option<Duration> {
+impl SessionEnd {
+    /// How long the control node comes behind all others.
+    fn backoff(&self) -> Option<Duration> {
         match self {
-            Self::Nearer => None,
-            Self::OutOfContact => Some(REST_OUT_OF_CONTACT),
-            Self::Failed(_) => Some(REST),
+            Self::NearerAvailable => None,
+            Self::OutOfContact => Some(RECONNECT_BACKOFF_OUT_OF_CONTACT),
+            Self::Failed(_) => Some(RECONNECT_BACKOFF),
         }
     }
 }
 
-/// The sessions of one data-plane balancer.
+/// The sessions of one data-plane balancer with the control plane.
 pub struct ControlClient<F, N = TcpNetwork> {
-    me: Balancer,
-    follower: Rc<F>,
+    /// This balancer, as it introduces itself.
+    balancer: Balancer,
+    handler: Rc<F>,
     network: N,
-    known: RefCell<BTreeMap<SocketAddr, Known>>,
-    /// The session that brings the news.
-    first: Cell<Option<SocketAddr>>,
-    /// Those with whom a session stands, and is to stand on.
-    standing: RefCell<BTreeSet<SocketAddr>>,
-    banks: RefCell<BTreeMap<SocketAddr, FleetView>>,
+    control_nodes: RefCell<ControlNodes>,
+    sessions: RefCell<SessionTable>,
 }
 
 impl<F: UpdateHandler> ControlClient<F> {
-    pub fn new(me: Balancer, follower: Rc<F>) -> Rc<Self> {
-        Self::with_network(TcpNetwork, me, follower)
+    /// A client over the machine's own network. It does nothing before [`Self::run`].
+    pub fn new(balancer: Balancer, handler: Rc<F>) -> Rc<Self> {
+        Self::with_network(TcpNetwork, balancer, handler)
     }
 }
 
 impl<F: UpdateHandler, N: Network> ControlClient<F, N> {
-    /// Keeps its sessions over this network.
-    pub fn with_network(network: N, me: Balancer, follower: Rc<F>) -> Rc<Self> {
+    /// A client over this network. It does nothing before [`Self::run`].
+    pub fn with_network(network: N, balancer: Balancer, handler: Rc<F>) -> Rc<Self> {
         Rc::new(Self {
-            me,
-            follower,
+            balancer,
+            handler,
             network,
-            known: RefCell::default(),
-            first: Cell::default(),
-            standing: RefCell::default(),
-            banks: RefCell::default(),
+            control_nodes: RefCell::default(),
+            sessions: RefCell::default(),
         })
     }
 
-    /// Other addresses to try.
+    /// Adds addresses at which control nodes may be found.
     pub fn add_seeds(&self, seeds: impl Iterator<Item = SocketAddr>) {
-        let mut known = self.known.borrow_mut();
-        for seed in seeds {
-            known.entry(seed).or_default();
-        }
+        self.control_nodes.borrow_mut().add_seeds(seeds);
     }
 
-    /// Keeps the sessions, for good.
+    /// Keeps the sessions; never returns.
     pub async fn run(self: Rc<Self>) {
         for _ in 1..SESSIONS {
-            tokio::task::spawn_local(self.clone().keep());
+            tokio::task::spawn_local(self.clone().keep_session());
         }
-        self.keep().await;
+        self.keep_session().await;
     }
 
-    async fn keep(self: Rc<Self>) {
+    /// Keeps one session up, with one control node after another.
+    async fn keep_session(self: Rc<Self>) {
         loop {
-            let Some(at) = self.nearest() else {
-                sleep(AGAIN).await;
+            let next = self.control_nodes.borrow().nearest_free(&self.balancer);
+            let Some(peer) = next else {
+                sleep(RECONNECT_INTERVAL).await;
                 continue;
             };
-            self.mark(at, |k| k.in_use = true);
-            let ended = self.session(at).await;
-            self.standing.borrow_mut().remove(&at);
-            self.banks.borrow_mut().remove(&at);
-            self.no_longer_first(at);
-            let Err(cause) = ended;
-            tracing::debug!(%at, %cause, "session over");
-            let rests_until = cause.rest().map(|rest| Instant::now() + rest);
-            self.mark(at, |k| (k.in_use, k.rests_until) = (false, rests_until));
-            // There was another one to go to, and this one rests: nothing is asked in a circle.
-            if !matches!(cause, Ended::OutOfContact) {
-                sleep(AGAIN).await;
+            self.control_nodes.borrow_mut().occupy(peer);
+            self.sessions.borrow_mut().open(peer);
+            let Err(end) = Session::run(&self, peer).await;
+            let state = self.sessions.borrow_mut().close(peer);
+            self.step_down(peer);
+            log_end(peer, state, &end);
+            let backoff_until = end.backoff().map(|backoff| Instant::now() + backoff);
+            self.control_nodes.borrow_mut().release(peer, backoff_until);
+            // Out of contact, there was another node to go to, and the one just left comes last for a while: going on
+            // at once does not go round in circles.
+            if !matches!(end, SessionEnd::OutOfContact) {
+                sleep(RECONNECT_INTERVAL).await;
             }
         }
     }
 
-    fn mark(&self, at: SocketAddr, set: impl FnOnce(&mut Known)) {
-        if let Some(known) = self.known.borrow_mut().get_mut(&at) {
-            set(known);
+    /// The session that gets updates first becomes the primary if there is none.
+    fn claim_primary(&self, peer: SocketAddr) {
+        if self.sessions.borrow_mut().claim_primary(peer) {
+            self.handler.wake_sessions();
         }
     }
 
-    /// How far a control balancer is, and in one order for each balancer, so that they spread.
-    fn distance(&self, at: SocketAddr, known: &Known) -> Distance {
-        let far = match &known.at {
-            Some(c) if c.zone == self.me.zone => 0,
-            Some(c) if c.region == self.me.region => 1,
-            _ => 2,
-        };
-        let spread = load_balancing::settings::stable_hash(&format!("{at}{}", self.me.node));
-        (known.rest(), far, spread)
-    }
-
-    /// Whether another session is with a control balancer that is no member, while members are known. Failure: after
-    /// a loss of power both were, while the members rested, and a change was missed as they stood still.
-    fn has_stopgap(&self, at: Option<SocketAddr>) -> bool {
-        let known = self.known.borrow();
-        let stopgap =
-            |(other, k): (&SocketAddr, &Known)| Some(*other) != at && k.in_use && !k.is_member();
-        known.values().any(Known::is_member) && known.iter().any(stopgap)
-    }
-
-    fn nearest(&self) -> Option<SocketAddr> {
-        let members_only = self.has_stopgap(None);
-        let known = self.known.borrow();
-        let free = known
-            .iter()
-            .filter(|(_, k)| !k.in_use && (k.is_member() || !members_only));
-        free.min_by_key(|(at, k)| self.distance(**at, k))
-            .map(|(at, _)| *at)
-    }
-
-    /// Whether another one that is not in use is nearer than this, or this is the second that is no member.
-    fn is_far(&self, at: SocketAddr) -> bool {
-        let is_second_stopgap = self.has_stopgap(Some(at));
-        let known = self.known.borrow();
-        let Some(own) = known.get(&at) else {
-            return false;
-        };
-        if is_second_stopgap && !own.is_member() {
-            return true;
+    /// If this session was the primary there is none now; another one claims that with its next update.
+    fn step_down(&self, peer: SocketAddr) {
+        if self.sessions.borrow_mut().release_primary(peer) {
+            self.handler.wake_sessions();
         }
-        let own = self.distance(at, own);
-        let free = known.iter().filter(|(_, k)| !k.in_use && k.is_member());
-        let best = free.map(|(at, k)| self.distance(*at, k)).min();
-        best.is_some_and(|best| (best.0.is_some(), best.1) < (own.0.is_some(), own.1))
     }
 
-    /// Another session brings the news from now on; it hears of that by what is said next.
-    fn no_longer_first(&self, at: SocketAddr) {
-        if self.first.get() == Some(at) {
-            self.first.set(None);
-            self.follower.wake();
+    /// Notes the fleet as this session sees it, and passes the largest on: a node that knows more balancers sees more
+    /// of the fleet.
+    fn handle_fleet_view(&self, peer: SocketAddr, fleet: FleetView) {
+        let largest = self.sessions.borrow_mut().set_fleet(peer, fleet);
+        if let Some(largest) = largest {
+            self.handler.handle_fleet_view(largest);
         }
     }
 
-    /// Whether this session may end by itself: the directory names a balancer while a session of it stands
-    /// somewhere. One that was told nothing yet is not ready, and is not named.
-    fn may_leave(&self, at: SocketAddr) -> bool {
-        let stands = self.standing.borrow().iter().any(|other| *other != at);
-        stands || self.follower.ask().config_index == 0
-    }
-
-    /// Whether another control balancer may be of more use than this one, which is out of contact.
-    fn has_other(&self, at: SocketAddr) -> bool {
-        let known = self.known.borrow();
-        let free = |k: &Known| !k.in_use && k.rest().is_none();
-        let any_member = known.values().any(Known::is_member);
-        known
-            .iter()
-            .any(|(other, k)| *other != at && free(k) && (k.is_member() || !any_member))
+    /// Takes in who the control nodes are.
+    fn handle_control_nodes(&self, nodes: &[ControlNode]) {
+        self.control_nodes.borrow_mut().learn(nodes);
     }
 
-    /// Says what is other than said last. Once news has come on it, a session is the first if there is none.
-    async fn say(
-        &self,
-        writer: &mut BufWriter<WriteHalf<N::Stream>>,
-        said: &mut Option<WatchRequest>,
-        ask: WatchRequest,
-    ) -> io::Result<()> {
-        let word = if said.as_ref() == Some(&ask) {
-            SessionMessage::KeepAlive
-        } else {
-            SessionMessage::Watch(ask.clone())
+    /// Why this session should leave its control node by choice, if it should and may.
+    fn reason_to_leave(&self, peer: SocketAddr, out_of_contact: bool) -> Option<SessionEnd> {
+        let end = {
+            let nodes = self.control_nodes.borrow();
+            if out_of_contact && nodes.has_alternative(peer) {
+                SessionEnd::OutOfContact
+            } else if nodes.has_nearer(peer, &self.balancer) {
+                SessionEnd::NearerAvailable
+            } else {
+                return None;
+            }
         };
-        *said = Some(ask);
-        wire::send_message(writer, &word).await?;
-        timeout(IDLE_TIMEOUT, writer.flush()).await?
+        self.may_leave(peer).then_some(end)
     }
 
-    fn ask(&self, at: SocketAddr, bank: Option<FleetView>, controls: u32) -> WatchRequest {
-        let second = self.first.get().is_some_and(|first| first != at);
-        WatchRequest {
-            fleet: bank,
-            control_nodes_digest: controls,
-            is_secondary: second,
-            ..self.follower.ask()
-        }
+    /// Whether this session may end by choice: the directory names a balancer while a session of it stands
+    /// somewhere. One that was told nothing yet is not ready, and is not named.
+    fn may_leave(&self, peer: SocketAddr) -> bool {
+        let stands = self.sessions.borrow().has_other_established(peer);
+        stands || self.handler.watch_request().config_index == 0
     }
+}
 
-    async fn session(&self, at: SocketAddr) -> Result<Infallible, Ended> {
-        let (reader, writer) = tokio::io::split(self.network.dial(at).await?);
-        let (mut reader, mut writer) = (BufReader::new(reader), BufWriter::new(writer));
-        let hello = Handshake::DataPlane {
-            protocol: PROTOCOL_VERSION,
-            balancer: self.me.clone(),
-        };
-        wire::send_message(&mut writer, &hello).await?;
-        let mut changes = self.follower.changes();
-        let (mut bank, mut controls, mut said) = (None, 0, None);
-        self.say(&mut writer, &mut said, self.ask(at, bank, controls))
-            .await?;
-        let mut next = Instant::now() + HEARTBEAT_INTERVAL;
-        loop {
-            let news: WatchUpdate = {
-                // A frame half read must not be dropped.
-                let news = timeout(IDLE_TIMEOUT, wire::receive_message(&mut reader));
-                tokio::pin!(news);
-                loop {
-                    tokio::select! {
-                        // In this order, so that a simulation plays the same each time, and what is due is said
-                        // however much comes.
-                        biased;
-                        () = sleep_until(next) => {
-                            let ask = self.ask(at, bank, controls);
-                            let first = !ask.is_secondary;
-                            self.say(&mut writer, &mut said, ask).await?;
-                            next = Instant::now() + HEARTBEAT_INTERVAL;
-                            let work = if first { self.follower.work() } else { WorkCounts::new() };
-                            if !work.is_empty() {
-                                wire::send_message(&mut writer, &SessionMessage::Work(work)).await?;
-                                let flushed = timeout(IDLE_TIMEOUT, writer.flush()).await;
-                                flushed.map_err(io::Error::from)??;
-                            }
-                        }
-                        news = &mut news => break news.map_err(io::Error::from)??,
-                        () = changes.changed() => {
-                            let ask = self.ask(at, bank, controls);
-                            let waited_for = said.as_ref().is_none_or(|s| s.is_urgent_change(&ask));
-                            let soon = if waited_for { Duration::ZERO } else { GATHER };
-                            next = next.min(Instant::now() + soon);
-                        }
-                    }
-                }
-            };
-            self.standing.borrow_mut().insert(at);
-            if news.out_of_contact {
-                self.no_longer_first(at);
-            } else if self.first.get().is_none() {
-                self.first.set(Some(at));
-                self.follower.wake();
-            }
-            if let Some(told) = news.fleet {
-                bank = Some(told);
-                self.banks.borrow_mut().insert(at, told);
-                let banks = self.banks.borrow();
-                // Who sees the larger bank sees more of it.
-                if let Some(most) = banks.values().max_by_key(|b| b.balancers) {
-                    self.follower.bank(*most);
-                }
-            }
-            if let Some(told) = &news.control_nodes {
-                controls = wire::digest(told);
-                let mut known = self.known.borrow_mut();
-                for control in told {
-                    known.entry(control.internal_addr).or_default().at = Some(control.clone());
-                }
-            }
-            if self.follower.take(&news) {
-                (said, next) = (None, Instant::now());
-            }
-            let ends = if news.out_of_contact && self.has_other(at) {
-                Some(Ended::OutOfContact)
-            } else {
-                self.is_far(at).then_some(Ended::Nearer)
-            };
-            if let Some(cause) = ends.filter(|_| self.may_leave(at)) {
-                return Err(cause);
-            }
+/// A session that stood and broke is worth a warning; one that never came up is retried every
+/// [`RECONNECT_INTERVAL`], and would fill the log.
+fn log_end(peer: SocketAddr, state: Option<SessionState>, end: &SessionEnd) {
+    match (end, state) {
+        (SessionEnd::Failed(error), Some(SessionState::Established { .. })) => {
+            tracing::warn!(%peer, %error, "session with a control node failed");
+        }
+        (SessionEnd::Failed(error), _) => {
+            tracing::debug!(%peer, %error, "no session with a control node could be established");
+        }
+        (SessionEnd::NearerAvailable | SessionEnd::OutOfContact, _) => {
+            tracing::info!(%peer, reason = %end, "leaving a control node for another one");
         }
     }
 }
--- a/crates/data-plane/src/framing.rs
+++ b/crates/data-plane/src/framing.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, Response, StatusCode, Version};
 
 use crate::headers::MAX_HEADER_LINES;
-use crate::tunnel::status_lines;
+use crate::response_desync::find_status_lines;
 
 /// The head of an answer may have so many bytes, and so may each line of a chunked body's framing.
 pub const HEAD_LIMIT: usize = 16 << 10;
@@ -51,7 +51,7 @@
         return Err(Malformed);
     }
     // Behind its own status line, another one shows that two heads run into each other.
-    if status_lines(&bytes[1..length]).next().is_some() {
+    if find_status_lines(&bytes[1..length]).next().is_some() {
         return Err(Malformed);
     }
     let code = answer
--- a/crates/data-plane/src/listener.rs
+++ b/crates/data-plane/src/listener.rs
@@ -1,94 +1,78 @@
-//! The side that faces clients: an HTTP server that reads requests, hands them to its gate, and answers each
-//! once. It bounds how many connections there are and how long they may take, and ends in order.
+//! The side that faces clients: accepts connections, reads requests, hands each to a [`RequestHandler`], and writes
+//! its one answer.
+//!
+//! - [`connection`]: one connection, from its first request to its last byte.
+//! - [`delivery`]: whether the last answer on a connection was read.
+//!
+//! Owns the registry of open connections ([`ClientConnections`]) and the limits that they are held to.
+//!
+//! **Promises.** Every request that was read whole gets one answer, or its connection ends without looking complete.
+//! The number of connections and the time that each may take are bounded. A stop ends in order: connections are
+//! accepted for [`ListenerLimits::accept_grace`], what is open may take [`ListenerLimits::drain_timeout`], and from the
+//! stop on each answer asks its client to connect anew elsewhere.
+//!
+//! **May lose.** What is still open after that time; a request that comes on a kept connection in the moment in which it
+//! is closed.
+
+mod connection;
+mod delivery;
 
 use std::cell::Cell;
-use std::convert::Infallible;
-use std::future::{Future, poll_fn};
-use std::pin::Pin;
+use std::future::Future;
 use std::rc::Rc;
-use std::task::Poll;
 use std::time::Duration;
 
 use hyper::Request;
 use hyper::body::Incoming;
-use hyper::header::{CONNECTION, HeaderValue};
-use hyper::server::conn::http1;
-use hyper::service::service_fn;
-use hyper_util::rt::TokioIo;
-use tokio::io::{AsyncRead, ReadBuf};
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use tokio::time::{Instant, sleep, sleep_until, timeout};
+use tokio::time::{Instant, sleep, timeout};
 
-use crate::client_connections::{ClientTimeouts, Connection, ConnectionSlot, Connections};
-use crate::headers::{ClientResponse, MAX_HEADER_LINES};
-use crate::stream::{Shared, Tapped};
+use crate::client_connections::{ClientConnections, ClientTimeouts};
+use crate::client_stream::MeteredStream;
+use crate::headers::ClientResponse;
+pub use delivery::{DeliveryReceipt, DeliveryStatus};
 
 /// After the last deadline, time for the answers to be written.
-const FINISH: Duration = Duration::from_millis(100);
+const WRITE_GRACE: Duration = Duration::from_millis(100);
 /// Wait after a failed accept, so that a full descriptor table does not become a busy loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// When a front closes, a connection that has nothing open still waits so long for a request that is on its way:
-/// as long as a link may hold packets.
+/// Wait for a place while all are taken. Left in the backlog, a client waits a moment; accepted without a descriptor
+/// left it would be dropped.
+const FULL_BACKOFF: Duration = Duration::from_millis(1);
+/// How often a stop looks whether all connections have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// When a listener closes, a connection without an open request still waits this long for one that is on its way: as
+/// long as a network path may hold packets.
 pub const FINAL_REQUEST_WAIT: Duration = Duration::from_millis(500);
-/// What a client still sends behind its last answer is read for so long, and up to so much.
-const LINGER_TIME: Duration = Duration::from_millis(500);
-const LINGER_BYTES: usize = 4 << 20;
-/// The smallest buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8 << 10;
 
-/// What a front is told to hold to.
+/// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerLimits {
-    /// The most connections.
+    /// Connections that may be open at the same time.
     pub max_connections: usize,
-    /// So many in use leave room for more; beyond, idle ones are closed.
+    /// While more connections than this are in use, idle ones are closed.
     pub idle_eviction_threshold: usize,
-    /// A head may have so many bytes.
+    /// Bytes of a request's head.
     pub max_header_bytes: usize,
-    /// How long clients may take.
+    /// How long clients may take and stay idle.
     pub timeouts: ClientTimeouts,
-    /// How long connections are still accepted after the word to stop: clients need a moment to hear of it.
+    /// How long connections are accepted after the stop: clients need a moment to hear of it.
     pub accept_grace: Duration,
-    /// How long what is open after that may take.
+    /// How long what is open may take after that.
     pub drain_timeout: Duration,
-    /// How much of that a connection with nothing open waits for a request: [`FINAL_REQUEST_WAIT`] in service.
+    /// How much of that a connection without an open request waits for one: [`FINAL_REQUEST_WAIT`] in service.
     pub final_request_wait: Duration,
 }
 
-/// What the end of a connection tells of the last answer on it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DeliveryStatus {
-    /// The client closed in order: it has read it.
-    Delivered,
-    /// The connection broke.
-    Broken,
-    /// It ended without a sign.
-    Unknown,
-}
-
-/// Tells of the receipt of an answer: among the extensions of a request, where the gate wants them.
-#[derive(Clone)]
-pub struct DeliveryReceipts(watch::Receiver<Option<DeliveryStatus>>);
-
-impl DeliveryReceipts {
-    /// Waits for the end of the connection.
-    pub async fn next(&mut self) -> DeliveryStatus {
-        let receipt = self.0.wait_for(Option::is_some).await;
-        receipt
-            .ok()
-            .and_then(|receipt| *receipt)
-            .unwrap_or(DeliveryStatus::Unknown)
-    }
-}
-
-/// What answers the requests of a front.
+/// Answers the requests of a listener.
 pub trait RequestHandler: 'static {
-    /// Whether its requests carry [`DeliveryReceipts`].
-    const WANTS_RECEIPTS: bool = false;
+    /// Whether its requests carry a [`DeliveryReceipt`] among their extensions.
+    const WANTS_RECEIPT: bool = false;
 
-    /// The one answer to a request that arrived then.
-    fn answer(
+    /// Gives the one answer to a request that arrived at that time; `stopping` says that the listener is about to
+    /// close. Dropped when the client leaves.
+    fn handle_request(
         &self,
         request: Request<Incoming>,
         arrived: Instant,
@@ -96,39 +80,42 @@
     ) -> impl Future<Output = ClientResponse>;
 }
 
-/// A server with its gate.
-pub struct Listener<G> {
-    gate: Rc<G>,
-    connections: Rc<Connections>,
-    bounds: Cell<ListenerLimits>,
+/// A server of HTTP/1 and its handler.
+pub struct Listener<H> {
+    handler: Rc<H>,
+    connections: Rc<ClientConnections>,
+    limits: Cell<ListenerLimits>,
+    /// Each answer asks its client to connect anew elsewhere.
     stopping: Cell<bool>,
 }
 
-impl<G: RequestHandler> Listener<G> {
-    pub fn new(gate: Rc<G>, bounds: ListenerLimits) -> Rc<Self> {
+impl<H: RequestHandler> Listener<H> {
+    /// A listener that does nothing before [`Self::serve`].
+    pub fn new(handler: Rc<H>, limits: ListenerLimits) -> Rc<Self> {
         Rc::new(Self {
-            gate,
-            connections: Connections::new(
-                bounds.max_connections,
-                bounds.idle_eviction_threshold,
-                bounds.timeouts,
+            handler,
+            connections: ClientConnections::new(
+                limits.max_connections,
+                limits.idle_eviction_threshold,
+                limits.timeouts,
             ),
-            bounds: Cell::new(bounds),
+            limits: Cell::new(limits),
             stopping: Cell::new(false),
         })
     }
 
-    /// Holds to other limits on heads and times from now on.
-    pub fn set_limits(&self, head: usize, times: ClientTimeouts) {
-        self.bounds.set(ListenerLimits {
-            max_header_bytes: head,
-            timeouts: times,
-            ..self.bounds.get()
+    /// Sets the limits on heads, for new connections, and on times, for all.
+    pub fn set_limits(&self, max_header_bytes: usize, timeouts: ClientTimeouts) {
+        self.limits.set(ListenerLimits {
+            max_header_bytes,
+            timeouts,
+            ..self.limits.get()
         });
-        self.connections.allow(times);
+        self.connections.set_timeouts(timeouts);
     }
 
-    /// Serves until `stop`, then finishes what was taken.
+    /// Serves until `stop`, then finishes what was taken. Returns when all connections have ended or the time for
+    /// that is up.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
         let (close, closing) = watch::channel(false);
         {
@@ -138,174 +125,61 @@
                 () = &mut accepting => {}
                 () = stop => {}
             }
-            tracing::info!("stopping");
+            let accept_grace = self.limits.get().accept_grace;
+            tracing::info!(
+                ?accept_grace,
+                connections = self.connections.len(),
+                "listener is stopping: it asks clients to connect elsewhere"
+            );
             // From here each answer asks its client to go elsewhere; new connections still find us.
             self.stopping.set(true);
-            let _ = timeout(self.bounds.get().accept_grace, accepting).await;
+            // Accepting never ends by itself: this waits for the time to pass.
+            let _ = timeout(accept_grace, accepting).await;
         }
         drop(listener);
-        let _ = close.send(true);
-        let finished = async {
+        close.send_replace(true);
+        let drained = async {
             while !self.connections.is_empty() {
-                sleep(Duration::from_millis(5)).await;
+                sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
         // Counted from the last accept, not from the signal: what came last has its whole deadline.
-        let _ = timeout(self.bounds.get().drain_timeout + FINISH, finished).await;
+        let limit = self.limits.get().drain_timeout + WRITE_GRACE;
+        if timeout(limit, drained).await.is_err() {
+            tracing::warn!(
+                connections = self.connections.len(),
+                "connections are still open at the end of the time to finish"
+            );
+        }
     }
 
+    /// Accepts connections, each with its place and its task, for good.
     async fn accept(self: &Rc<Self>, listener: &TcpListener, closing: &watch::Receiver<bool>) {
         loop {
-            // Left in the backlog, a client waits a moment; without a descriptor it would be dropped.
-            if self.connections.full() {
-                self.connections.evict();
-                sleep(Duration::from_millis(1)).await;
+            if self.connections.is_full() {
+                self.connections.evict_idle();
+                sleep(FULL_BACKOFF).await;
                 continue;
             }
             match listener.accept().await {
-                Ok((stream, _)) => {
-                    let _ = stream.set_nodelay(true);
-                    let (io, stream, traffic) = Tapped::new(stream);
-                    // It has its place before the next one is accepted.
-                    let seat = self.connections.seat(traffic);
-                    let conversation = self.clone().converse(io, stream, seat, closing.clone());
-                    tokio::task::spawn_local(conversation);
-                }
-                // Guards against EMFILE and aborted connections: neither is a reason to end.
-                Err(cause) => {
-                    tracing::warn!(%cause, "accept");
+                Ok((stream, _)) => self.start_connection(stream, closing.clone()),
+                // A full descriptor table or an aborted connection: neither is a reason to end.
+                Err(error) => {
+                    tracing::warn!(%error, "a connection could not be accepted");
                     sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 
-    /// All requests of one connection.
-    async fn converse(
-        self: Rc<Self>,
-        io: Tapped,
-        stream: Shared,
-        seat: ConnectionSlot,
-        mut closing: watch::Receiver<bool>,
-    ) {
-        let known = &*seat.connection;
-        let receipts = G::WANTS_RECEIPTS.then(|| watch::channel(None));
-        let service = service_fn(|mut request: Request<Incoming>| {
-            if let Some((_, receipts)) = &receipts {
-                request
-                    .extensions_mut()
-                    .insert(DeliveryReceipts(receipts.clone()));
-            }
-            self.respond(request, &seat)
-        });
-        let (ended, silent) = {
-            let connection = http1::Builder::new()
-                .header_read_timeout(None) // Each connection's own limits hold.
-                .max_buf_size(self.bounds.get().max_header_bytes.max(LEAST_BUFFER))
-                .max_headers(MAX_HEADER_LINES)
-                .serve_connection(TokioIo::new(io), service);
-            tokio::pin!(connection);
-            // Failure: a request that came in the moment of closing, on a connection just accepted, was read to its
-            // end and got no answer.
-            let (mut stopping, mut last_word, mut silent) = (false, None, false);
-            let ended = loop {
-                // The connection first: its limits are judged by what has passed on it.
-                tokio::select! {
-                    biased;
-                    result = &mut connection => break Some(result.is_ok()),
-                    () = left(&stream, known) => break Some(false),
-                    () = known.outstays() => break None,
-                    _ = closing.wait_for(|c| *c), if !stopping => {
-                        stopping = true;
-                        last_word = Some(Instant::now() + self.bounds.get().final_request_wait);
-                    }
-                    () = until(last_word), if last_word.is_some() => {
-                        last_word = None;
-                        silent = known.is_silent();
-                        connection.as_mut().graceful_shutdown();
-                    }
-                }
-            };
-            (ended, silent)
-        };
-        // What is not read to its end is closed as unread: its client may send it elsewhere.
-        let mut receipt = DeliveryStatus::Unknown;
-        if ended.is_some() && !silent {
-            known.closing();
-            receipt = tokio::select! {
-                read = timeout(LINGER_TIME, read_out(&stream)) => read.unwrap_or(receipt),
-                () = known.evicted() => receipt,
-            };
-        }
-        if let Some((sender, _)) = &receipts {
-            let broken = ended == Some(false);
-            sender.send_replace(Some(if broken {
-                DeliveryStatus::Broken
-            } else {
-                receipt
-            }));
-        }
-    }
-
-    async fn respond(
-        &self,
-        request: Request<Incoming>,
-        seat: &ConnectionSlot,
-    ) -> Result<ClientResponse, Infallible> {
-        let arrived = Instant::now();
-        seat.connection.asked();
-        let mut answer = self
-            .gate
-            .answer(request, arrived, self.stopping.get())
-            .await;
-        // From the word to stop on, each answer asks its client to go elsewhere.
-        if self.stopping.get() {
-            answer
-                .headers_mut()
-                .insert(CONNECTION, HeaderValue::from_static("close"));
-        }
-        seat.answered();
-        Ok(answer)
-    }
-}
-
-async fn until(at: Option<Instant>) {
-    if let Some(at) = at {
-        sleep_until(at).await;
-    }
-}
-
-/// Ends once a client has left while its request is open. Failure: one that had sent more behind its request was
-/// worked for to the end.
-async fn left(stream: &Shared, connection: &Connection) {
-    poll_fn(|cx| {
-        if connection.is_asked() {
-            stream.borrow_mut().poll_closed(cx)
-        } else {
-            Poll::Pending
-        }
-    })
-    .await;
-}
-
-/// Reads what still comes until the client closes too. Failure: closed with something unread, the kernel
-/// resets the connection, and the answer may be lost on its way.
-async fn read_out(stream: &Shared) -> DeliveryStatus {
-    let mut scrap = vec![0; LEAST_BUFFER];
-    let mut left = LINGER_BYTES;
-    while left > 0 {
-        let read = poll_fn(|cx| {
-            let mut buf = ReadBuf::new(&mut scrap);
-            let read = Pin::new(&mut *stream.borrow_mut()).poll_read(cx, &mut buf);
-            read.map_ok(|()| buf.filled().len())
-        });
-        match read.await {
-            Ok(0) => return DeliveryStatus::Delivered,
-            Err(_) => return DeliveryStatus::Broken,
-            Ok(n) => left = left.saturating_sub(n),
-        }
+    fn start_connection(self: &Rc<Self>, stream: TcpStream, closing: watch::Receiver<bool>) {
+        // A refinement: without it small answers come later.
+        let _ = stream.set_nodelay(true);
+        let (io, socket, traffic) = MeteredStream::new(stream);
+        // It has its place before the next one is accepted.
+        let slot = self.connections.register(traffic);
+        tokio::task::spawn_local(self.clone().serve_connection(io, socket, slot, closing));
     }
-    DeliveryStatus::Unknown
 }
 
 #[cfg(test)]
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -1,5 +1,8 @@
-//! What a balancer counts, for whoever watches it: requests by route and outcome, and how long they took. Counted
-//! where a route is in hand, without a look-up for each request.
+//! What a balancer counts for its operators: requests by route and outcome, their duration, and what it knows of the
+//! system. In the OpenMetrics text form, for Prometheus.
+//!
+//! Owns the registry. The counters of a route are looked up when it comes into force, not for each request; those of a
+//! route that is gone are removed. Counts start at zero with each process.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,54 +21,57 @@
 use crate::engine::Abandoned;
 use crate::headers::ClientResponse;
 
-/// The form in which counts are told.
-const FORM: HeaderValue =
+const OPENMETRICS_CONTENT_TYPE: HeaderValue =
     HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
 
-/// What is registered, as Prometheus reads it.
-pub fn text(registry: &Registry) -> String {
+/// Upper bounds of the buckets of request durations, in seconds: latency targets lie between a fifth of a second and
+/// some seconds.
+const DURATION_BUCKETS_SECONDS: [f64; 12] = [
+    0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 30.0,
+];
+
+/// What is registered, in the OpenMetrics text form.
+pub fn encode_text(registry: &Registry) -> String {
     let mut text = String::new();
     // Writing to memory does not fail.
     let _ = encode(&mut text, registry);
     text
 }
 
-/// The answer that tells counts.
+/// A response that carries metrics in the OpenMetrics text form.
 pub fn metrics_response(text: String) -> ClientResponse {
-    let mut answer = ClientResponse::new(text.into());
-    answer.headers_mut().insert(CONTENT_TYPE, FORM);
-    answer
+    let mut response = ClientResponse::new(text.into());
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, OPENMETRICS_CONTENT_TYPE);
+    response
 }
 
-/// Bounds of the times, in seconds: aims lie between a fifth of a second and some seconds.
-const BOUNDS: [f64; 12] = [
-    0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 30.0,
-];
-
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Of {
+struct RequestLabels {
     route: String,
     outcome: RequestOutcome,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct OfRoute {
+struct RouteLabels {
     route: String,
 }
 
-/// What became of a request.
+/// What became of a request. The names of the variants are the values of the label `outcome`.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, EncodeLabelValue)]
 pub enum RequestOutcome {
-    /// An upstream's answer was passed on.
+    /// An upstream's response was passed on.
     Served,
-    /// It was told to come again; it has not run.
+    /// It has not run, and its client was told to come again.
     Refused,
-    /// It made no sense, was too large, or came too slowly.
+    /// It was no valid request, too large, or came too slowly.
     Malformed,
-    /// It may have run, and there is no answer.
+    /// It may have run, and there is no response.
     Failed,
 }
 
+/// All outcomes, in the order of their discriminants.
 const OUTCOMES: [RequestOutcome; 4] = [
     RequestOutcome::Served,
     RequestOutcome::Refused,
@@ -73,146 +79,130 @@
     RequestOutcome::Failed,
 ];
 
-/// All that is counted at one balancer.
+/// All that one balancer counts.
 pub struct Metrics {
     registry: RefCell<Registry>,
-    requests: Family<Of, Counter>,
-    seconds: Family<OfRoute, Histogram, fn() -> Histogram>,
+    requests: Family<RequestLabels, Counter>,
+    request_seconds: Family<RouteLabels, Histogram, fn() -> Histogram>,
     routes: RefCell<BTreeMap<String, Rc<RouteMetrics>>>,
-    /// Requests that no route is for.
-    pub unrouted: Counter,
-    pub version: Gauge,
+    /// Requests that no route matches.
+    pub unrouted_requests: Counter,
+    /// The revision (`rev`) of the configuration in force.
+    pub configuration_revision: Gauge,
+    /// Balancers of the fleet, as the control plane tells it.
     pub balancers: Gauge,
+    /// Upstreams that are known.
     pub upstreams: Gauge,
 }
 
-/// What is counted of one route.
+/// The counters of one route.
 pub struct RouteMetrics {
-    outcomes: [Counter; OUTCOMES.len()],
-    seconds: Histogram,
+    /// By discriminant of the outcome.
+    requests_by_outcome: [Counter; OUTCOMES.len()],
+    request_seconds: Histogram,
 }
 
 impl RouteMetrics {
-    /// A request of this route has its answer.
+    /// Counts a request of this route that arrived then and has its response now.
     pub fn record_response(&self, outcome: RequestOutcome, arrived: Instant) {
-        self.outcomes[outcome as usize].inc();
-        self.seconds.observe(arrived.elapsed().as_secs_f64());
+        self.requests_by_outcome[outcome as usize].inc();
+        self.request_seconds
+            .observe(arrived.elapsed().as_secs_f64());
     }
 }
 
 impl Metrics {
-    /// Nothing is counted yet, but what the engine measures by itself.
+    /// Metrics at zero; those of abandoned requests are counted by the engine itself.
     pub fn new(abandoned: &Abandoned) -> Self {
-        let mut registry = Registry::with_prefix("shorefront");
-        let new: fn() -> Histogram = || Histogram::new(BOUNDS);
-        let (requests, seconds) = (Family::default(), Family::new_with_constructor(new));
-        let (unrouted, version) = (Counter::default(), Gauge::default());
-        let (balancers, upstreams) = (Gauge::default(), Gauge::default());
-        let said = "Requests by route and what became of them";
-        registry.register("requests", said, requests.clone());
-        let said = "Time from the arrival of a request to its answer";
-        registry.register_with_unit("request", said, Unit::Seconds, seconds.clone());
+        let new_histogram: fn() -> Histogram = || Histogram::new(DURATION_BUCKETS_SECONDS);
+        let metrics = Self {
+            registry: RefCell::new(Registry::with_prefix("shorefront")),
+            requests: Family::default(),
+            request_seconds: Family::new_with_constructor(new_histogram),
+            routes: RefCell::default(),
+            unrouted_requests: Counter::default(),
+            configuration_revision: Gauge::default(),
+            balancers: Gauge::default(),
+            upstreams: Gauge::default(),
+        };
+        metrics.register(abandoned);
+        metrics
+    }
+
+    /// Names what is counted. Names and help texts are part of what operators see.
+    fn register(&self, abandoned: &Abandoned) {
+        let mut registry = self.registry.borrow_mut();
+        registry.register(
+            "requests",
+            "Requests by route and what became of them",
+            self.requests.clone(),
+        );
+        registry.register_with_unit(
+            "request",
+            "Time from the arrival of a request to its answer",
+            Unit::Seconds,
+            self.request_seconds.clone(),
+        );
         registry.register(
             "unrouted_requests",
             "Requests that no route is for",
-            unrouted.clone(),
+            self.unrouted_requests.clone(),
+        );
+        registry.register(
+            "configuration_version",
+            "`rev` in force",
+            self.configuration_revision.clone(),
         );
-        registry.register("configuration_version", "`rev` in force", version.clone());
         registry.register(
             "balancers",
             "Balancers in the bank, as told",
-            balancers.clone(),
+            self.balancers.clone(),
         );
-        registry.register("upstreams", "Upstreams known", upstreams.clone());
+        registry.register("upstreams", "Upstreams known", self.upstreams.clone());
         abandoned.register(&mut registry);
-        let (registry, routes) = (RefCell::new(registry), RefCell::default());
-        Self {
-            registry,
-            requests,
-            seconds,
-            routes,
-            unrouted,
-            version,
-            balancers,
-            upstreams,
-        }
     }
 
-    /// The counts of a route; what was counted of it before goes on.
+    /// The counters of a route; one that is known goes on from where it stands.
     pub fn route(&self, name: &str) -> Rc<RouteMetrics> {
         if let Some(known) = self.routes.borrow().get(name) {
             return known.clone();
         }
         let route = name.to_string();
-        let of = |outcome| Of {
+        let labels = |outcome| RequestLabels {
             route: route.clone(),
             outcome,
         };
-        let outcomes = OUTCOMES.map(|o| self.requests.get_or_create_owned(&of(o)));
-        let seconds = self.seconds.get_or_create_owned(&OfRoute {
-            route: route.clone(),
+        let counters = Rc::new(RouteMetrics {
+            requests_by_outcome: OUTCOMES.map(|o| self.requests.get_or_create_owned(&labels(o))),
+            request_seconds: self.request_seconds.get_or_create_owned(&RouteLabels {
+                route: route.clone(),
+            }),
         });
-        let counts = Rc::new(RouteMetrics { outcomes, seconds });
-        self.routes.borrow_mut().insert(route, counts.clone());
-        counts
+        self.routes.borrow_mut().insert(route, counters.clone());
+        counters
     }
 
-    /// Only these routes are there by now.
+    /// Removes the counters of all routes but these.
     pub fn retain_routes<'a>(&self, names: impl Iterator<Item = &'a str>) {
         let mut gone = self.routes.take();
         let kept = names.filter_map(|name| gone.remove_entry(name));
         self.routes.replace(kept.collect());
         for route in gone.into_keys() {
             for outcome in OUTCOMES {
-                self.requests.remove(&Of {
+                self.requests.remove(&RequestLabels {
                     route: route.clone(),
                     outcome,
                 });
             }
-            self.seconds.remove(&OfRoute { route });
+            self.request_seconds.remove(&RouteLabels { route });
         }
     }
 
-    /// All of it as Prometheus reads it.
+    /// All of it in the OpenMetrics text form.
     pub fn text(&self) -> String {
-        text(&self.registry.borrow())
+        encode_text(&self.registry.borrow())
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_was_counted_is_told_and_goes_with_its_route() {
-        let metrics = Metrics::new(&Abandoned::default());
-        let arrived = Instant::now();
-        for outcome in OUTCOMES {
-            metrics.route("a").record_response(outcome, arrived);
-        }
-        metrics
-            .route("b")
-            .record_response(RequestOutcome::Served, arrived);
-        metrics.version.set(7);
-        let text = metrics.text();
-        for line in [
-            "shorefront_requests_total{route=\"a\",outcome=\"Served\"} 1",
-            "shorefront_requests_total{route=\"a\",outcome=\"Refused\"} 1",
-            "shorefront_requests_total{route=\"a\",outcome=\"Failed\"} 1",
-            "shorefront_requests_total{route=\"a\",outcome=\"Malformed\"} 1",
-            "shorefront_requests_total{route=\"b\",outcome=\"Served\"} 1",
-            "shorefront_request_seconds_count{route=\"a\"} 4",
-            "shorefront_configuration_version 7",
-        ] {
-            assert!(text.contains(line), "no {line} in {text}");
-        }
-        metrics.retain_routes(["a"].into_iter());
-        let text = metrics.text();
-        assert!(!text.contains("route=\"b\""), "{text}");
-        metrics
-            .route("a")
-            .record_response(RequestOutcome::Served, arrived);
-        let line = "shorefront_requests_total{route=\"a\",outcome=\"Served\"} 2";
-        assert!(metrics.text().contains(line), "counted on");
-    }
-}
+mod tests;
--- a/crates/data-plane/src/routes.rs
+++ b/crates/data-plane/src/routes.rs
@@ -1,429 +1,167 @@
-//! What a request is: the route by host and longest prefix, its service and class; and the answer it gets.
-//! Holds what the control plane told last (`following`), and tells the engine of it (`configuring`, `listing`).
-
-mod configuring;
-mod following;
-mod listing;
+//! The routes in force: which service a request goes to and as what class, and what the engine has to know for that.
+//!
+//! Modules in the order in which a request meets them, then in that of a watch update:
+//!
+//! - [`request`]: the way of a request, from its head to its response.
+//! - [`route_table`]: the route by host and longest prefix, and the service by weight.
+//! - [`client_deadline`]: how much time a client gives, and whether it has been elsewhere before.
+//! - [`watch_updates`]: what the control plane sent, by version, and what is requested of it.
+//! - [`configuration`]: a configuration comes into force; the settings of each service.
+//! - [`services`]: services and their request classes, by indexes that stay.
+//! - [`membership`]: upstreams and key ranges as the engine is told of them.
+//!
+//! Owns what a balancer holds of the replicated state, a cache of the control plane's; nothing of it is stored. It is
+//! changed by watch updates alone.
+//!
+//! **Promises.** A configuration is in force whole or not at all, and never an older one than before. Each request that
+//! has a route is counted with its outcome.
+//!
+//! **Neighbours down.** Without the control plane all stays as it was last told. A balancer that was told nothing yet
+//! refuses requests with advice to come again.
+
+mod client_deadline;
+mod configuration;
+mod membership;
+mod request;
+mod route_table;
+mod services;
+mod watch_updates;
 
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use std::time::{Duration, SystemTime};
+use std::time::Duration;
 
-use bytes::Bytes;
-use http_body_util::{BodyExt, Limited};
-use hyper::body::{Body, Incoming};
-use hyper::header::{CONNECTION, CONTENT_LENGTH, HOST, HeaderName, HeaderValue, TRANSFER_ENCODING};
-use hyper::http::request::Parts;
-use hyper::{Method, Request, Response, StatusCode};
-use load_balancing::interface::{self as d, MembershipKind, Span};
-use protocol::config::{Config, Limits, RequestKind, Route};
-use protocol::key_ranges::{KeyRangeView, WORK_UNIT_MS, WorkCounts};
+use load_balancing::interface::Span;
+use protocol::config::Limits;
 use protocol::settings::{Bounds, Settings};
-use protocol::upstream_list::{UpdateOutcome, Upstream, UpstreamList};
-use protocol::wire::{FleetView, WatchRequest, WatchUpdate};
-use rustc_hash::FxHashMap;
-use tokio::time::{Instant, timeout_at};
 
+use self::membership::Membership;
+use self::route_table::RouteTable;
+use self::services::ServiceTable;
+use self::watch_updates::ControlState;
 use crate::body::BodyBudget;
-use crate::change_notifier::{ChangeNotifier, ChangeWatcher};
-use crate::control_client::UpdateHandler;
-use crate::engine::{self, EngineEvent, EngineHandle, EngineReply, IncomingRequest};
-use crate::headers::{
-    ClientResponse, bad_request, empty_response, forward_request_headers, forward_response,
-    retry_later,
-};
-use crate::listener::RequestHandler;
-use crate::metrics::{Metrics, RequestOutcome, RouteMetrics as Counted};
-use crate::upstream_pool::ForwardedRequest;
-
-/// Bodies that are read or held may take this part of the memory together.
-const BODIES_OF_MEMORY: usize = 4;
-/// The modules' housekeeping comes no more often than this: a fifth of a core has other work.
-const TICK: Duration = Duration::from_millis(25);
-/// A late answer keeps some worth: the rules say that it earns less, not how much less.
-const LATE_WORTH: f64 = 0.3;
-/// Who finds nobody to serve it yet comes again when news has had time to come.
-const COME_AGAIN: Span = Span(500_000);
-/// The start of a cold spell is told in whole pieces of news; moved by less than this it is the same one.
-const SAME_START: Duration = Duration::from_millis(1000);
+use crate::change_notifier::ChangeNotifier;
+use crate::engine::EngineHandle;
+use crate::metrics::Metrics;
 
-/// How much time clients have at first is known for so long: some tries of each.
-const MEMORY: Duration = Duration::from_secs(30);
-/// A client that has so much less, as a share of the route's target, has been refused or has waited elsewhere:
-/// a connection takes less.
-const LOST_OF_TARGET: u32 = 4;
+/// The bodies of requests, while they are read or held, may take this part of the memory together.
+const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// No time of a route counts as longer. Failure: a clock to which a longer one is added may overflow.
-const LONGEST_MS: u64 = 24 * 60 * 60 * 1000;
+/// No time in a configuration counts as longer than a day: a clock to which a longer one is added may overflow.
+const MAX_DURATION_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// Headers that mean nothing when they come twice.
-const ONCE: [&str; 4] = ["host", "content-length", "attempt-id", "deadline-ms"];
-const DEADLINE: HeaderName = HeaderName::from_static("deadline-ms");
-/// Of services whose upstreams divide their keys: the request's.
-const SHARD: HeaderName = HeaderName::from_static("shard-key");
-/// What an upstream says to the balancer only.
-const INTERNAL: [HeaderName; 2] = [
-    HeaderName::from_static("upstream-load"),
-    HeaderName::from_static("not-run"),
-];
-
-/// A route in force.
-struct Open {
-    prefix: String,
-    deadline: Duration,
-    /// Its services by index, the class it is there, and the weight.
-    parts: Vec<(usize, usize, u32)>,
-    /// A client that has lost so much of its time came before.
-    lost: Duration,
-    longest: Longest,
-    counted: Rc<Counted>,
-}
-
-/// The longest time that clients of a route say they have, of late: that of first tries.
-#[derive(Default)]
-struct Longest {
-    /// In this span and the one before, and when this one began.
-    seen: Cell<(Duration, Duration, Option<Instant>)>,
+/// Zones and regions of the system, and where this balancer stands among them. Fixed for the life of the process.
+struct Topology {
+    /// Zone names in order: the engine knows a zone by its place here.
+    zones: Vec<String>,
+    /// The region of each zone, in the same order.
+    regions: Vec<String>,
+    own_zone: u32,
+    own_region: String,
 }
 
-impl Longest {
-    fn seen(&self, now: Instant, told: Duration) -> Duration {
-        let (mut own, mut before, since) = self.seen.get();
-        let since = since
-            .filter(|since| now < *since + MEMORY)
-            .unwrap_or_else(|| {
-                (own, before) = (Duration::ZERO, own);
-                now
-            });
-        own = own.max(told);
-        self.seen.set((own, before, Some(since)));
-        own.max(before)
+impl Topology {
+    fn new(settings: &Settings) -> Self {
+        let zones: Vec<String> = settings.zone_map.keys().cloned().collect();
+        let own_zone = zones.iter().position(|z| *z == settings.zone).unwrap_or(0);
+        Self {
+            zones,
+            regions: settings.zone_map.values().cloned().collect(),
+            own_zone: own_zone as u32,
+            own_region: settings.region.clone(),
+        }
     }
-}
 
-/// A service and the routes that are its classes; an index keeps its meaning for good.
-struct Service {
-    name: String,
-    classes: Vec<d::RequestClass>,
-    /// The class of each route that it ever had, by the route's name.
-    class_of: FxHashMap<String, usize>,
-    warmup: Duration,
-    warmup_per_s: f64,
-    /// Its upstreams divide its keys.
-    sharded: bool,
-}
+    /// The engine's number of a zone; one that is not in the settings comes behind all that are.
+    fn zone_number(&self, zone: &str) -> u32 {
+        let known = self.zones.iter().position(|z| z == zone);
+        known.unwrap_or(self.zones.len()) as u32
+    }
 
-impl Service {
-    /// The index of a route's class, which is this one from now on.
-    fn take_class(&mut self, route: &str, class: &d::RequestClass) -> usize {
-        if let Some(&known) = self.class_of.get(route) {
-            self.classes[known].clone_from(class);
-            return known;
-        }
-        self.classes.push(class.clone());
-        self.class_of
-            .insert(route.to_string(), self.classes.len() - 1);
-        self.classes.len() - 1
+    /// The numbers of the zones in these regions.
+    fn zones_in(&self, regions: &[String]) -> Vec<u32> {
+        let zones = self.regions.iter().enumerate();
+        zones
+            .filter(|(_, region)| regions.contains(region))
+            .map(|(number, _)| number as u32)
+            .collect()
     }
-}
 
-#[derive(Default)]
-struct Told {
-    config_index: u64,
-    limits: Limits,
-    evacuated_index: u64,
-    evacuated: Vec<String>,
-    keys_index: u64,
-    /// Who holds which keys, by service.
-    keys: BTreeMap<String, KeyRangeView>,
-    zones: BTreeMap<String, UpstreamList>,
-    /// Zones of which something was told that builds on what is not here.
-    wanted: BTreeSet<String>,
-    bank: Option<FleetView>,
+    /// The distance of each zone: 0 within the own region, 1 beyond it.
+    fn distances(&self) -> Vec<Span> {
+        let distance = |region: &String| Span(i64::from(*region != self.own_region));
+        self.regions.iter().map(distance).collect()
+    }
 }
 
-/// The routes in force, and the gate of the clients' front.
+/// The routes in force, and the handler of clients' requests.
 pub struct Routes {
     engine: EngineHandle,
-    zones: Vec<String>,
-    regions: Vec<String>,
-    zone: u32,
-    region: String,
-    bodies: BodyBudget,
-    told: RefCell<Told>,
-    services: RefCell<Vec<Service>>,
-    by_host: RefCell<FxHashMap<String, Vec<Rc<Open>>>>,
-    /// When an upstream started, as first told.
-    started: RefCell<FxHashMap<String, SystemTime>>,
-    /// Figures of the rules.
+    topology: Topology,
+    /// Figures of the users' rules.
     bounds: Bounds,
-    /// The services whose upstreams the engine was told of one by one.
-    placed: RefCell<FxHashMap<String, usize>>,
-    start: Instant,
-    turn: Cell<u32>,
-    leaving: Cell<bool>,
-    version: ChangeNotifier,
+    body_budget: BodyBudget,
+    control_state: RefCell<ControlState>,
+    route_table: RouteTable,
+    services: RefCell<ServiceTable>,
+    membership: Membership,
+    draining: Cell<bool>,
+    /// Wakes the sessions with the control plane when there is something new to say.
+    changes: ChangeNotifier,
     metrics: Metrics,
-    /// Holds the front to the limits that clients have.
-    limited: Box<dyn Fn(&Limits)>,
+    /// Holds the listener to the limits of the configuration.
+    on_limits: Box<dyn Fn(&Limits)>,
 }
 
 impl Routes {
+    /// No routes yet. `on_limits` is called with the limits of each configuration that comes into force.
     pub fn new(
         settings: &Settings,
         engine: EngineHandle,
-        limited: Box<dyn Fn(&Limits)>,
+        on_limits: Box<dyn Fn(&Limits)>,
     ) -> Rc<Self> {
-        let zones: Vec<String> = settings.zone_map.keys().cloned().collect();
-        let zone = zones.iter().position(|z| *z == settings.zone).unwrap_or(0) as u32;
         let metrics = Metrics::new(engine.abandoned());
+        let memory_bytes = settings.limits.mem_mb << 20;
         Rc::new(Self {
             engine,
-            regions: settings.zone_map.values().cloned().collect(),
-            zones,
-            zone,
-            region: settings.region.clone(),
-            bodies: BodyBudget::new((settings.limits.mem_mb << 20) / BODIES_OF_MEMORY),
-            told: RefCell::default(),
-            services: RefCell::default(),
-            by_host: RefCell::default(),
-            started: RefCell::default(),
+            topology: Topology::new(settings),
             bounds: settings.bounds.clone(),
-            placed: RefCell::default(),
-            start: Instant::now(),
-            turn: Cell::new(0),
-            leaving: Cell::new(false),
-            version: ChangeNotifier::default(),
+            body_budget: BodyBudget::new(memory_bytes / BODY_MEMORY_DIVISOR),
+            control_state: RefCell::default(),
+            route_table: RouteTable::default(),
+            services: RefCell::default(),
+            membership: Membership::default(),
+            draining: Cell::new(false),
+            changes: ChangeNotifier::default(),
             metrics,
-            limited,
+            on_limits,
         })
     }
 
-    /// Whether it can serve: it knows the configuration and somewhere to send to.
+    /// Whether it can serve: it has a configuration and somewhere to send to, and is not about to end.
     pub fn is_ready(&self) -> bool {
-        !self.leaving.get() && self.told.borrow().config_index > 0 && self.engine.ready()
+        !self.draining.get() && self.control_state.borrow().has_config() && self.engine.ready()
     }
 
-    /// What was counted, as Prometheus reads it.
+    /// What was counted, in the OpenMetrics text form.
     pub fn metrics_text(&self) -> String {
-        self.metrics
-            .upstreams
-            .set(self.placed.borrow().len() as i64);
-        let bank = self.told.borrow().bank.map_or(0, |b| b.balancers);
-        self.metrics.balancers.set(i64::from(bank));
+        self.metrics.upstreams.set(self.membership.len() as i64);
+        let fleet = self.control_state.borrow().fleet;
+        let balancers = fleet.map_or(0, |fleet| fleet.balancers);
+        self.metrics.balancers.set(i64::from(balancers));
         self.metrics.text()
     }
 
-    /// It ends soon: clients are to be sent elsewhere.
+    /// The process is about to end: from now on the control plane sends clients elsewhere.
     pub fn start_draining(&self) {
-        self.leaving.set(true);
-        self.changed();
-    }
-
-    fn changed(&self) {
-        self.version.notify();
-    }
-
-    fn route(&self, host: &str, path: &str) -> Option<Rc<Open>> {
-        let host = host.rsplit_once(':').map_or(host, |(name, port)| {
-            if port.bytes().all(|b| b.is_ascii_digit()) {
-                name
-            } else {
-                host
-            }
-        });
-        let by_host = self.by_host.borrow();
-        let routes = match by_host.get(host) {
-            Some(routes) => routes,
-            None => by_host.get(&host.to_ascii_lowercase())?,
-        };
-        routes.iter().find(|r| path.starts_with(&r.prefix)).cloned()
-    }
-
-    /// Which of a route's services takes the next request: in turn, by weight, spread by the golden ratio.
-    fn part(&self, route: &Open) -> Option<(usize, usize)> {
-        let total: u64 = route.parts.iter().map(|p| u64::from(p.2)).sum();
-        if total == 0 {
-            return None;
-        }
-        let turn = self.turn.replace(self.turn.get().wrapping_add(0x9e37_79b9));
-        // Weights may add up to more than one of them can be.
-        let mut at = ((u128::from(turn) * u128::from(total)) >> 32) as u64;
-        for (service, class, weight) in &route.parts {
-            if at < u64::from(*weight) {
-                return Some((*service, *class));
-            }
-            at -= u64::from(*weight);
-        }
-        None
-    }
-
-    async fn take(&self, request: Request<Incoming>, arrived: Instant) -> ClientResponse {
-        let (head, body) = request.into_parts();
-        if let Err(what) = framed(&head) {
-            return bad_request(what);
-        }
-        if self.told.borrow().config_index == 0 {
-            return retry_later(StatusCode::SERVICE_UNAVAILABLE, COME_AGAIN);
-        }
-        let host = head
-            .headers
-            .get(HOST)
-            .and_then(|v| v.to_str().ok())
-            .unwrap_or_default();
-        let Some(route) = self.route(host, head.uri.path()) else {
-            self.metrics.unrouted.inc();
-            return empty_response(StatusCode::NOT_FOUND);
-        };
-        let (outcome, answer) = self.on_route(&route, head, body, arrived).await;
-        route.counted.record_response(outcome, arrived);
-        answer
-    }
-
-    /// What becomes of a request that has a route.
-    async fn on_route(
-        &self,
-        route: &Open,
-        head: Parts,
-        body: Incoming,
-        arrived: Instant,
-    ) -> (RequestOutcome, ClientResponse) {
-        let malformed = |what| (RequestOutcome::Malformed, bad_request(what));
-        let bad = |status| (RequestOutcome::Malformed, empty_response(status));
-        let refused = |after| {
-            (
-                RequestOutcome::Refused,
-                retry_later(StatusCode::SERVICE_UNAVAILABLE, after),
-            )
-        };
-        let (deadline, resent) = match head.headers.get(DEADLINE) {
-            None => (route.deadline, false),
-            Some(told) => {
-                let ms = told
-                    .to_str()
-                    .ok()
-                    .and_then(|v| v.trim().parse::<u64>().ok());
-                let Some(ms) = ms.filter(|ms| *ms > 0) else {
-                    return malformed("Deadline-Ms");
-                };
-                let deadline = route.deadline.min(Duration::from_millis(ms));
-                (
-                    deadline,
-                    route.longest.seen(arrived, deadline) > deadline + route.lost,
-                )
-            }
-        };
-        let until = arrived + deadline;
-        let most = self.told.borrow().limits.max_body_bytes;
-        let length = body.size_hint().exact();
-        if length.is_some_and(|l| l > most as u64) {
-            return bad(StatusCode::PAYLOAD_TOO_LARGE);
-        }
-        let Some(_room) = self.bodies.reserve(length.unwrap_or(0) as usize) else {
-            return refused(COME_AGAIN);
-        };
-        let body = match timeout_at(until, Limited::new(body, most).collect()).await {
-            Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-                return bad(StatusCode::PAYLOAD_TOO_LARGE);
-            }
-            Ok(Err(_)) => return malformed("body"),
-            Err(_) => return bad(StatusCode::REQUEST_TIMEOUT),
-        };
-        let Some((service, class)) = self.part(route) else {
-            return bad(StatusCode::NOT_FOUND);
-        };
-        let shard = head
-            .headers
-            .get(SHARD)
-            .and_then(|v| v.to_str().ok()?.trim().parse().ok());
-        let shard = shard.filter(|_| self.services.borrow()[service].sharded);
-        let (key, cost_guess) = (None, None);
-        let arrival = IncomingRequest {
-            class,
-            tenant: 0,
-            key,
-            shard,
-            until,
-            cost_guess,
-            resent,
-        };
-        let method = head.method.clone();
-        let forward = ForwardedRequest {
-            method: head.method,
-            uri: head.uri,
-            headers: forward_request_headers(head.headers, body.len()),
-            body,
-        };
-        match self.engine.ask(service, arrival, forward).await {
-            EngineReply::Served(response) => (RequestOutcome::Served, served(response, &method)),
-            EngineReply::Refused { retry_after } => refused(retry_after),
-            EngineReply::Failed { late: true } => (
-                RequestOutcome::Failed,
-                empty_response(StatusCode::GATEWAY_TIMEOUT),
-            ),
-            EngineReply::Failed { late: false } => (
-                RequestOutcome::Failed,
-                empty_response(StatusCode::BAD_GATEWAY),
-            ),
-        }
+        self.draining.set(true);
+        self.changes.notify();
     }
 }
 
-impl RequestHandler for Routes {
-    async fn answer(
-        &self,
-        request: Request<Incoming>,
-        arrived: Instant,
-        _: bool,
-    ) -> ClientResponse {
-        // A length beside a coding is read by the coding; another reader may have gone by the length, and
-        // what it took for the body must not be taken for a request here.
-        let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-        let mut answer = self.take(request, arrived).await;
-        if chunked || answer.status() == StatusCode::BAD_REQUEST {
-            answer
-                .headers_mut()
-                .insert(CONNECTION, HeaderValue::from_static("close"));
-        }
-        answer
-    }
-}
-
-/// An upstream's answer as it goes to the client; one to HEAD keeps the length that it tells of.
-fn served(response: Response<Bytes>, method: &Method) -> ClientResponse {
-    let length = response
-        .headers()
-        .get(CONTENT_LENGTH)
-        .filter(|_| method == Method::HEAD)
-        .cloned();
-    let mut answer = forward_response(response, &INTERNAL);
-    if let Some(length) = length {
-        answer.headers_mut().insert(CONTENT_LENGTH, length);
-    }
-    answer
-}
-
-/// Whether the request is framed and named such that nobody behind can read it in another way.
-fn framed(head: &Parts) -> Result<(), &'static str> {
-    if head.uri.authority().is_some() {
-        return Err("target");
-    }
-    // A success to it has no end but the connection's (RFC 9110, 9.3.6), and would look whole when cut.
-    if head.method == Method::CONNECT {
-        return Err("method");
-    }
-    for name in ONCE {
-        if head.headers.get_all(name).iter().nth(1).is_some() {
-            return Err(name);
-        }
-    }
-    if head.headers.contains_key(HOST) {
-        Ok(())
-    } else {
-        Err("Host")
-    }
+/// A time of a configuration, in milliseconds, of which no more than a day counts.
+fn bounded_duration(ms: u64) -> Duration {
+    Duration::from_millis(ms.min(MAX_DURATION_MS))
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/data-plane/src/routes/configuration.rs
@@ -0,0 +1,148 @@
+//! A configuration comes into force: its routes and services, the limits of clients, and the settings of each service's
+//! decision module.
+
+use std::time::Duration;
+
+use load_balancing::interface::{Effect, RequestClass, Settings as ServiceSettings, Span};
+use protocol::config::{Config, RequestKind, Route};
+use protocol::wire::FleetView;
+
+use super::client_deadline::LongestDeadline;
+use super::route_table::{ActiveRoute, Split};
+use super::services::{Service, ServiceTable};
+use super::{MAX_DURATION_MS, Routes, bounded_duration};
+use crate::engine::EngineEvent;
+
+/// The decision modules' housekeeping comes no more often than this: a fifth of a core has other work.
+const MIN_TICK: Duration = Duration::from_millis(25);
+/// A late answer keeps some value: the users' rules say that it earns less, not how much less.
+const LATE_VALUE: f64 = 0.3;
+/// A client whose deadline is shorter than the longest by this part of the route's latency target has been refused or
+/// has waited elsewhere: a connection takes less.
+const RESENT_TARGET_DIVISOR: u32 = 4;
+
+impl Routes {
+    /// Puts a configuration in force, as of this log index. The engine is told by [`Self::send_settings`].
+    pub(super) fn apply_config(&self, index: u64, config: &Config) {
+        tracing::info!(
+            revision = config.rev,
+            index,
+            routes = config.routes.len(),
+            services = config.services.len(),
+            "configuration is in force"
+        );
+        {
+            let mut services = self.services.borrow_mut();
+            services.update(&config.services);
+            let routes = config.routes.iter();
+            self.route_table
+                .replace(routes.map(|r| (r.host.as_str(), self.active_route(r, &mut services))));
+        }
+        let names = config.routes.iter().map(|r| r.name.as_str());
+        self.metrics.retain_routes(names);
+        let revision = i64::try_from(config.rev).unwrap_or(i64::MAX);
+        self.metrics.configuration_revision.set(revision);
+        let mut control_state = self.control_state.borrow_mut();
+        (control_state.config_index, control_state.limits) = (index, config.limits);
+        (self.on_limits)(&config.limits);
+    }
+
+    /// A route as it is matched and counted; its classes are put in force.
+    fn active_route(&self, route: &Route, services: &mut ServiceTable) -> ActiveRoute {
+        let class = self.request_class(route);
+        let mut splits = Vec::new();
+        for (name, weight) in route.weighted_services() {
+            let Some(service) = services.index_of(name) else {
+                continue;
+            };
+            let class = services.get_mut(service).set_class(&route.name, &class);
+            splits.push(Split {
+                service,
+                class,
+                weight,
+            });
+        }
+        ActiveRoute {
+            prefix: route.path_prefix.clone(),
+            deadline: bounded_duration(route.deadline_ms),
+            splits,
+            resent_margin: Duration::from_millis(route.target_ms) / RESENT_TARGET_DIVISOR,
+            longest_deadline: LongestDeadline::default(),
+            metrics: self.metrics.route(&route.name),
+        }
+    }
+
+    /// A route as the decision module knows it.
+    fn request_class(&self, route: &Route) -> RequestClass {
+        let span = |ms: u64| Span(ms.min(MAX_DURATION_MS) as i64 * 1000);
+        let homes = &route.home_regions;
+        RequestClass {
+            value: 1.0 / f64::from(1 + route.prio.min(1000)),
+            late_value: LATE_VALUE,
+            effect: match route.kind {
+                RequestKind::Idempotent => Effect::Safe,
+                RequestKind::Mutating => Effect::Unsafe,
+            },
+            zones: (!homes.is_empty()).then(|| self.topology.zones_in(homes)),
+            attempts: Some(route.max_attempts as usize),
+            ..RequestClass::safe(span(route.target_ms), span(route.deadline_ms))
+        }
+    }
+
+    /// The settings of a service's decision module in a fleet of this size.
+    fn service_settings(&self, service: &Service, fleet: FleetView) -> ServiceSettings {
+        let classes = service.classes.clone();
+        let attempts = classes.iter().filter_map(|c| c.attempts).max();
+        let longest_deadline = classes.iter().map(|c| c.deadline).max();
+        let mut settings = ServiceSettings::basic(classes);
+        settings.balancers = fleet.balancers;
+        settings.position = fleet.position;
+        settings.zones = self.topology.zones.len() as u32;
+        settings.zone = self.topology.own_zone;
+        settings.distance = self.topology.distances();
+        settings.tick = Span(MIN_TICK.as_micros() as i64);
+        settings.limits.max_attempts = attempts.unwrap_or(1);
+        settings.limits.hedging = true;
+        settings.limits.cancel = true;
+        settings.limits.retry_after = true;
+        settings.limits.max_retry_after = longest_deadline.unwrap_or(Span(0));
+        settings.rules.slow_start_duration = Span(service.slow_start.as_micros() as i64);
+        settings.rules.slow_start_rate_per_s = service.slow_start_rate_per_s;
+        settings.rules.slow_start_credit_ttl = self.slow_start_credit_ttl(service);
+        let retry_window_s = self.bounds.retry_window_s.clamp(0.0, 3600.0);
+        settings.rules.retry_window = Span((retry_window_s * 1e6) as i64);
+        settings.rules.retry_ratio = self.bounds.retry_ratio;
+        settings.rules.retry_slack = self.bounds.retry_slack;
+        settings.prices.cross_zone = 1.0;
+        settings
+    }
+
+    /// How long what an upstream in slow start has earned may wait to be spent. In one second a fleet sends what it
+    /// earns in that and in the wait; half of the slack is left for sends that arrive together.
+    fn slow_start_credit_ttl(&self, service: &Service) -> Span {
+        let (excess, slack) = (self.bounds.warmup_excess, self.bounds.warmup_slack);
+        let rate_per_s = service.slow_start_rate_per_s.max(0.1);
+        let wait_s = (excess - 1.0).max(0.0) + slack / 2.0 / rate_per_s;
+        Span((wait_s.min(60.0) * 1e6) as i64)
+    }
+
+    /// Tells the engine the settings of all services.
+    pub(super) fn send_settings(&self) {
+        let fleet = self.control_state.borrow().fleet.unwrap_or(FleetView {
+            balancers: 1,
+            position: 0,
+        });
+        for (index, service) in self.services.borrow().iter().enumerate() {
+            let mut settings = self.service_settings(service, fleet);
+            if settings.classes.is_empty() {
+                // No route has used it yet; the index is taken all the same.
+                let any = RequestClass::safe(Span(1_000_000), Span(1_000_000));
+                settings.classes.push(any);
+            }
+            self.engine.tell(EngineEvent::Settings {
+                service: index,
+                settings: Box::new(settings),
+            });
+        }
+    }
+}
--- a/crates/data-plane/src/routes/tests.rs
+++ b/crates/data-plane/src/routes/tests.rs
@@ -1,23 +1,33 @@
+//! Which route and service a request goes to, under every configuration that comes; and what time its client has.
+
 use std::sync::Arc;
 
 use protocol::compact_config::CompactConfig;
-use protocol::config::{Service, TrafficSplit};
+use protocol::config::{Config, RequestKind, Route, Service, TrafficSplit};
+use protocol::wire::WatchUpdate;
+use tokio::time::Instant;
 
+use super::client_deadline::LongestDeadline;
+use super::route_table::Split;
 use super::*;
+use crate::control_client::UpdateHandler;
+use crate::engine::{Engine, EngineConfig};
+use crate::runtime::upstream_protocol;
+use crate::upstream_pool::{PoolConfig, UpstreamPool};
 
 #[test]
-fn the_longest_time_that_clients_have_is_that_of_the_last_two_spans() {
-    let (longest, start) = (Longest::default(), Instant::now());
+fn longest_deadline_is_that_of_the_last_two_windows() {
+    let (longest, start) = (LongestDeadline::default(), Instant::now());
     let seen = |after_s: u64, told_ms: u64| {
         let now = start + Duration::from_secs(after_s);
         longest
-            .seen(now, Duration::from_millis(told_ms))
+            .observe(now, Duration::from_millis(told_ms))
             .as_millis()
     };
     assert_eq!(seen(0, 4000), 4000);
     assert_eq!(seen(1, 12_000), 12_000);
     assert_eq!(seen(2, 10_500), 12_000, "it came before");
-    assert_eq!(seen(31, 4000), 12_000, "of the span before");
+    assert_eq!(seen(31, 4000), 12_000, "of the window before");
     assert_eq!(seen(62, 4000), 4000, "clients have less time by now");
 }
 
@@ -27,27 +37,27 @@
         "listen": {}, "port_range": [7000, 7010]}"#;
     let settings =
         Settings::parse(std::path::Path::new("boot.json"), text.as_bytes()).expect("good");
-    let pool = crate::upstream_pool::UpstreamPool::new(crate::upstream_pool::PoolConfig {
+    let pool = UpstreamPool::new(PoolConfig {
         max_connections: 1,
         keepalive: Duration::from_secs(5),
         connect_timeout: Duration::from_millis(250),
         max_response_bytes: 1 << 20,
-        protocol: crate::runtime::upstream_protocol(),
+        protocol: upstream_protocol(),
     });
-    let terms = engine::EngineConfig {
+    let config = EngineConfig {
         seed: 1,
         headroom: Duration::ZERO,
         drain_grace: Duration::ZERO,
         grid: Duration::from_millis(1),
         subscribe: None,
     };
-    let (_, handle) = engine::Engine::new(terms, pool);
+    let (_, handle) = Engine::new(config, pool);
     Routes::new(&settings, handle, Box::new(|_| {}))
 }
 
 /// A configuration drawn by lot: services and routes come and go, and come again under their names; routes move
 /// between services, share two, and are renamed where they stand.
-fn drawn(rng: &mut oorandom::Rand64, rev: u64) -> Config {
+fn random_config(rng: &mut oorandom::Rand64, rev: u64) -> Config {
     let mut below = |most: u64| rng.rand_range(0..most) as usize;
     let service = |n: usize| Service {
         name: format!("s{n}"),
@@ -86,7 +96,7 @@
 }
 
 /// The route for a path, and its services, as the configuration says.
-fn owed<'a>(config: &'a Config, host: &str, path: &str) -> Option<(u64, Vec<&'a str>)> {
+fn expected<'a>(config: &'a Config, host: &str, path: &str) -> Option<(u64, Vec<&'a str>)> {
     let fits = |r: &&Route| r.host.eq_ignore_ascii_case(host) && path.starts_with(&r.path_prefix);
     let route = config
         .routes
@@ -104,21 +114,21 @@
 }
 
 #[tokio::test]
-async fn each_configuration_is_in_force_whole_whatever_was_before_it() {
+async fn configuration_is_in_force_whole_whatever_was_before_it() {
     let test = async {
         let (routes, mut rng) = (routes(), oorandom::Rand64::new(22));
         let mut current = Config::default();
         for round in 1..=300 {
             // At times one comes late that is older than what is in force.
             let late = round > 5 && rng.rand_range(0..4) == 0;
-            let config = drawn(&mut rng, round);
-            let told = Arc::new(CompactConfig::of(&config));
+            let config = random_config(&mut rng, round);
+            let compact = Arc::new(CompactConfig::of(&config));
             let index = if late { round - 5 } else { 10 * round };
-            routes.take_news(index, told);
+            routes.take_configuration(index, compact);
             if !late {
                 current = config;
             }
-            let in_force = |s: &super::Service| s.classes.iter().filter(|c| !c.retired).count();
+            let in_force = |s: &services::Service| s.classes.iter().filter(|c| !c.retired).count();
             let parts: usize = current
                 .routes
                 .iter()
@@ -132,23 +142,21 @@
             for place in 0..44 {
                 let (host, path) = (format!("hOST{}.example:80", place % 4), "/p/".to_string());
                 let path = path + &"p/".repeat(place / 4) + "file";
-                let found = routes.route(&host, &path);
+                let found = routes.route_table.find(&host, &path);
                 let services = routes.services.borrow();
                 let parts = found.as_ref().map(|route| {
-                    let name = |(service, class, _): &(usize, usize, u32)| {
-                        assert!(
-                            !services[*service].classes[*class].retired,
-                            "a class in force"
-                        );
-                        services[*service].name.as_str()
+                    let name = |split: &Split| {
+                        let service = services.get(split.service);
+                        assert!(!service.classes[split.class].retired, "a class in force");
+                        service.name.as_str()
                     };
-                    let names = route.parts.iter().map(name).collect();
+                    let names = route.splits.iter().map(name).collect();
                     (route.deadline.as_millis() as u64, names)
                 });
                 let host = host.trim_end_matches(":80");
                 assert_eq!(
                     parts,
-                    owed(&current, host, &path),
+                    expected(&current, host, &path),
                     "round {round}, {host}{path}"
                 );
             }
@@ -159,11 +167,11 @@
 
 impl Routes {
     /// Takes in what a session brings.
-    fn take_news(&self, index: u64, config: Arc<CompactConfig>) {
-        let news = WatchUpdate {
+    fn take_configuration(&self, index: u64, config: Arc<CompactConfig>) {
+        let update = WatchUpdate {
             config: Some((index, config)),
             ..WatchUpdate::default()
         };
-        UpdateHandler::take(self, &news);
+        UpdateHandler::handle_update(self, &update);
     }
 }
--- /dev/null
+++ b/crates/data-plane/src/routes/watch_updates.rs
@@ -0,0 +1,199 @@
+//! What the control plane sent, by version, and what is requested of it. Each part of an update is taken only if it is
+//! newer than what is held; then the engine is told what has changed, in one order: settings, upstreams, key owners.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use protocol::config::Limits;
+use protocol::key_ranges::{KeyRangeView, WORK_UNIT_MS, WorkCounts};
+use protocol::upstream_list::{UpdateOutcome, UpstreamList};
+use protocol::wire::{FleetView, WatchRequest, WatchUpdate};
+
+use super::Routes;
+use crate::change_notifier::ChangeWatcher;
+use crate::control_client::UpdateHandler;
+
+/// What is held of the replicated state, as last told. Log indexes are 0 for what was never told.
+#[derive(Default)]
+pub(super) struct ControlState {
+    pub(super) config_index: u64,
+    pub(super) limits: Limits,
+    evacuations_index: u64,
+    pub(super) evacuated_zones: Vec<String>,
+    keys_index: u64,
+    /// Who holds which keys, by service.
+    pub(super) key_ranges: BTreeMap<String, KeyRangeView>,
+    /// Upstreams by zone.
+    pub(super) zones: BTreeMap<String, UpstreamList>,
+    /// Zones of which a difference came whose base is not held: the whole list is requested.
+    zones_missing_base: BTreeSet<String>,
+    pub(super) fleet: Option<FleetView>,
+}
+
+impl ControlState {
+    /// Whether a configuration is in force.
+    pub(super) fn has_config(&self) -> bool {
+        self.config_index > 0
+    }
+
+    /// The version of a zone's list to build on; 0 asks for the whole list.
+    fn requested_version(&self, zone: &str, list: &UpstreamList) -> u64 {
+        if self.zones_missing_base.contains(zone) {
+            0
+        } else {
+            list.version()
+        }
+    }
+}
+
+/// What an update changed of the zones' upstreams.
+struct ZoneChanges<'a> {
+    /// Ids of the upstreams that changed, by zone.
+    changed: Vec<(&'a str, BTreeSet<String>)>,
+    /// A difference came whose base is not held.
+    is_missing_base: bool,
+}
+
+impl UpdateHandler for Routes {
+    fn watch_request(&self) -> WatchRequest {
+        let state = self.control_state.borrow();
+        let zones = state.zones.iter();
+        WatchRequest {
+            config_index: state.config_index,
+            evacuations_index: state.evacuations_index,
+            keys_index: state.keys_index,
+            zone_versions: zones
+                .map(|(zone, list)| (zone.clone(), state.requested_version(zone, list)))
+                .collect(),
+            ready: state.has_config() && self.engine.ready(),
+            draining: self.draining.get(),
+            ..WatchRequest::default()
+        }
+    }
+
+    fn handle_update(&self, update: &WatchUpdate) -> bool {
+        let is_config_new = self.take_config(update);
+        let zones = self.take_zone_updates(update);
+        let are_evacuations_new = self.take_evacuations(update);
+        let are_keys_new = self.take_key_ranges(update);
+
+        if is_config_new {
+            self.send_settings();
+        }
+        let any_zone_changed = !zones.changed.is_empty();
+        if is_config_new || are_evacuations_new {
+            self.send_all_upstreams();
+        } else {
+            for (zone, ids) in zones.changed {
+                self.send_changed_upstreams(zone, ids);
+            }
+        }
+        if is_config_new {
+            let state = self.control_state.borrow();
+            self.send_key_owners(state.key_ranges.keys());
+        } else if are_keys_new && let Some((_, services)) = &update.keys {
+            self.send_key_owners(services.keys());
+        }
+        if is_config_new || are_evacuations_new || any_zone_changed || are_keys_new {
+            self.changes.notify();
+        }
+        zones.is_missing_base
+    }
+
+    fn take_work_counts(&self) -> WorkCounts {
+        let services = self.services.borrow();
+        let mut counts = WorkCounts::new();
+        for ((service, bucket), spent) in self.engine.work() {
+            let units = spent.as_millis() / u128::from(WORK_UNIT_MS);
+            let units = units.min(u128::from(u16::MAX)) as u16;
+            let name = services.get(service).name.clone();
+            counts.entry(name).or_default().push((bucket, units));
+        }
+        counts
+    }
+
+    fn handle_fleet_view(&self, fleet: FleetView) {
+        if self.control_state.borrow_mut().fleet.replace(fleet) != Some(fleet) {
+            self.send_settings();
+        }
+    }
+
+    fn watch_changes(&self) -> ChangeWatcher {
+        self.changes.watch()
+    }
+
+    fn wake_sessions(&self) {
+        self.changes.notify();
+    }
+}
+
+/// The parts of an update. Each says whether it brought something new.
+impl Routes {
+    fn take_config(&self, update: &WatchUpdate) -> bool {
+        let held = self.control_state.borrow().config_index;
+        let newer = update.config.as_ref().filter(|(index, _)| *index > held);
+        if let Some((index, config)) = newer {
+            self.apply_config(*index, &config.config());
+        }
+        newer.is_some()
+    }
+
+    fn take_zone_updates<'a>(&self, update: &'a WatchUpdate) -> ZoneChanges<'a> {
+        let mut changes = ZoneChanges {
+            changed: Vec::new(),
+            is_missing_base: false,
+        };
+        for (zone, zone_update) in &update.zone_updates {
+            let mut state = self.control_state.borrow_mut();
+            let list = state.zones.entry(zone.clone()).or_default();
+            match list.apply_update(zone_update, self.membership.now_ms()) {
+                UpdateOutcome::Stale(ids) if ids.is_empty() => {}
+                UpdateOutcome::Stale(ids) | UpdateOutcome::Applied(ids) => {
+                    self.record_starts(list, &ids);
+                    state.zones_missing_base.remove(zone);
+                    changes.changed.push((zone, ids));
+                }
+                UpdateOutcome::MissingBase => {
+                    tracing::debug!(
+                        zone,
+                        "upstream list cannot be brought up to date: its base is missing; asking for all of it"
+                    );
+                    state.zones_missing_base.insert(zone.clone());
+                    changes.is_missing_base = true;
+                }
+            }
+        }
+        changes
+    }
+
+    fn take_evacuations(&self, update: &WatchUpdate) -> bool {
+        let held = self.control_state.borrow().evacuations_index;
+        let evacuations = update.evacuated_zones.as_ref();
+        let Some((index, zones)) = evacuations.filter(|(index, _)| *index > held) else {
+            return false;
+        };
+        let before = {
+            let mut state = self.control_state.borrow_mut();
+            state.evacuations_index = *index;
+            std::mem::replace(&mut state.evacuated_zones, zones.clone())
+        };
+        for returned in before.iter().filter(|z| !zones.contains(z)) {
+            self.restart_zone(returned);
+        }
+        true
+    }
+
+    fn take_key_ranges(&self, update: &WatchUpdate) -> bool {
+        let mut state = self.control_state.borrow_mut();
+        let held = state.keys_index;
+        let keys = update.keys.as_ref();
+        let Some((index, services)) = keys.filter(|(index, _)| *index > held) else {
+            return false;
+        };
+        state.keys_index = *index;
+        for (service, rows) in services {
+            let ranges = state.key_ranges.entry(service.clone()).or_default();
+            ranges.apply(rows);
+        }
+        true
+    }
+}
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -1,57 +1,79 @@
-//! A data-plane balancer as a process: puts the parts together, and ends in order.
+//! A data-plane balancer as a process: composes its parts, serves until it is told to stop, and ends in order.
+//!
+//! [`compose`] is the one place in which the parts meet. `shutdown` holds the times between SIGTERM and the end,
+//! `readiness` answers the platform's checks.
+//!
+//! **Promises.** What clients sent up to 3 s after the stop is answered before the process ends. **Neighbours down.**
+//! Without the control plane it serves what it was told last; if the engine ends the process does too, since nothing
+//! would be answered any more and a restart is better.
 
-use std::cell::RefCell;
+mod readiness;
+mod shutdown;
+
+use std::cell::OnceCell;
 use std::future::Future;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use hyper::body::Incoming;
+use hyper::StatusCode;
 use hyper::header::HeaderName;
-use hyper::{Request, StatusCode};
 use protocol::config::Limits;
 use protocol::settings::Settings;
 use protocol::wire::Balancer;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
-use tokio::time::{Instant, sleep};
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::sleep;
 
+use self::readiness::{MAX_READINESS_CONNECTIONS, ReadinessHandler};
+use self::shutdown::{client_limits, reject_unsent_after};
 use crate::client_connections::ClientTimeouts;
 use crate::control_client::{CONNECT_TIMEOUT, ControlClient};
-use crate::engine::{self, Engine, EngineEvent};
-use crate::headers::{ClientResponse, empty_response};
-use crate::listener::{FINAL_REQUEST_WAIT, Listener, ListenerLimits, RequestHandler};
-use crate::metrics;
+use crate::engine::{Engine, EngineConfig, EngineEvent};
+use crate::listener::{Listener, ListenerLimits};
 use crate::routes::Routes;
 use crate::upstream_pool::{
     LoadReportFormat, PoolConfig, UpstreamPool, UpstreamProtocol, promises_not_run,
 };
 
 /// Descriptors that are neither a client's nor an upstream's.
-const RESERVED: usize = 264;
-/// The modules work to this much less than the client's deadline, so that an answer at the deadline still
+const RESERVED_FDS: usize = 264;
+/// Descriptors for clients and upstreams, whatever the settings say.
+const MIN_CONNECTION_FDS: usize = 32;
+/// The decision modules work to this much less than the client's deadline, so that an answer at the deadline still
 /// arrives: the way to the client, and a busy moment here.
-const HEADROOM: Duration = Duration::from_millis(30);
+const RESPONSE_HEADROOM: Duration = Duration::from_millis(30);
 /// Timers fire on multiples of this, so that those of many services fire together.
-const GRID: Duration = Duration::from_millis(25);
+const TIMER_GRID: Duration = Duration::from_millis(25);
 /// An upstream that does not say how long it keeps idle connections keeps them for so long at least.
-const KEEPALIVE: Duration = Duration::from_secs(8);
-/// Answers that are read, or not yet written to their clients, may take this part of the memory together.
-const ANSWERS_OF_MEMORY: usize = 4;
-/// The platform's checks are few.
-const CHECKS: usize = 16;
-/// This part of the time from SIGTERM to the end goes to new connections at the most: clients need it to hear of it.
-const LINGER_OF_GRACE: f64 = 0.5;
-/// Nothing is taken later than this after SIGTERM. Failure: a request that was taken after 4.4 s of 10 was sent on
-/// twice, and the process ended while its upstream was at work. The platform asks for an answer to whatever a client
-/// sent later than 3 s after the signal.
-const TAKES: Duration = Duration::from_millis(2800);
-/// This much is left at the end.
-const SPARE: Duration = Duration::from_millis(500);
-/// What has not run by then is refused so long before the last answers have to be out.
-const REFUSES_BEFORE: Duration = Duration::from_millis(300);
+const DEFAULT_UPSTREAM_KEEPALIVE: Duration = Duration::from_secs(8);
+/// Responses that are read, or not yet written to their clients, may take this part of the memory together.
+const RESPONSE_MEMORY_DIVISOR: usize = 4;
+
+/// Why a data plane ended before it was told to.
+#[derive(Debug, thiserror::Error)]
+pub enum RuntimeError {
+    /// The settings do not say where to serve.
+    #[error("`listen.http` is not set")]
+    NoHttpAddress,
+    /// An address of the settings cannot be listened on.
+    #[error("{setting} on {address}: {source}")]
+    Bind {
+        /// The key below `listen`.
+        setting: &'static str,
+        /// Its value.
+        address: SocketAddr,
+        /// What the system said.
+        source: io::Error,
+    },
+    /// The engine's task ended; nothing would be answered any more.
+    #[error("the engine ended")]
+    EngineEnded,
+}
 
-/// What upstreams say, in the words of this protocol.
+/// What upstreams say, in the words of the users' protocol.
 pub fn upstream_protocol() -> UpstreamProtocol {
     UpstreamProtocol {
         deadline: HeaderName::from_static("deadline-ms"),
@@ -70,144 +92,149 @@
     }
 }
 
-/// Answers the platform's checks, and whoever watches what is counted.
-struct Readiness {
-    routes: Rc<Routes>,
-}
-
-impl RequestHandler for Readiness {
-    async fn answer(&self, request: Request<Incoming>, _: Instant, _: bool) -> ClientResponse {
-        match request.uri().path() {
-            "/-/ready" if self.routes.is_ready() => empty_response(StatusCode::OK),
-            "/-/ready" => empty_response(StatusCode::SERVICE_UNAVAILABLE),
-            "/-/metrics" => metrics::metrics_response(self.routes.metrics_text()),
-            _ => empty_response(StatusCode::NOT_FOUND),
-        }
-    }
-}
-
-fn times(limits: &Limits) -> ClientTimeouts {
+fn client_timeouts(limits: &Limits) -> ClientTimeouts {
     ClientTimeouts {
-        head: Duration::from_millis(limits.header_timeout_ms.max(1)),
+        header: Duration::from_millis(limits.header_timeout_ms.max(1)),
         idle: Duration::from_millis(limits.idle_timeout_ms.max(1)),
     }
 }
 
-/// What the clients' side holds to, with so many connections and so much time from SIGTERM to the end.
-fn client_bounds(connections: usize, grace: Duration) -> ListenerLimits {
-    let limits = Limits::default();
-    let linger = grace
-        .mul_f64(LINGER_OF_GRACE)
-        .min(TAKES - FINAL_REQUEST_WAIT);
-    ListenerLimits {
-        max_connections: connections,
-        idle_eviction_threshold: connections / 2,
-        max_header_bytes: limits.max_header_bytes,
-        timeouts: times(&limits),
-        accept_grace: linger,
-        drain_timeout: grace.saturating_sub(linger).saturating_sub(SPARE),
-        final_request_wait: FINAL_REQUEST_WAIT,
-    }
+/// Clients' connections, and as many to upstreams.
+fn max_connections(settings: &Settings) -> usize {
+    let fds = settings.limits.max_fds.saturating_sub(RESERVED_FDS);
+    fds.max(MIN_CONNECTION_FDS) / 2
 }
 
-/// When, after SIGTERM, what was not sent to an upstream is refused.
-fn refuses_after(bounds: &ListenerLimits) -> Duration {
-    (bounds.accept_grace + bounds.drain_timeout).saturating_sub(REFUSES_BEFORE)
+/// The parts of a data plane in the order in which a request meets them.
+struct DataPlane {
+    listener: Rc<Listener<Routes>>,
+    routes: Rc<Routes>,
+    engine: JoinHandle<()>,
+    /// Tells the engine something from outside a request.
+    send_event: Box<dyn Fn(EngineEvent)>,
 }
 
-/// Serves until `stop`, then finishes what was taken.
-pub async fn run(
-    settings: Settings,
-    mut reloads: mpsc::UnboundedReceiver<Settings>,
-    stop: impl Future<Output = ()>,
-) -> Result<(), String> {
-    let http = settings.listen.http.ok_or("`listen.http` is not set")?;
-    let bind = async |what: &str, at: SocketAddr| {
-        TcpListener::bind(at)
-            .await
-            .map_err(|e| format!("{what} on {at}: {e}"))
-    };
-    let listener = bind("http", http).await?;
-    let checks = match settings.listen.readiness {
-        Some(at) => Some(bind("readiness", at).await?),
-        None => None,
-    };
-    let half = settings.limits.max_fds.saturating_sub(RESERVED).max(32) / 2;
+/// Composes the parts of the data plane, from the one that a request meets last.
+fn compose(settings: &Settings, limits: ListenerLimits) -> DataPlane {
     let pool = UpstreamPool::new(PoolConfig {
-        max_connections: half,
-        keepalive: KEEPALIVE,
+        max_connections: max_connections(settings),
+        keepalive: DEFAULT_UPSTREAM_KEEPALIVE,
         connect_timeout: CONNECT_TIMEOUT,
-        max_response_bytes: (settings.limits.mem_mb << 20) / ANSWERS_OF_MEMORY,
+        max_response_bytes: (settings.limits.mem_mb << 20) / RESPONSE_MEMORY_DIVISOR,
         protocol: upstream_protocol(),
     });
-    let terms = engine::EngineConfig {
+    let config = EngineConfig {
         seed: load_balancing::settings::stable_hash(&settings.node),
-        headroom: HEADROOM,
+        headroom: RESPONSE_HEADROOM,
         drain_grace: Duration::ZERO,
-        grid: GRID,
+        grid: TIMER_GRID,
         subscribe: None,
     };
-    let (engine, handle) = Engine::new(terms, pool);
-    let engine = tokio::task::spawn_local(engine.run());
-    let tell = handle.teller();
-    let bounds = client_bounds(half, settings.grace_period());
-    let refuses_after = refuses_after(&bounds);
-    // The routes hold the front to the configuration's limits, and the front asks the routes.
-    let slot: Rc<RefCell<Weak<Listener<Routes>>>> = Rc::default();
-    let limited = slot.clone();
-    let routes = Routes::new(
-        &settings,
-        handle,
-        Box::new(move |limits| {
-            if let Some(front) = limited.borrow().upgrade() {
-                front.set_limits(limits.max_header_bytes, times(limits));
+    let (engine, handle) = Engine::new(config, pool);
+    let engine = spawn_local(engine.run());
+    let send_event = Box::new(handle.teller());
+    // The routes hold the listener to the configuration's limits, and the listener hands its requests to the routes.
+    let limited: Rc<OnceCell<Weak<Listener<Routes>>>> = Rc::default();
+    let on_limits = {
+        let limited = limited.clone();
+        move |limits: &Limits| {
+            if let Some(listener) = limited.get().and_then(Weak::upgrade) {
+                listener.set_limits(limits.max_header_bytes, client_timeouts(limits));
             }
-        }),
-    );
-    let clients = Listener::new(routes.clone(), bounds);
-    *slot.borrow_mut() = Rc::downgrade(&clients);
-    if let Some(checks) = checks {
-        let gate = Rc::new(Readiness {
-            routes: routes.clone(),
-        });
-        let bounds = ListenerLimits {
-            max_connections: CHECKS,
-            idle_eviction_threshold: CHECKS,
-            ..bounds
+        }
+    };
+    let routes = Routes::new(settings, handle, Box::new(on_limits));
+    let listener = Listener::new(routes.clone(), limits);
+    limited.get_or_init(|| Rc::downgrade(&listener));
+    DataPlane {
+        listener,
+        routes,
+        engine,
+        send_event,
+    }
+}
+
+async fn bind(setting: &'static str, address: SocketAddr) -> Result<TcpListener, RuntimeError> {
+    let bound = TcpListener::bind(address).await;
+    bound.map_err(|source| RuntimeError::Bind {
+        setting,
+        address,
+        source,
+    })
+}
+
+/// Keeps sessions with the control plane for the life of the process, with the seeds of each reload of the settings.
+fn start_control_client(
+    balancer: Balancer,
+    routes: Rc<Routes>,
+    settings: &Settings,
+    mut reloads: mpsc::UnboundedReceiver<Settings>,
+) {
+    let client = ControlClient::new(balancer, routes);
+    client.add_seeds(settings.internal_seeds());
+    spawn_local(client.clone().run());
+    spawn_local(async move {
+        while let Some(settings) = reloads.recv().await {
+            client.add_seeds(settings.internal_seeds());
+        }
+    });
+}
+
+/// Serves until `stop`, then finishes what was taken. Takes the seeds of settings that are reloaded meanwhile; the rest
+/// of them holds from the next start on.
+///
+/// # Errors
+///
+/// The settings have no address to serve on, one cannot be listened on, or the engine ended.
+pub async fn run(
+    settings: Settings,
+    reloads: mpsc::UnboundedReceiver<Settings>,
+    stop: impl Future<Output = ()>,
+) -> Result<(), RuntimeError> {
+    let http = settings.listen.http.ok_or(RuntimeError::NoHttpAddress)?;
+    let socket = bind("http", http).await?;
+    let readiness_socket = match settings.listen.readiness {
+        Some(address) => Some(bind("readiness", address).await?),
+        None => None,
+    };
+    let limits = client_limits(max_connections(&settings), settings.grace_period());
+    let reject_after = reject_unsent_after(&limits);
+    let DataPlane {
+        listener,
+        routes,
+        engine,
+        send_event,
+    } = compose(&settings, limits);
+    if let Some(socket) = readiness_socket {
+        let handler = Rc::new(ReadinessHandler::new(routes.clone()));
+        let limits = ListenerLimits {
+            max_connections: MAX_READINESS_CONNECTIONS,
+            idle_eviction_threshold: MAX_READINESS_CONNECTIONS,
+            ..limits
         };
-        tokio::task::spawn_local(Listener::new(gate, bounds).serve(checks, std::future::pending()));
+        spawn_local(Listener::new(handler, limits).serve(socket, std::future::pending()));
     }
-    let me = Balancer {
+    let balancer = Balancer {
         node: settings.node.clone(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
         http,
     };
-    let watch = ControlClient::new(me, routes.clone());
-    watch.add_seeds(settings.internal_seeds());
-    tokio::task::spawn_local(watch.clone().run());
-    tokio::task::spawn_local(async move {
-        while let Some(settings) = reloads.recv().await {
-            watch.add_seeds(settings.internal_seeds());
-        }
-    });
-    tracing::info!(node = settings.node, %http, "data plane");
-    let leaves = routes.clone();
-    let serve = clients.serve(listener, async move {
+    start_control_client(balancer, routes.clone(), &settings, reloads);
+    tracing::info!(node = settings.node, zone = settings.zone, %http, "data plane is serving");
+    let serve = listener.serve(socket, async move {
         stop.await;
-        leaves.start_draining();
-        tokio::task::spawn_local(async move {
-            sleep(refuses_after).await;
-            tell(EngineEvent::Ending);
+        routes.start_draining();
+        spawn_local(async move {
+            sleep(reject_after).await;
+            send_event(EngineEvent::Ending);
         });
     });
     tokio::select! {
         () = serve => Ok(()),
-        // Without it nothing is ever answered well again; a restart is better.
-        _ = engine => Err("the engine ended".to_string()),
+        _ = engine => Err(RuntimeError::EngineEnded),
     }
 }
 
 #[cfg(test)]
-#[path = "node_tests.rs"]
 mod tests;
--- a/crates/data-plane/src/upstream_connection.rs
+++ b/crates/data-plane/src/upstream_connection.rs
@@ -30,7 +30,7 @@
     Framing, HEAD_LIMIT, Malformed, chunk_size, closes, framing, is_trailer, parse_head,
 };
 use crate::headers::MAX_HEADER_LINES;
-use crate::tunnel::status_lines;
+use crate::response_desync::find_status_lines;
 
 /// The largest answer. Failure: a body is said to have 64 KiB at most, but in service some answers have
 /// 400 KB; taken for spoilt, each cost its request and its connection.
@@ -311,7 +311,7 @@
         let Some((echo, _)) = awaited.echo else {
             return false;
         };
-        status_lines(body).any(|at| {
+        find_status_lines(body).any(|at| {
             let mut text = BytesMut::from(&body[at..body.len().min(at + HEAD_LIMIT)]);
             text.extend_from_slice(&self.unread[..self.unread.len().min(HEAD_LIMIT)]);
             match parse_head(&text) {
--- a/crates/data-plane/tests/client_schedules.rs
+++ b/crates/data-plane/tests/client_schedules.rs
@@ -200,7 +200,12 @@
 }
 
 impl RequestHandler for Planned {
-    async fn answer(&self, request: Request<Incoming>, _: Instant, _: bool) -> ClientResponse {
+    async fn handle_request(
+        &self,
+        request: Request<Incoming>,
+        _: Instant,
+        _: bool,
+    ) -> ClientResponse {
         let (head, body_sent) = request.into_parts();
         let number: usize = head.uri.path()[1..].parse().expect("a number");
         let plan = head.headers["plan"].to_str().expect("text");
@@ -237,7 +242,7 @@
         idle_eviction_threshold: 8,
         max_header_bytes: 8192,
         timeouts: ClientTimeouts {
-            head: ample,
+            header: ample,
             idle: ample,
         },
         accept_grace: Duration::ZERO,
--- a/crates/shorefront/src/main.rs
+++ b/crates/shorefront/src/main.rs
@@ -134,7 +134,9 @@
         term.recv().await;
     };
     match role {
-        Role::DataPlane => data_plane::runtime::run(settings, reloads, stop).await,
+        Role::DataPlane => data_plane::runtime::run(settings, reloads, stop)
+            .await
+            .map_err(|error| error.to_string()),
         Role::Control => control_plane::runtime::run(settings, reloads, stop).await,
     }
 }
--- a/crates/simulation/tests/cells/balancers.rs
+++ b/crates/simulation/tests/cells/balancers.rs
@@ -117,7 +117,7 @@
 }
 
 impl UpdateHandler for Memory {
-    fn ask(&self) -> WatchRequest {
+    fn watch_request(&self) -> WatchRequest {
         let (zones, incomplete) = (self.zones.borrow(), self.incomplete.borrow());
         let version = |(zone, list): (&String, &UpstreamList)| {
             (
@@ -138,7 +138,7 @@
         }
     }
 
-    fn take(&self, news: &WatchUpdate) -> bool {
+    fn handle_update(&self, news: &WatchUpdate) -> bool {
         if let Some((index, config)) = &news.config {
             self.history
                 .require(!news.out_of_contact, || "told without contact".into());
@@ -147,23 +147,23 @@
             }
         }
         let has_gap = self.take_zones(news);
-        self.wake();
+        self.wake_sessions();
         has_gap
     }
 
-    fn work(&self) -> WorkCounts {
+    fn take_work_counts(&self) -> WorkCounts {
         WorkCounts::new()
     }
 
-    fn bank(&self, bank: FleetView) {
+    fn handle_fleet_view(&self, bank: FleetView) {
         self.bank.set(Some(bank));
     }
 
-    fn changes(&self) -> ChangeWatcher {
+    fn watch_changes(&self) -> ChangeWatcher {
         self.changes.watch()
     }
 
-    fn wake(&self) {
+    fn wake_sessions(&self) {
         self.changes.notify();
     }
 }
@@ -174,7 +174,7 @@
 impl Network for Path {
     type Stream = DuplexStream;
 
-    async fn dial(&self, at: SocketAddr) -> io::Result<DuplexStream> {
+    async fn connect(&self, at: SocketAddr) -> io::Result<DuplexStream> {
         let Some(to) = self.0.place(at) else {
             sleep(CONNECT_TIMEOUT).await;
             return Err(io::ErrorKind::TimedOut.into());
--- a/crates/standalone-proxy/src/api.rs
+++ b/crates/standalone-proxy/src/api.rs
@@ -202,7 +202,7 @@
 }
 
 impl RequestHandler for Api {
-    async fn answer(
+    async fn handle_request(
         &self,
         request: Request<Incoming>,
         arrived: Instant,
--- a/crates/standalone-proxy/src/config.rs
+++ b/crates/standalone-proxy/src/config.rs
@@ -139,7 +139,7 @@
             idle_eviction_threshold: self.sockets / 4,
             max_header_bytes: HEAD_LIMIT,
             timeouts: ClientTimeouts {
-                head: HEAD_TIME,
+                header: HEAD_TIME,
                 idle: IDLE,
             },
             accept_grace: LINGER,
