--- a/crates/data-plane/tests/client_schedules.rs
+++ b/crates/data-plane/tests/client_schedules.rs
@@ -1,9 +1,10 @@
-//! A client's connection under generated schedules: requests one behind another, split at any byte, with
-//! garbage behind them, from a client that leaves, half closes or reads late, at a gate that answers when it
-//! likes. Oracle: what comes back are the answers to its requests, in order and whole; or the connection ends
-//! without looking complete.
+//! A client's connection under generated schedules: requests one behind another, split at any byte, with garbage behind
+//! them, from a client that leaves, half closes or reads late, to a handler that answers when it likes.
 //!
-//! `CLIENT_SCHEDULES` and `CLIENT_SEED` ask for more schedules, and others.
+//! Oracle: what comes back are the answers to its requests, in order and whole; or the connection ends without looking
+//! complete.
+//!
+//! `CLIENT_SCHEDULES` and `CLIENT_SEED` ask for more schedules, and for others.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -28,13 +29,13 @@
 use tokio::time::{Instant, timeout};
 
 /// Longest wait for anything that has to happen.
-const SOON: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 const SCHEDULES: u32 = 3000;
 /// What is left after so many pieces is written at once.
-const PIECES: usize = 100;
+const MAX_PIECES: usize = 100;
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct PlannedRequest {
     method: &'static str,
     version: &'static str,
     /// So many bytes, with a length or in chunks.
@@ -42,14 +43,14 @@
     chunked: bool,
     /// The last that it asks for.
     closes: bool,
-    /// What the gate makes of it: the answer's status and length, and so many turns of others before.
+    /// What the handler makes of it: the answer's status and length, and so many turns of others before.
     status: u16,
     size: usize,
     turns: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
+enum ClientEnd {
     /// Reads until it has all answers.
     Stays,
     HalfCloses,
@@ -63,17 +64,17 @@
 
 #[derive(Clone, Debug)]
 struct Schedule {
-    asked: Vec<Asked>,
+    requests: Vec<PlannedRequest>,
     /// The lengths of the pieces that are written, over and over.
     pieces: Vec<usize>,
     /// Reads nothing before all is written.
     reads_late: bool,
-    end: End,
-    /// The front is told to stop after so many requests have reached the gate.
+    end: ClientEnd,
+    /// The listener is told to stop after so many requests have reached the handler.
     stops_after: Option<usize>,
 }
 
-fn asked() -> impl Strategy<Value = Asked> {
+fn planned_request() -> impl Strategy<Value = PlannedRequest> {
     let method = select(vec!["GET", "GET", "POST", "HEAD", "PUT"]);
     let version = select(vec!["1.1", "1.1", "1.1", "1.1", "1.1", "1.1", "1.1", "1.0"]);
     let body = prop_oneof![Just(0usize), 1..50usize, 1000..20_000usize];
@@ -100,7 +101,7 @@
         .prop_map(
             |(method, version, body, chunked, closes, status, size, turns)| {
                 let chunked = chunked && version == "1.1";
-                Asked {
+                PlannedRequest {
                     method,
                     version,
                     body,
@@ -116,28 +117,30 @@
 
 fn schedule() -> impl Strategy<Value = Schedule> {
     let end = prop_oneof![
-        3 => Just(End::Stays),
-        1 => Just(End::HalfCloses),
-        1 => (0..30_000usize).prop_map(End::Leaves),
-        1 => Just(End::Garbage),
-        1 => Just(End::Cut),
+        3 => Just(ClientEnd::Stays),
+        1 => Just(ClientEnd::HalfCloses),
+        1 => (0..30_000usize).prop_map(ClientEnd::Leaves),
+        1 => Just(ClientEnd::Garbage),
+        1 => Just(ClientEnd::Cut),
     ];
     let pieces = prop::collection::vec(prop_oneof![1..40usize, 40..3000usize], 1..4);
     let stops_after = prop::option::weighted(0.2, 1..4usize);
     (
-        prop::collection::vec(asked(), 1..6),
+        prop::collection::vec(planned_request(), 1..6),
         pieces,
         any::<bool>(),
         end,
         stops_after,
     )
-        .prop_map(|(asked, pieces, reads_late, end, stops_after)| Schedule {
-            asked,
-            pieces,
-            reads_late,
-            end,
-            stops_after,
-        })
+        .prop_map(
+            |(requests, pieces, reads_late, end, stops_after)| Schedule {
+                requests,
+                pieces,
+                reads_late,
+                end,
+                stops_after,
+            },
+        )
 }
 
 /// The body of an answer, unlike that of any other in the schedule.
@@ -156,7 +159,7 @@
     &bytes[number * APART..][..size]
 }
 
-impl Asked {
+impl PlannedRequest {
     fn text(&self, number: usize) -> Vec<u8> {
         let (method, version) = (self.method, self.version);
         let mut text = format!("{method} /{number} HTTP/{version}\r\nHost: h\r\n");
@@ -186,20 +189,20 @@
     }
 
     /// Whether its answer has a body on the wire.
-    fn bodied(&self) -> bool {
+    fn has_response_body(&self) -> bool {
         self.method != "HEAD" && ![204, 304].contains(&self.status)
     }
 }
 
 /// Answers as the request's own head says.
 #[derive(Default)]
-struct Planned {
-    /// Requests that came whole, and a word when there were so many.
+struct PlannedHandler {
+    /// Requests that came whole, and whom to tell when there were so many.
     whole: Cell<usize>,
     awaited: Cell<Option<(usize, oneshot::Sender<()>)>>,
 }
 
-impl RequestHandler for Planned {
+impl RequestHandler for PlannedHandler {
     async fn handle_request(
         &self,
         request: Request<Incoming>,
@@ -220,7 +223,7 @@
         }
         self.whole.set(self.whole.get() + 1);
         match self.awaited.take() {
-            Some((count, word)) if count == self.whole.get() => drop(word.send(())),
+            Some((count, reached)) if count == self.whole.get() => drop(reached.send(())),
             other => self.awaited.set(other),
         }
         for _ in 0..plan[2] {
@@ -232,12 +235,19 @@
     }
 }
 
-/// What one client was sent until it or the front closed, and how many of its requests had come whole.
-async fn play(schedule: &Schedule) -> (Vec<u8>, usize) {
+/// What came of a schedule.
+struct Transcript {
+    /// All that the client was sent until it or the listener closed.
+    received: Vec<u8>,
+    /// Its requests that had come whole.
+    whole_requests: usize,
+}
+
+async fn play(schedule: &Schedule) -> Transcript {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
-    let ample = SOON * 10;
-    let bounds = ListenerLimits {
+    let ample = MAX_WAIT * 10;
+    let limits = ListenerLimits {
         max_connections: 8,
         idle_eviction_threshold: 8,
         max_header_bytes: 8192,
@@ -249,58 +259,61 @@
         drain_timeout: ample,
         final_request_wait: Duration::ZERO,
     };
-    let gate = Rc::new(Planned::default());
-    let (word, stop) = oneshot::channel();
+    let handler = Rc::new(PlannedHandler::default());
+    let (reached, stop) = oneshot::channel();
     if let Some(count) = schedule.stops_after {
-        gate.awaited.set(Some((count, word)));
+        handler.awaited.set(Some((count, reached)));
     }
-    let front = Listener::new(gate.clone(), bounds);
+    let server = Listener::new(handler.clone(), limits);
     let stop = async move {
         // Where it is not to stop, its sender is gone.
         if stop.await.is_err() {
             pending().await
         }
     };
-    let serving = spawn_local(front.serve(listener, stop));
-    let heard = timeout(SOON, converse(at, schedule))
+    let serving = spawn_local(server.serve(listener, stop));
+    let received = timeout(MAX_WAIT, run_client(at, schedule))
         .await
         .expect("in time");
     serving.abort();
-    (heard, gate.whole.get())
+    Transcript {
+        received,
+        whole_requests: handler.whole.get(),
+    }
 }
 
-async fn converse(at: SocketAddr, schedule: &Schedule) -> Vec<u8> {
+async fn run_client(at: SocketAddr, schedule: &Schedule) -> Vec<u8> {
     let stream = TcpStream::connect(at).await.expect("reachable");
     stream.set_nodelay(true).expect("set");
     let (mut reader, mut writer) = stream.into_split();
     let (written, all_written) = oneshot::channel::<()>();
     let write = async move {
         let mut text = Vec::new();
-        for (number, asked) in schedule.asked.iter().enumerate() {
-            text.extend(asked.text(number));
+        for (number, request) in schedule.requests.iter().enumerate() {
+            text.extend(request.text(number));
         }
         match schedule.end {
-            End::Garbage => text.extend(b"\x16\x03 no request\r\n\r\n"),
-            End::Cut => text.extend(&schedule.asked[0].text(0)[..30]),
-            End::Stays | End::HalfCloses | End::Leaves(_) => {}
+            ClientEnd::Garbage => text.extend(b"\x16\x03 no request\r\n\r\n"),
+            ClientEnd::Cut => text.extend(&schedule.requests[0].text(0)[..30]),
+            ClientEnd::Stays | ClientEnd::HalfCloses | ClientEnd::Leaves(_) => {}
         }
         let pieces = schedule
             .pieces
             .iter()
             .cycle()
-            .take(PIECES)
+            .take(MAX_PIECES)
             .chain([&usize::MAX]);
         let mut text = &text[..];
         for length in pieces {
             let (piece, rest) = text.split_at(text.len().min(*length));
-            // The front may have closed already.
+            // The listener may have closed already.
             if writer.write_all(piece).await.is_err() {
                 break;
             }
             text = rest;
             yield_now().await;
         }
-        if matches!(schedule.end, End::HalfCloses | End::Cut) {
+        if matches!(schedule.end, ClientEnd::HalfCloses | ClientEnd::Cut) {
             let _ = writer.shutdown().await;
         }
         let _ = written.send(());
@@ -310,52 +323,67 @@
         if schedule.reads_late {
             let _ = all_written.await;
         }
-        let mut heard = Vec::new();
+        let mut received = Vec::new();
         loop {
-            heard.reserve(64 << 10);
+            received.reserve(64 << 10);
             let enough = match schedule.end {
-                End::Leaves(bytes) => heard.len() >= bytes,
-                End::Stays => whole_answers(schedule, &heard).0 == schedule.asked.len(),
-                End::HalfCloses | End::Garbage | End::Cut => false,
+                ClientEnd::Leaves(bytes) => received.len() >= bytes,
+                ClientEnd::Stays => {
+                    whole_answers(schedule, &received).count == schedule.requests.len()
+                }
+                ClientEnd::HalfCloses | ClientEnd::Garbage | ClientEnd::Cut => false,
             };
-            if enough || matches!(reader.read_buf(&mut heard).await, Ok(0) | Err(_)) {
-                return heard;
+            if enough || matches!(reader.read_buf(&mut received).await, Ok(0) | Err(_)) {
+                return received;
             }
         }
     };
     match schedule.end {
         // It leaves whether or not it has written all.
-        End::Leaves(_) => {
-            let (heard, _) = tokio::select! {
-                heard = read => (heard, ()),
-                _writer = async { write.await; pending::<()>().await } => unreachable!(),
-            };
-            heard
+        ClientEnd::Leaves(_) => {
+            tokio::select! {
+                received = read => received,
+                () = async { drop(write.await); pending().await } => unreachable!(),
+            }
         }
         _ => tokio::join!(read, write).0,
     }
 }
 
-/// How many answers stand there whole, each the one to the request of its number, and what is left.
-fn whole_answers<'a>(schedule: &Schedule, heard: &'a [u8]) -> (usize, &'a [u8]) {
-    let mut rest = heard;
-    for (number, asked) in schedule.asked.iter().enumerate() {
-        match one_answer(asked, number, rest) {
+/// Answers that stand there whole, each the one to the request of its number.
+struct WholeAnswers<'a> {
+    count: usize,
+    /// What stands behind them.
+    rest: &'a [u8],
+}
+
+fn whole_answers<'a>(schedule: &Schedule, received: &'a [u8]) -> WholeAnswers<'a> {
+    let mut rest = received;
+    for (number, request) in schedule.requests.iter().enumerate() {
+        match one_answer(request, number, rest) {
             Some(length) => rest = &rest[length..],
-            None => return (number, rest),
+            None => {
+                return WholeAnswers {
+                    count: number,
+                    rest,
+                };
+            }
         }
     }
-    (schedule.asked.len(), rest)
+    WholeAnswers {
+        count: schedule.requests.len(),
+        rest,
+    }
 }
 
 /// The length of the request's own answer, if that stands there whole. Panics at what belongs to no request.
-fn one_answer(asked: &Asked, number: usize, heard: &[u8]) -> Option<usize> {
+fn one_answer(request: &PlannedRequest, number: usize, received: &[u8]) -> Option<usize> {
     let mut lines = [httparse::EMPTY_HEADER; 16];
     let mut head = httparse::Response::new(&mut lines);
-    let httparse::Status::Complete(start) = head.parse(heard).expect("an answer") else {
+    let httparse::Status::Complete(start) = head.parse(received).expect("an answer") else {
         return None;
     };
-    if head.code != Some(asked.status) {
+    if head.code != Some(request.status) {
         assert!(matches!(head.code, Some(400 | 431)), "another's status");
         return None;
     }
@@ -366,23 +394,33 @@
     };
     assert!(find("transfer-encoding").is_none());
     let length = find("content-length").map(|h| String::from_utf8_lossy(h.value).parse::<usize>());
-    if !asked.bodied() {
+    if !request.has_response_body() {
         return Some(start);
     }
     assert_eq!(
         length,
-        Some(Ok(asked.size)),
+        Some(Ok(request.size)),
         "an answer without its length looks complete anywhere"
     );
-    let came = &heard[start..heard.len().min(start + asked.size)];
-    assert!(body(number, asked.size).starts_with(came), "another's body");
-    (came.len() == asked.size).then_some(start + asked.size)
+    let came = &received[start..received.len().min(start + request.size)];
+    assert!(
+        body(number, request.size).starts_with(came),
+        "another's body"
+    );
+    (came.len() == request.size).then_some(start + request.size)
 }
 
-fn judge(schedule: &Schedule, heard: &[u8], whole_requests: usize) {
-    let (answers, rest) = whole_answers(schedule, heard);
+fn judge(schedule: &Schedule, transcript: &Transcript) {
+    let whole_requests = transcript.whole_requests;
+    let WholeAnswers {
+        count: answers,
+        rest,
+    } = whole_answers(schedule, &transcript.received);
     assert!(answers <= whole_requests, "an answer to what was not asked");
-    let last = schedule.asked.iter().position(Asked::ends_connection);
+    let last = schedule
+        .requests
+        .iter()
+        .position(PlannedRequest::ends_connection);
     if last.is_some_and(|last| answers > last) {
         assert!(rest.is_empty(), "something after the last answer: {rest:?}");
         return;
@@ -392,9 +430,10 @@
         let status = rest
             .strip_prefix(b"HTTP/1.1 ")
             .map(|r| &r[..r.len().min(3)]);
-        matches!(status, Some(b"400" | b"431")) && matches!(schedule.end, End::Garbage | End::Cut)
+        matches!(status, Some(b"400" | b"431"))
+            && matches!(schedule.end, ClientEnd::Garbage | ClientEnd::Cut)
     };
-    let begun = schedule.asked.get(answers).is_some_and(|next| {
+    let begun = schedule.requests.get(answers).is_some_and(|next| {
         let start = format!("HTTP/{} {}", next.version, next.status);
         let shorter = start.len().min(rest.len());
         start.as_bytes()[..shorter] == rest[..shorter]
@@ -403,18 +442,18 @@
         rest.is_empty() || begun || refused(),
         "bytes that are no answer: {rest:?}"
     );
-    if schedule.end == End::Stays && schedule.stops_after.is_none() {
-        let due = last.map_or(schedule.asked.len(), |last| last + 1);
+    if schedule.end == ClientEnd::Stays && schedule.stops_after.is_none() {
+        let due = last.map_or(schedule.requests.len(), |last| last + 1);
         assert_eq!(answers, due, "the connection ended without an answer");
     }
-    if schedule.end == End::Stays && whole_requests > 0 {
-        // Whatever the gate has taken is answered whole, also while the front stops.
+    if schedule.end == ClientEnd::Stays && whole_requests > 0 {
+        // Whatever the handler has taken is answered whole, also while the listener stops.
         assert_eq!(answers, whole_requests);
     }
 }
 
 #[test]
-fn a_client_is_sent_the_answers_to_its_requests_whole_and_in_order() {
+fn client_gets_whole_answers_in_order() {
     let number = |name: &str| {
         std::env::var(name)
             .ok()
@@ -424,7 +463,7 @@
     let mut seed = [17; 32];
     seed[..8].copy_from_slice(&number("CLIENT_SEED").unwrap_or(17).to_le_bytes());
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &seed);
-    let max_shrink_time = SOON.as_millis() as u32;
+    let max_shrink_time = MAX_WAIT.as_millis() as u32;
     let config = Config {
         cases,
         failure_persistence: None,
@@ -437,8 +476,8 @@
         .build();
     let runtime = runtime.expect("a runtime");
     let ended = runner.run(&schedule(), |schedule| {
-        let (heard, whole) = LocalSet::new().block_on(&runtime, play(&schedule));
-        judge(&schedule, &heard, whole);
+        let transcript = LocalSet::new().block_on(&runtime, play(&schedule));
+        judge(&schedule, &transcript);
         Ok(())
     });
     match ended {
