--- a/crates/data-plane/src/control_client.rs
+++ b/crates/data-plane/src/control_client.rs
@@ -42,7 +42,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use protocol::key_ranges::WorkCounts;
+use protocol::key_ranges::KeyLoadReport;
 use protocol::wire::{Balancer, ControlNode, FleetView, WatchRequest, WatchUpdate};
 use tokio::time::{Instant, sleep};
 
@@ -80,7 +80,7 @@
     /// sent whole, because an update built on a version that is not held.
     fn handle_update(&self, update: &WatchUpdate) -> bool;
     /// The work on keys that upstreams divide, counted since the last call.
-    fn take_work_counts(&self) -> WorkCounts;
+    fn take_key_load(&self) -> KeyLoadReport;
     /// Takes the fleet's size and this balancer's position in it, as the sessions tell it.
     fn handle_fleet_view(&self, fleet: FleetView);
     /// A watcher that wakes when [`Self::watch_request`] gives something else.
--- a/crates/data-plane/src/control_client/session.rs
+++ b/crates/data-plane/src/control_client/session.rs
@@ -69,7 +69,7 @@
             control_nodes_digest: 0,
         };
         let handshake = Handshake::DataPlane {
-            protocol: PROTOCOL_VERSION,
+            protocol_version: PROTOCOL_VERSION,
             balancer: client.balancer.clone(),
         };
         wire::send_message(&mut outbound.writer, &handshake).await?;
@@ -159,9 +159,9 @@
         if !self.send_watch_request().await? {
             return Ok(());
         }
-        let work = self.client.handler.take_work_counts();
+        let work = self.client.handler.take_key_load();
         if !work.is_empty() {
-            self.send(&SessionMessage::Work(work)).await?;
+            self.send(&SessionMessage::KeyLoad(work)).await?;
         }
         Ok(())
     }
--- a/crates/data-plane/src/routes.rs
+++ b/crates/data-plane/src/routes.rs
@@ -32,7 +32,7 @@
 use std::time::Duration;
 
 use load_balancing::interface::Span;
-use protocol::config::Limits;
+use protocol::config::RequestLimits;
 use protocol::settings::{Bounds, Settings};
 
 use self::membership::Membership;
@@ -110,7 +110,7 @@
     changes: ChangeNotifier,
     metrics: Metrics,
     /// Holds the listener to the limits of the configuration.
-    on_limits: Box<dyn Fn(&Limits)>,
+    on_limits: Box<dyn Fn(&RequestLimits)>,
 }
 
 impl Routes {
@@ -118,7 +118,7 @@
     pub fn new(
         settings: &Settings,
         engine: EngineHandle,
-        on_limits: Box<dyn Fn(&Limits)>,
+        on_limits: Box<dyn Fn(&RequestLimits)>,
     ) -> Rc<Self> {
         let metrics = Metrics::new(engine.abandoned());
         let memory_bytes = settings.limits.mem_mb << 20;
--- a/crates/data-plane/src/routes/configuration.rs
+++ b/crates/data-plane/src/routes/configuration.rs
@@ -25,7 +25,7 @@
     /// Puts a configuration in force, as of this log index. The engine is told by [`Self::send_settings`].
     pub(super) fn apply_config(&self, index: u64, config: &Config) {
         tracing::info!(
-            revision = config.rev,
+            revision = config.revision,
             index,
             routes = config.routes.len(),
             services = config.services.len(),
@@ -40,7 +40,7 @@
         }
         let names = config.routes.iter().map(|r| r.name.as_str());
         self.metrics.retain_routes(names);
-        let revision = i64::try_from(config.rev).unwrap_or(i64::MAX);
+        let revision = i64::try_from(config.revision).unwrap_or(i64::MAX);
         self.metrics.configuration_revision.set(revision);
         let mut control_state = self.control_state.borrow_mut();
         (control_state.config_index, control_state.limits) = (index, config.limits);
@@ -77,14 +77,14 @@
         let span = |ms: u64| Span(ms.min(MAX_DURATION_MS) as i64 * 1000);
         let homes = &route.home_regions;
         RequestClass {
-            value: 1.0 / f64::from(1 + route.prio.min(1000)),
+            value: 1.0 / f64::from(1 + route.priority.min(1000)),
             late_value: LATE_VALUE,
             effect: match route.kind {
                 RequestKind::Idempotent => Effect::Safe,
                 RequestKind::Mutating => Effect::Unsafe,
             },
             zones: (!homes.is_empty()).then(|| self.topology.zones_in(homes)),
-            attempts: Some(route.max_attempts as usize),
+            max_attempts: Some(route.max_attempts as usize),
             ..RequestClass::safe(span(route.target_ms), span(route.deadline_ms))
         }
     }
@@ -92,14 +92,14 @@
     /// The settings of a service's decision module in a fleet of this size.
     fn service_settings(&self, service: &Service, fleet: FleetView) -> ServiceSettings {
         let classes = service.classes.clone();
-        let attempts = classes.iter().filter_map(|c| c.attempts).max();
+        let attempts = classes.iter().filter_map(|c| c.max_attempts).max();
         let longest_deadline = classes.iter().map(|c| c.deadline).max();
         let mut settings = ServiceSettings::basic(classes);
         settings.balancers = fleet.balancers;
         settings.position = fleet.position;
         settings.zones = self.topology.zones.len() as u32;
         settings.zone = self.topology.own_zone;
-        settings.distance = self.topology.distances();
+        settings.zone_distances = self.topology.distances();
         settings.tick = Span(MIN_TICK.as_micros() as i64);
         settings.limits.max_attempts = attempts.unwrap_or(1);
         settings.limits.hedging = true;
@@ -112,7 +112,7 @@
         let retry_window_s = self.bounds.retry_window_s.clamp(0.0, 3600.0);
         settings.rules.retry_window = Span((retry_window_s * 1e6) as i64);
         settings.rules.retry_ratio = self.bounds.retry_ratio;
-        settings.rules.retry_slack = self.bounds.retry_slack;
+        settings.rules.retry_allowance = self.bounds.retry_slack;
         settings.prices.cross_zone = 1.0;
         settings
     }
--- a/crates/data-plane/src/routes/membership.rs
+++ b/crates/data-plane/src/routes/membership.rs
@@ -72,7 +72,7 @@
         let control_state = self.control_state.borrow();
         for (zone, list) in &control_state.zones {
             for upstream in list.upstreams(now_ms) {
-                let Some(service) = self.service_index(&upstream.svc) else {
+                let Some(service) = self.service_index(&upstream.service) else {
                     continue;
                 };
                 service_by_upstream.insert(upstream.id.clone(), service);
@@ -99,7 +99,7 @@
         let now_ms = self.membership.now_ms();
         for id in ids {
             let (service, entry) = if let Some(upstream) = list.upstream(&id, now_ms) {
-                let Some(service) = self.service_index(&upstream.svc) else {
+                let Some(service) = self.service_index(&upstream.service) else {
                     continue;
                 };
                 service_by_upstream.insert(id, service);
@@ -170,10 +170,11 @@
         let (clock, now_ms) = (SystemTime::now(), self.membership.now_ms());
         let services = self.services.borrow();
         let upstreams = ids.iter().filter_map(|id| list.upstream(id, now_ms));
-        for upstream in upstreams.filter(|u| u.warm_left_ms > 0) {
-            let service = services.by_name(&upstream.svc);
+        for upstream in upstreams.filter(|u| u.warmup_remaining_ms > 0) {
+            let service = services.by_name(&upstream.service);
             let slow_start = service.map_or(Duration::ZERO, |s| s.slow_start);
-            let passed = slow_start.saturating_sub(Duration::from_millis(upstream.warm_left_ms));
+            let passed =
+                slow_start.saturating_sub(Duration::from_millis(upstream.warmup_remaining_ms));
             let at = clock.checked_sub(passed).unwrap_or(clock);
             self.membership.record_start(upstream.id, at);
         }
--- a/crates/data-plane/src/routes/watch_updates.rs
+++ b/crates/data-plane/src/routes/watch_updates.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use protocol::config::Limits;
-use protocol::key_ranges::{KeyRangeView, WORK_UNIT_MS, WorkCounts};
+use protocol::config::RequestLimits;
+use protocol::key_ranges::{KeyLoadReport, KeyRangeView, WORK_UNIT_MS};
 use protocol::upstream_list::{UpdateOutcome, UpstreamList};
 use protocol::wire::{FleetView, WatchRequest, WatchUpdate};
 
@@ -16,7 +16,7 @@
 #[derive(Default)]
 pub(super) struct ControlState {
     pub(super) config_index: u64,
-    pub(super) limits: Limits,
+    pub(super) limits: RequestLimits,
     evacuations_index: u64,
     pub(super) evacuated_zones: Vec<String>,
     keys_index: u64,
@@ -60,7 +60,7 @@
         WatchRequest {
             config_index: state.config_index,
             evacuations_index: state.evacuations_index,
-            keys_index: state.keys_index,
+            key_ranges_index: state.keys_index,
             zone_versions: zones
                 .map(|(zone, list)| (zone.clone(), state.requested_version(zone, list)))
                 .collect(),
@@ -90,7 +90,7 @@
         if is_config_new {
             let state = self.control_state.borrow();
             self.send_key_owners(state.key_ranges.keys());
-        } else if are_keys_new && let Some((_, services)) = &update.keys {
+        } else if are_keys_new && let Some((_, services)) = &update.key_ranges {
             self.send_key_owners(services.keys());
         }
         if is_config_new || are_evacuations_new || any_zone_changed || are_keys_new {
@@ -99,9 +99,9 @@
         zones.is_missing_base
     }
 
-    fn take_work_counts(&self) -> WorkCounts {
+    fn take_key_load(&self) -> KeyLoadReport {
         let services = self.services.borrow();
-        let mut counts = WorkCounts::new();
+        let mut counts = KeyLoadReport::new();
         for ((service, bucket), spent) in self.engine.work() {
             let units = spent.as_millis() / u128::from(WORK_UNIT_MS);
             let units = units.min(u128::from(u16::MAX)) as u16;
@@ -132,7 +132,7 @@
         let held = self.control_state.borrow().config_index;
         let newer = update.config.as_ref().filter(|(index, _)| *index > held);
         if let Some((index, config)) = newer {
-            self.apply_config(*index, &config.config());
+            self.apply_config(*index, &config.to_config());
         }
         newer.is_some()
     }
@@ -185,7 +185,7 @@
     fn take_key_ranges(&self, update: &WatchUpdate) -> bool {
         let mut state = self.control_state.borrow_mut();
         let held = state.keys_index;
-        let keys = update.keys.as_ref();
+        let keys = update.key_ranges.as_ref();
         let Some((index, services)) = keys.filter(|(index, _)| *index > held) else {
             return false;
         };
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -19,7 +19,7 @@
 
 use hyper::StatusCode;
 use hyper::header::HeaderName;
-use protocol::config::Limits;
+use protocol::config::RequestLimits;
 use protocol::settings::Settings;
 use protocol::wire::Balancer;
 use tokio::net::TcpListener;
@@ -92,7 +92,7 @@
     }
 }
 
-fn client_timeouts(limits: &Limits) -> ClientTimeouts {
+fn client_timeouts(limits: &RequestLimits) -> ClientTimeouts {
     ClientTimeouts {
         header: Duration::from_millis(limits.header_timeout_ms.max(1)),
         idle: Duration::from_millis(limits.idle_timeout_ms.max(1)),
@@ -137,7 +137,7 @@
     let limited: Rc<OnceCell<Weak<Listener<Routes>>>> = Rc::default();
     let on_limits = {
         let limited = limited.clone();
-        move |limits: &Limits| {
+        move |limits: &RequestLimits| {
             if let Some(listener) = limited.get().and_then(Weak::upgrade) {
                 listener.set_limits(limits.max_header_bytes, client_timeouts(limits));
             }
@@ -218,7 +218,7 @@
         node: settings.node.clone(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        http,
+        http_addr: http,
     };
     start_control_client(balancer, routes.clone(), &settings, reloads);
     tracing::info!(node = settings.node, zone = settings.zone, %http, "data plane is serving");
--- a/crates/data-plane/src/runtime/shutdown.rs
+++ b/crates/data-plane/src/runtime/shutdown.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use protocol::config::Limits;
+use protocol::config::RequestLimits;
 
 use super::client_timeouts;
 use crate::listener::{FINAL_REQUEST_WAIT, ListenerLimits};
@@ -24,7 +24,7 @@
 
 /// The limits of the clients' side, with so many connections and so much time from SIGTERM to the end.
 pub(super) fn client_limits(max_connections: usize, grace: Duration) -> ListenerLimits {
-    let limits = Limits::default();
+    let limits = RequestLimits::default();
     let accept_grace = grace
         .mul_f64(ACCEPT_SHARE_OF_GRACE)
         .min(LAST_REQUEST_AFTER_SIGTERM - FINAL_REQUEST_WAIT);
