--- a/crates/data-plane/src/routes/request.rs
+++ b/crates/data-plane/src/routes/request.rs
@@ -174,12 +174,8 @@
             headers: forward_request_headers(head.headers, body.len()),
             body,
         };
-        match self.engine.ask(service, request, forwarded).await {
-            EngineReply::Served(response) => Ok(client_response(response, &method)),
-            EngineReply::Refused { retry_after } => Err(RequestError::Refused { retry_after }),
-            EngineReply::Failed { late: true } => Err(RequestError::DeadlineExceeded),
-            EngineReply::Failed { late: false } => Err(RequestError::NoResponse),
-        }
+        let reply = self.engine.ask(service, request, forwarded).await;
+        into_result(reply, &method)
     }
 
     /// The key of a request, if the upstreams of its service divide their keys.
@@ -224,6 +220,16 @@
     }
 }
 
+/// What the engine made of a request, for its client.
+fn into_result(reply: EngineReply, method: &Method) -> Result<ClientResponse, RequestError> {
+    match reply {
+        EngineReply::Served(response) => Ok(client_response(response, method)),
+        EngineReply::Refused { retry_after } => Err(RequestError::Refused { retry_after }),
+        EngineReply::Failed { late: true } => Err(RequestError::DeadlineExceeded),
+        EngineReply::Failed { late: false } => Err(RequestError::NoResponse),
+    }
+}
+
 /// An upstream's response as it goes to the client; one to HEAD keeps the length that it tells of.
 fn client_response(response: Response<Bytes>, method: &Method) -> ClientResponse {
     let length = response
--- a/crates/data-plane/tests/client_schedules.rs
+++ b/crates/data-plane/tests/client_schedules.rs
@@ -23,6 +23,7 @@
 use proptest::sample::select;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
 use tokio::task::{LocalSet, spawn_local, yield_now};
@@ -268,7 +269,7 @@
     let stop = async move {
         // Where it is not to stop, its sender is gone.
         if stop.await.is_err() {
-            pending().await
+            pending::<()>().await;
         }
     };
     let serving = spawn_local(server.serve(listener, stop));
@@ -282,40 +283,14 @@
     }
 }
 
+/// Plays the client of a schedule; gives all that it was sent.
 async fn run_client(at: SocketAddr, schedule: &Schedule) -> Vec<u8> {
     let stream = TcpStream::connect(at).await.expect("reachable");
     stream.set_nodelay(true).expect("set");
-    let (mut reader, mut writer) = stream.into_split();
+    let (reader, writer) = stream.into_split();
     let (written, all_written) = oneshot::channel::<()>();
     let write = async move {
-        let mut text = Vec::new();
-        for (number, request) in schedule.requests.iter().enumerate() {
-            text.extend(request.text(number));
-        }
-        match schedule.end {
-            ClientEnd::Garbage => text.extend(b"\x16\x03 no request\r\n\r\n"),
-            ClientEnd::Cut => text.extend(&schedule.requests[0].text(0)[..30]),
-            ClientEnd::Stays | ClientEnd::HalfCloses | ClientEnd::Leaves(_) => {}
-        }
-        let pieces = schedule
-            .pieces
-            .iter()
-            .cycle()
-            .take(MAX_PIECES)
-            .chain([&usize::MAX]);
-        let mut text = &text[..];
-        for length in pieces {
-            let (piece, rest) = text.split_at(text.len().min(*length));
-            // The listener may have closed already.
-            if writer.write_all(piece).await.is_err() {
-                break;
-            }
-            text = rest;
-            yield_now().await;
-        }
-        if matches!(schedule.end, ClientEnd::HalfCloses | ClientEnd::Cut) {
-            let _ = writer.shutdown().await;
-        }
+        let writer = send_requests(schedule, writer).await;
         let _ = written.send(());
         writer
     };
@@ -323,20 +298,7 @@
         if schedule.reads_late {
             let _ = all_written.await;
         }
-        let mut received = Vec::new();
-        loop {
-            received.reserve(64 << 10);
-            let enough = match schedule.end {
-                ClientEnd::Leaves(bytes) => received.len() >= bytes,
-                ClientEnd::Stays => {
-                    whole_answers(schedule, &received).count == schedule.requests.len()
-                }
-                ClientEnd::HalfCloses | ClientEnd::Garbage | ClientEnd::Cut => false,
-            };
-            if enough || matches!(reader.read_buf(&mut received).await, Ok(0) | Err(_)) {
-                return received;
-            }
-        }
+        receive_answers(schedule, reader).await
     };
     match schedule.end {
         // It leaves whether or not it has written all.
@@ -350,6 +312,55 @@
     }
 }
 
+/// Writes the schedule's requests and what is behind them, in its pieces.
+async fn send_requests(schedule: &Schedule, mut writer: OwnedWriteHalf) -> OwnedWriteHalf {
+    let mut text = Vec::new();
+    for (number, request) in schedule.requests.iter().enumerate() {
+        text.extend(request.text(number));
+    }
+    match schedule.end {
+        ClientEnd::Garbage => text.extend(b"\x16\x03 no request\r\n\r\n"),
+        ClientEnd::Cut => text.extend(&schedule.requests[0].text(0)[..30]),
+        ClientEnd::Stays | ClientEnd::HalfCloses | ClientEnd::Leaves(_) => {}
+    }
+    let pieces = schedule
+        .pieces
+        .iter()
+        .cycle()
+        .take(MAX_PIECES)
+        .chain([&usize::MAX]);
+    let mut text = &text[..];
+    for length in pieces {
+        let (piece, rest) = text.split_at(text.len().min(*length));
+        // The listener may have closed already.
+        if writer.write_all(piece).await.is_err() {
+            break;
+        }
+        text = rest;
+        yield_now().await;
+    }
+    if matches!(schedule.end, ClientEnd::HalfCloses | ClientEnd::Cut) {
+        let _ = writer.shutdown().await;
+    }
+    writer
+}
+
+/// Reads as long as the schedule's client does.
+async fn receive_answers(schedule: &Schedule, mut reader: OwnedReadHalf) -> Vec<u8> {
+    let mut received = Vec::new();
+    loop {
+        received.reserve(64 << 10);
+        let enough = match schedule.end {
+            ClientEnd::Leaves(bytes) => received.len() >= bytes,
+            ClientEnd::Stays => whole_answers(schedule, &received).count == schedule.requests.len(),
+            ClientEnd::HalfCloses | ClientEnd::Garbage | ClientEnd::Cut => false,
+        };
+        if enough || matches!(reader.read_buf(&mut received).await, Ok(0) | Err(_)) {
+            return received;
+        }
+    }
+}
+
 /// Answers that stand there whole, each the one to the request of its number.
 struct WholeAnswers<'a> {
     count: usize,
