--- a/crates/data-plane/src/http_client.rs
+++ b/crates/data-plane/src/http_client.rs
@@ -14,8 +14,8 @@
 use socket2::SockRef;
 use tokio::time::{Instant, timeout_at};
 
+use crate::abort_on_drop::AbortOnDrop;
 use crate::control_client::connect;
-use crate::upstream_pool::AbortOnDrop;
 
 /// A response whose body is larger is an error.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -22,6 +22,7 @@
 //! choice.
 #![forbid(unsafe_code)]
 
+pub mod abort_on_drop;
 pub mod body;
 pub mod change_notifier;
 pub mod client_connections;
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -18,7 +18,7 @@
 use prometheus_client::registry::{Registry, Unit};
 use tokio::time::Instant;
 
-use crate::engine::Abandoned;
+use crate::engine::AbandonedAttempts;
 use crate::headers::ClientResponse;
 
 const OPENMETRICS_CONTENT_TYPE: HeaderValue =
@@ -113,7 +113,7 @@
 
 impl Metrics {
     /// Metrics at zero; those of abandoned requests are counted by the engine itself.
-    pub fn new(abandoned: &Abandoned) -> Self {
+    pub fn new(abandoned: &AbandonedAttempts) -> Self {
         let new_histogram: fn() -> Histogram = || Histogram::new(DURATION_BUCKETS_SECONDS);
         let metrics = Self {
             registry: RefCell::new(Registry::with_prefix("shorefront")),
@@ -130,7 +130,7 @@
     }
 
     /// Names what is counted. Names and help texts are part of what operators see.
-    fn register(&self, abandoned: &Abandoned) {
+    fn register(&self, abandoned: &AbandonedAttempts) {
         let mut registry = self.registry.borrow_mut();
         registry.register(
             "requests",
--- a/crates/data-plane/src/metrics/tests.rs
+++ b/crates/data-plane/src/metrics/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn counters_are_reported_and_removed_with_their_route() {
-    let metrics = Metrics::new(&Abandoned::default());
+    let metrics = Metrics::new(&AbandonedAttempts::default());
     let arrived = Instant::now();
     for outcome in OUTCOMES {
         metrics.route("a").record_response(outcome, arrived);
--- a/crates/data-plane/src/routes.rs
+++ b/crates/data-plane/src/routes.rs
@@ -120,7 +120,7 @@
         engine: EngineHandle,
         on_limits: Box<dyn Fn(&RequestLimits)>,
     ) -> Rc<Self> {
-        let metrics = Metrics::new(engine.abandoned());
+        let metrics = Metrics::new(engine.abandoned_attempts());
         let memory_bytes = settings.limits.mem_mb << 20;
         Rc::new(Self {
             engine,
@@ -140,7 +140,7 @@
 
     /// Whether it can serve: it has a configuration and somewhere to send to, and is not about to end.
     pub fn is_ready(&self) -> bool {
-        !self.draining.get() && self.control_state.borrow().has_config() && self.engine.ready()
+        !self.draining.get() && self.control_state.borrow().has_config() && self.engine.is_ready()
     }
 
     /// What was counted, in the OpenMetrics text form.
--- a/crates/data-plane/src/routes/configuration.rs
+++ b/crates/data-plane/src/routes/configuration.rs
@@ -139,7 +139,7 @@
                 let any = RequestClass::safe(Span(1_000_000), Span(1_000_000));
                 settings.classes.push(any);
             }
-            self.engine.tell(EngineEvent::Settings {
+            self.engine.send_event(EngineEvent::SettingsChanged {
                 service: index,
                 settings: Box::new(settings),
             });
--- a/crates/data-plane/src/routes/membership.rs
+++ b/crates/data-plane/src/routes/membership.rs
@@ -80,10 +80,10 @@
             }
         }
         for (service, list) in lists.into_iter().enumerate() {
-            self.engine.tell(EngineEvent::Members {
+            self.engine.send_event(EngineEvent::MembershipChanged {
                 service,
                 kind: MembershipKind::Complete,
-                list,
+                upstreams: list,
             });
         }
     }
@@ -117,10 +117,10 @@
             lists.entry(service).or_default().push(entry);
         }
         for (service, list) in lists {
-            self.engine.tell(EngineEvent::Members {
+            self.engine.send_event(EngineEvent::MembershipChanged {
                 service,
                 kind: MembershipKind::Update,
-                list,
+                upstreams: list,
             });
         }
     }
@@ -133,8 +133,12 @@
             let (Some(service), Some(ranges)) = (self.service_index(name), ranges) else {
                 continue;
             };
-            let rows = ranges.rows().cloned().collect();
-            self.engine.tell(EngineEvent::Holders { service, rows });
+            let key_ranges = ranges.rows().cloned().collect();
+            let event = EngineEvent::KeyOwnersChanged {
+                service,
+                key_ranges,
+            };
+            self.engine.send_event(event);
         }
     }
 
--- a/crates/data-plane/src/routes/request.rs
+++ b/crates/data-plane/src/routes/request.rs
@@ -163,9 +163,9 @@
             tenant: 0,
             key: None,
             shard: self.shard_key(service, &head),
-            until,
-            cost_guess: None,
-            resent: is_resent,
+            deadline: until,
+            estimated_work: None,
+            is_client_retry: is_resent,
         };
         let method = head.method.clone();
         let forwarded = ForwardedRequest {
@@ -174,7 +174,7 @@
             headers: forward_request_headers(head.headers, body.len()),
             body,
         };
-        let reply = self.engine.ask(service, request, forwarded).await;
+        let reply = self.engine.submit(service, request, forwarded).await;
         into_result(reply, &method)
     }
 
@@ -224,9 +224,9 @@
 fn into_result(reply: EngineReply, method: &Method) -> Result<ClientResponse, RequestError> {
     match reply {
         EngineReply::Served(response) => Ok(client_response(response, method)),
-        EngineReply::Refused { retry_after } => Err(RequestError::Refused { retry_after }),
-        EngineReply::Failed { late: true } => Err(RequestError::DeadlineExceeded),
-        EngineReply::Failed { late: false } => Err(RequestError::NoResponse),
+        EngineReply::Rejected { retry_after } => Err(RequestError::Refused { retry_after }),
+        EngineReply::Failed { timed_out: true } => Err(RequestError::DeadlineExceeded),
+        EngineReply::Failed { timed_out: false } => Err(RequestError::NoResponse),
     }
 }
 
--- a/crates/data-plane/src/routes/watch_updates.rs
+++ b/crates/data-plane/src/routes/watch_updates.rs
@@ -64,7 +64,7 @@
             zone_versions: zones
                 .map(|(zone, list)| (zone.clone(), state.requested_version(zone, list)))
                 .collect(),
-            ready: state.has_config() && self.engine.ready(),
+            ready: state.has_config() && self.engine.is_ready(),
             draining: self.draining.get(),
             ..WatchRequest::default()
         }
@@ -102,11 +102,11 @@
     fn take_key_load(&self) -> KeyLoadReport {
         let services = self.services.borrow();
         let mut counts = KeyLoadReport::new();
-        for ((service, bucket), spent) in self.engine.work() {
+        for (key, spent) in self.engine.take_key_load() {
             let units = spent.as_millis() / u128::from(WORK_UNIT_MS);
             let units = units.min(u128::from(u16::MAX)) as u16;
-            let name = services.get(service).name.clone();
-            counts.entry(name).or_default().push((bucket, units));
+            let name = services.get(key.service).name.clone();
+            counts.entry(name).or_default().push((key.bucket, units));
         }
         counts
     }
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -35,7 +35,7 @@
 use crate::listener::{Listener, ListenerLimits};
 use crate::routes::Routes;
 use crate::upstream_pool::{
-    LoadReportFormat, PoolConfig, UpstreamPool, UpstreamProtocol, promises_not_run,
+    LoadReportFormat, PoolConfig, UpstreamPool, UpstreamProtocol, implies_not_run,
 };
 
 /// Descriptors that are neither a client's nor an upstream's.
@@ -46,7 +46,7 @@
 /// arrives: the way to the client, and a busy moment here.
 const RESPONSE_HEADROOM: Duration = Duration::from_millis(30);
 /// Timers fire on multiples of this, so that those of many services fire together.
-const TIMER_GRID: Duration = Duration::from_millis(25);
+const TIMER_GRANULARITY: Duration = Duration::from_millis(25);
 /// An upstream that does not say how long it keeps idle connections keeps them for so long at least.
 const DEFAULT_UPSTREAM_KEEPALIVE: Duration = Duration::from_secs(8);
 /// Responses that are read, or not yet written to their clients, may take this part of the memory together.
@@ -76,19 +76,19 @@
 /// What upstreams say, in the words of the users' protocol.
 pub fn upstream_protocol() -> UpstreamProtocol {
     UpstreamProtocol {
-        deadline: HeaderName::from_static("deadline-ms"),
-        target: Some(HeaderName::from_static("target-instance")),
-        not_run: HeaderName::from_static("not-run"),
-        refusals: &[
+        deadline_header: HeaderName::from_static("deadline-ms"),
+        target_header: Some(HeaderName::from_static("target-instance")),
+        not_run_header: HeaderName::from_static("not-run"),
+        not_run_statuses: &[
             StatusCode::SERVICE_UNAVAILABLE,
             StatusCode::TOO_MANY_REQUESTS,
         ],
-        echo: Some(HeaderName::from_static("attempt-id")),
-        seal: Some(HeaderName::from_static("upstream-seal")),
+        request_id_header: Some(HeaderName::from_static("attempt-id")),
+        seal_header: Some(HeaderName::from_static("upstream-seal")),
         // Whatever else an upstream says is its answer; these would be promises that it did not make.
-        served: |status| !status.is_server_error() && !promises_not_run(status),
-        passes_errors: true,
-        load: LoadReportFormat::Slots(HeaderName::from_static("upstream-load")),
+        is_served: |status| !status.is_server_error() && !implies_not_run(status),
+        forwards_errors: true,
+        load_report: LoadReportFormat::Slots(HeaderName::from_static("upstream-load")),
     }
 }
 
@@ -127,12 +127,12 @@
         seed: load_balancing::settings::stable_hash(&settings.node),
         headroom: RESPONSE_HEADROOM,
         drain_grace: Duration::ZERO,
-        grid: TIMER_GRID,
+        timer_granularity: TIMER_GRANULARITY,
         subscribe: None,
     };
     let (engine, handle) = Engine::new(config, pool);
     let engine = spawn_local(engine.run());
-    let send_event = Box::new(handle.teller());
+    let send_event = Box::new(handle.event_sender());
     // The routes hold the listener to the configuration's limits, and the listener hands its requests to the routes.
     let limited: Rc<OnceCell<Weak<Listener<Routes>>>> = Rc::default();
     let on_limits = {
@@ -227,7 +227,7 @@
         routes.start_draining();
         spawn_local(async move {
             sleep(reject_after).await;
-            send_event(EngineEvent::Ending);
+            send_event(EngineEvent::ShutdownStarted);
         });
     });
     tokio::select! {
