--- a/crates/data-plane/src/control_client.rs
+++ b/crates/data-plane/src/control_client.rs
@@ -246,3 +246,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
