--- a/crates/data-plane/src/client_connections.rs
+++ b/crates/data-plane/src/client_connections.rs
@@ -1,6 +1,6 @@
 //! Clients' connections: how many there may be, and which one is closed when the next one needs its place.
 //!
-//! Owns the registry of all open connections. The state and the time limits of a single one stand in [`connection`].
+//! Owns the registry of all open connections. The state and the time limits of a single one stand in `connection`.
 //!
 //! **Promises.** A connection with an open request is never closed to make room. **May lose.** A kept connection that
 //! is closed while its client's next request is on the way: the client sends that request once more, as HTTP has it
--- a/crates/data-plane/src/client_stream.rs
+++ b/crates/data-plane/src/client_stream.rs
@@ -3,7 +3,7 @@
 //!
 //! The library reads and writes a [`MeteredStream`]; the owner keeps the [`SharedSocket`] below it, which outlives the
 //! library's use, and the [`Traffic`] counters. Bytes that were read to see the client's end are held for the library,
-//! at most [`MAX_READ_AHEAD_BYTES`] of them.
+//! at most `MAX_READ_AHEAD_BYTES` of them.
 
 use std::cell::{Cell, RefCell};
 use std::io::{Error, IoSlice, Result};
--- a/crates/data-plane/src/control_client.rs
+++ b/crates/data-plane/src/control_client.rs
@@ -5,16 +5,16 @@
 //! the silence of the control plane. One session is the *primary*: it also reports the work on keys. Which one that
 //! is stands in each watch request (`is_secondary`).
 //!
-//! - [`transport`]: how a control node is reached, and the time limits of a connection.
-//! - [`control_nodes`]: which control nodes are known, and which one is called next.
-//! - [`session_table`]: the sessions that are open, the state of each, and which one is the primary.
-//! - [`session`]: one session, from the handshake to its end.
+//! - `transport`: how a control node is reached, and the time limits of a connection.
+//! - `control_nodes`: which control nodes are known, and which one is called next.
+//! - `session_table`: the sessions that are open, the state of each, and which one is the primary.
+//! - `session`: one session, from the handshake to its end.
 //!
 //! **Time-outs.** A connection has to come up within [`CONNECT_TIMEOUT`]. Each side sends at least every
 //! [`HEARTBEAT_INTERVAL`]; a session on which nothing arrives, or can be sent, for [`IDLE_TIMEOUT`] ends. After that
-//! its control node comes behind all others for [`RECONNECT_BACKOFF`], or for
-//! [`RECONNECT_BACKOFF_OUT_OF_CONTACT`] if it had no quorum; the next connection is tried after
-//! [`RECONNECT_INTERVAL`].
+//! its control node comes behind all others for `RECONNECT_BACKOFF`, or for
+//! `RECONNECT_BACKOFF_OUT_OF_CONTACT` if it had no quorum; the next connection is tried after
+//! `RECONNECT_INTERVAL`.
 //!
 //! **Fallback sessions.** Seeds may name control nodes without a disk, which are no members of the replicated log and
 //! hold nothing that is agreed on. They tell who the members are, and a session with one of them keeps this balancer
@@ -232,7 +232,7 @@
 }
 
 /// A session that stood and broke is worth a warning; one that never came up is retried every
-/// [`RECONNECT_INTERVAL`], and would fill the log.
+/// `RECONNECT_INTERVAL`, and would fill the log.
 fn log_end(peer: SocketAddr, state: Option<SessionState>, end: &SessionEnd) {
     match (end, state) {
         (SessionEnd::Failed(error), Some(SessionState::Established { .. })) => {
--- a/crates/data-plane/src/http_client.rs
+++ b/crates/data-plane/src/http_client.rs
@@ -1,5 +1,5 @@
 //! A small HTTP client for calls to one address: one connection, kept as long as it is good. Calls are bounded in time
-//! by their caller, and in size by [`MAX_RESPONSE_BYTES`]; nothing is sent twice.
+//! by their caller, and in size by `MAX_RESPONSE_BYTES`; nothing is sent twice.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
     /// No whole response within the time of the call.
     #[error("silent for too long")]
     Timeout,
-    /// The body is cut short, or larger than [`MAX_RESPONSE_BYTES`]; or the path is none.
+    /// The body is cut short, or larger than `MAX_RESPONSE_BYTES`; or the path is none.
     #[error("an answer that is cut short or too long")]
     BodyTooLong,
     /// The body is not the JSON that the caller expects.
--- a/crates/data-plane/src/listener.rs
+++ b/crates/data-plane/src/listener.rs
@@ -1,8 +1,8 @@
 //! The side that faces clients: accepts connections, reads requests, hands each to a [`RequestHandler`], and writes
 //! its one answer.
 //!
-//! - [`connection`]: one connection, from its first request to its last byte.
-//! - [`delivery`]: whether the last answer on a connection was read.
+//! - `connection`: one connection, from its first request to its last byte.
+//! - `delivery`: whether the last answer on a connection was read.
 //!
 //! Owns the registry of open connections ([`ClientConnections`]) and the limits that they are held to.
 //!
--- a/crates/data-plane/src/routes.rs
+++ b/crates/data-plane/src/routes.rs
@@ -2,13 +2,13 @@
 //!
 //! Modules in the order in which a request meets them, then in that of a watch update:
 //!
-//! - [`request`]: the way of a request, from its head to its response.
-//! - [`route_table`]: the route by host and longest prefix, and the service by weight.
-//! - [`client_deadline`]: how much time a client gives, and whether it has been elsewhere before.
-//! - [`watch_updates`]: what the control plane sent, by version, and what is requested of it.
-//! - [`configuration`]: a configuration comes into force; the settings of each service.
-//! - [`services`]: services and their request classes, by indexes that stay.
-//! - [`membership`]: upstreams and key ranges as the engine is told of them.
+//! - `request`: the way of a request, from its head to its response.
+//! - `route_table`: the route by host and longest prefix, and the service by weight.
+//! - `client_deadline`: how much time a client gives, and whether it has been elsewhere before.
+//! - `watch_updates`: what the control plane sent, by version, and what is requested of it.
+//! - `configuration`: a configuration comes into force; the settings of each service.
+//! - `services`: services and their request classes, by indexes that stay.
+//! - `membership`: upstreams and key ranges as the engine is told of them.
 //!
 //! Owns what a balancer holds of the replicated state, a cache of the control plane's; nothing of it is stored. It is
 //! changed by watch updates alone.
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -1,6 +1,6 @@
 //! A data-plane balancer as a process: composes its parts, serves until it is told to stop, and ends in order.
 //!
-//! [`compose`] is the one place in which the parts meet. `shutdown` holds the times between SIGTERM and the end,
+//! `compose` is the one place in which the parts meet. `shutdown` holds the times between SIGTERM and the end,
 //! `readiness` answers the platform's checks.
 //!
 //! **Promises.** What clients sent up to 3 s after the stop is answered before the process ends. **Neighbours down.**
