--- a/crates/data-plane/src/client_connections.rs
+++ b/crates/data-plane/src/client_connections.rs
@@ -54,7 +54,7 @@
         let open = self.registry.open.borrow();
         let threshold = self.registry.idle_eviction_threshold;
         if open.len() > threshold && open.values().filter(|c| c.is_in_use()).count() > threshold {
-            // Not this one: its answer is yet to be written.
+            // Not this one: its response is yet to be written.
             let others = open.iter().filter(|(id, _)| **id != self.id);
             let idle = others.filter_map(|(_, c)| Some((c.idle_since()?, c)));
             if let Some((_, longest)) = idle.min_by_key(|(since, _)| *since) {
--- a/crates/data-plane/src/client_connections/connection.rs
+++ b/crates/data-plane/src/client_connections/connection.rs
@@ -21,7 +21,7 @@
 /// A connection that has sent nothing for this long may be evicted: clients that have a request send it right away.
 pub(super) const EVICT_UNUSED_AFTER: Duration = Duration::from_millis(250);
 
-/// An answer has to be read to its end within this many idle time-outs, and a part of it within each one. At a minute
+/// A response has to be read to its end within this many idle time-outs, and a part of it within each one. At a minute
 /// for a megabyte a reader is not slow but absent.
 const MAX_READ_IDLE_TIMES: u32 = 4;
 
@@ -41,20 +41,20 @@
     RequestOpen,
     /// Its last request was answered, and the next one has not come whole.
     Kept(KeepAlive),
-    /// Only read to its end, so that the last answer is not lost to a reset.
+    /// Only read to its end, so that the last response is not lost to a reset.
     Closing { since: Instant },
     /// Chosen to make room.
     Evicted,
 }
 
-/// A connection between its last answer and the next request.
+/// A connection between its last response and the next request.
 #[derive(Clone, Copy)]
 struct KeepAlive {
-    /// When the answer was handed over to be written.
+    /// When the response was handed over to be written.
     answered: Instant,
     /// When a part of it was last seen written.
     last_written: Instant,
-    /// Bytes that had been read when the answer was given.
+    /// Bytes that had been read when the response was given.
     bytes_read: u64,
     /// Bytes that had been written at `last_written`.
     bytes_written: u64,
@@ -78,7 +78,7 @@
         self.state.set(State::RequestOpen);
     }
 
-    /// The open request has its answer, which is yet to be written.
+    /// The open request has its response, which is yet to be written.
     pub(super) fn on_response(&self) {
         let now = Instant::now();
         self.state.set(State::Kept(KeepAlive {
@@ -106,7 +106,7 @@
         matches!(self.state.get(), State::RequestOpen | State::Kept(_))
     }
 
-    /// Whether no request is open on it, the last answer is written, and nothing of a next request has come.
+    /// Whether no request is open on it, the last response is written, and nothing of a next request has come.
     pub fn is_idle(&self) -> bool {
         match self.state.get() {
             State::New { .. } => self.traffic.bytes_read() == 0,
@@ -132,8 +132,8 @@
         }
     }
 
-    /// When a kept connection has to be closed. The time counts from the last byte written: counted from the answer,
-    /// whoever read slowly lost its end, and whoever had read slowly lost the connection sooner than it was told.
+    /// When a kept connection has to be closed. The time counts from the last byte written: counted from the response,
+    /// whoever read slowly lost its end, and whoever had read slowly lost the connection sooner than announced.
     fn keep_alive_deadline(&self, kept: &mut KeepAlive) -> Instant {
         let ClientTimeouts { header, idle } = self.timeouts.get();
         let bytes_written = self.traffic.bytes_written();
--- a/crates/data-plane/src/client_stream.rs
+++ b/crates/data-plane/src/client_stream.rs
@@ -1,4 +1,4 @@
-//! A client's TCP stream that tells its owner more than the HTTP library does: how many bytes were read and written,
+//! A client's TCP stream that shows its owner more than the HTTP library does: how many bytes were read and written,
 //! whether writing waits, and whether the client has closed while the library does not look.
 //!
 //! The library reads and writes a [`MeteredStream`]; the owner keeps the [`SharedSocket`] below it, which outlives the
@@ -118,7 +118,7 @@
         match &self.end {
             None => Pin::new(&mut self.stream).poll_read(cx, buf),
             Some(Ok(())) => Poll::Ready(Ok(())),
-            // An `io::Error` cannot be cloned, and the end is told each time that it is asked for.
+            // An `io::Error` cannot be cloned, and the end is reported to each read.
             Some(Err(error)) => Poll::Ready(Err(Error::new(error.kind(), error.to_string()))),
         }
     }
--- a/crates/data-plane/src/control_client.rs
+++ b/crates/data-plane/src/control_client.rs
@@ -17,7 +17,7 @@
 //! `RECONNECT_INTERVAL`.
 //!
 //! **Fallback sessions.** Seeds may name control nodes without a disk, which are no members of the replicated log and
-//! hold nothing that is agreed on. They tell who the members are, and a session with one of them keeps this balancer
+//! hold nothing that is agreed on. They know who the members are, and a session with one of them keeps this balancer
 //! in the directory while nobody else answers. Once members are known, at most one session may be such a fallback;
 //! the other goes on looking for a member, and the fallback is left as soon as a member is free.
 //!
@@ -29,7 +29,7 @@
 //!
 //! **Neighbours down.** A control node that is out of contact with a majority says so, and the session moves to
 //! another node at once if one may be of more use. Without any control node, or with none in contact, the handler
-//! keeps what it was told last; a balancer that was told nothing yet is not ready.
+//! keeps what it last received; a balancer that has received nothing yet is not ready.
 
 mod control_nodes;
 mod session;
@@ -71,7 +71,7 @@
 /// Changes here that no control node waits for are sent together, at most this long after the first.
 const CHANGE_COALESCING: Duration = Duration::from_millis(400);
 
-/// Takes what the control plane sends, and says what is held already.
+/// Takes what the control plane sends, and knows what is held already.
 pub trait UpdateHandler: 'static {
     /// The versions that are held by now. The session fills in the fleet view, the digest of the control nodes and
     /// its role.
@@ -81,7 +81,7 @@
     fn handle_update(&self, update: &WatchUpdate) -> bool;
     /// The work on keys that upstreams divide, counted since the last call.
     fn take_key_load(&self) -> KeyLoadReport;
-    /// Takes the fleet's size and this balancer's position in it, as the sessions tell it.
+    /// Takes the fleet's size and this balancer's position in it, as the sessions report it.
     fn handle_fleet_view(&self, fleet: FleetView);
     /// A watcher that wakes when [`Self::watch_request`] gives something else.
     fn watch_changes(&self) -> ChangeWatcher;
@@ -224,7 +224,7 @@
     }
 
     /// Whether this session may end by choice: the directory names a balancer while a session of it stands
-    /// somewhere. One that was told nothing yet is not ready, and is not named.
+    /// somewhere. One that has received nothing yet is not ready, and is not named.
     fn may_leave(&self, peer: SocketAddr) -> bool {
         let stands = self.sessions.borrow().has_other_established(peer);
         stands || self.handler.watch_request().config_index == 0
--- a/crates/data-plane/src/control_client/control_nodes.rs
+++ b/crates/data-plane/src/control_client/control_nodes.rs
@@ -35,7 +35,7 @@
 enum Locality {
     SameZone,
     SameRegion,
-    /// In another region, or nobody has said where.
+    /// In another region, or not known where.
     Elsewhere,
 }
 
--- a/crates/data-plane/src/control_client/session.rs
+++ b/crates/data-plane/src/control_client/session.rs
@@ -1,6 +1,8 @@
-//! One session with a control node: connects, introduces this balancer, says what it holds, and passes on what comes
-//! until the session fails or leaves by choice. Owns the connection, what was last sent on it, and what its control
-//! node said of the fleet and of the control nodes; all of it goes with the session.
+//! One session with a control node: connects, introduces this balancer, says what it holds, and passes on the updates
+//! that come, until the session fails or leaves by choice.
+//!
+//! Owns the connection, what was last sent on it, and what its control node sent of the fleet and of the control nodes;
+//! all of it goes with the session.
 
 use std::convert::Infallible;
 use std::io;
@@ -23,11 +25,11 @@
 pub(super) struct Session<'a, F, N: Network> {
     reader: BufReader<ReadHalf<N::Stream>>,
     outbound: Outbound<'a, F, N>,
-    /// Wakes when there is something new to say.
+    /// Wakes when there is something new to send.
     changes: ChangeWatcher,
 }
 
-/// The sending half: what the control node has been told, and when it is told next.
+/// The sending half: what was last sent to the control node, and when something is sent next.
 struct Outbound<'a, F, N: Network> {
     client: &'a ControlClient<F, N>,
     peer: SocketAddr,
@@ -35,7 +37,7 @@
     /// The last watch request; none if the next one has to be sent whole.
     last_sent: Option<WatchRequest>,
     next_send: Instant,
-    /// As this control node last told it; said back so that it sends only what is new.
+    /// The fleet view and the control nodes as last received; sent back so that the node sends only what is new.
     fleet: Option<FleetView>,
     control_nodes_digest: u32,
 }
--- a/crates/data-plane/src/control_client/session_table.rs
+++ b/crates/data-plane/src/control_client/session_table.rs
@@ -15,7 +15,7 @@
     AwaitingUpdate,
     /// An update has come: the directory counts on this session.
     Established {
-        /// The fleet as this control node last told it.
+        /// The fleet as last received from this control node.
         fleet: Option<FleetView>,
     },
 }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -17,7 +17,7 @@
 //! **May lose.** A process that ends takes its open requests along, after the time to finish that a stop gives them.
 //! Nothing is stored.
 //!
-//! **Neighbours down.** Without the control plane it goes on with what it was told last, never with anything older. An
+//! **Neighbours down.** Without the control plane it goes on with what it last received, never with anything older. An
 //! upstream that is silent or gone costs its attempts; whether the request is sent elsewhere is the decision module's
 //! choice.
 #![forbid(unsafe_code)]
--- a/crates/data-plane/src/listener.rs
+++ b/crates/data-plane/src/listener.rs
@@ -1,18 +1,18 @@
 //! The side that faces clients: accepts connections, reads requests, hands each to a [`RequestHandler`], and writes
-//! its one answer.
+//! its one response.
 //!
 //! - `connection`: one connection, from its first request to its last byte.
-//! - `delivery`: whether the last answer on a connection was read.
+//! - `delivery`: whether the last response on a connection was read.
 //!
 //! Owns the registry of open connections ([`ClientConnections`]) and the limits that they are held to.
 //!
-//! **Promises.** Every request that was read whole gets one answer, or its connection ends without looking complete.
+//! **Promises.** Every request that was read whole gets one response, or its connection ends without looking complete.
 //! The number of connections and the time that each may take are bounded. A stop ends in order: connections are
 //! accepted for [`ListenerLimits::accept_grace`], what is open may take [`ListenerLimits::drain_timeout`], and from the
-//! stop on each answer asks its client to connect anew elsewhere.
+//! stop on each response asks its client to connect anew elsewhere.
 //!
-//! **May lose.** What is still open after that time; a request that comes on a kept connection in the moment in which it
-//! is closed.
+//! **May lose.** What is still open after that time; a request that comes on a kept connection in the moment in which
+//! it is closed.
 
 mod connection;
 mod delivery;
@@ -33,7 +33,7 @@
 use crate::headers::ClientResponse;
 pub use delivery::{DeliveryReceipt, DeliveryStatus};
 
-/// After the last deadline, time for the answers to be written.
+/// After the last deadline, time for the responses to be written.
 const WRITE_GRACE: Duration = Duration::from_millis(100);
 /// Wait after a failed accept, so that a full descriptor table does not become a busy loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
@@ -70,7 +70,7 @@
     /// Whether its requests carry a [`DeliveryReceipt`] among their extensions.
     const WANTS_RECEIPT: bool = false;
 
-    /// Gives the one answer to a request that arrived at that time; `stopping` says that the listener is about to
+    /// Gives the one response to a request that arrived at that time; `stopping` says that the listener is about to
     /// close. Dropped when the client leaves.
     fn handle_request(
         &self,
@@ -85,7 +85,7 @@
     handler: Rc<H>,
     connections: Rc<ClientConnections>,
     limits: Cell<ListenerLimits>,
-    /// Each answer asks its client to connect anew elsewhere.
+    /// Each response asks its client to connect anew elsewhere.
     stopping: Cell<bool>,
 }
 
@@ -131,7 +131,7 @@
                 connections = self.connections.len(),
                 "listener is stopping: it asks clients to connect elsewhere"
             );
-            // From here each answer asks its client to go elsewhere; new connections still find us.
+            // From here each response asks its client to go elsewhere; new connections still find us.
             self.stopping.set(true);
             // Accepting never ends by itself: this waits for the time to pass.
             let _ = timeout(accept_grace, accepting).await;
@@ -173,7 +173,7 @@
     }
 
     fn start_connection(self: &Rc<Self>, stream: TcpStream, closing: watch::Receiver<bool>) {
-        // A refinement: without it small answers come later.
+        // A refinement: without it small responses come later.
         let _ = stream.set_nodelay(true);
         let (io, socket, traffic) = MeteredStream::new(stream);
         // It has its place before the next one is accepted.
--- a/crates/data-plane/src/listener/connection.rs
+++ b/crates/data-plane/src/listener/connection.rs
@@ -1,6 +1,6 @@
 //! One client's connection: its requests one after another, its end, and the reading of what the client still sends.
 //!
-//! **Promises.** A request whose client leaves is given up. The last answer is not lost to a reset: what the client
+//! **Promises.** A request whose client leaves is given up. The last response is not lost to a reset: what the client
 //! sent behind its last request is read for [`DRAIN_INPUT_TIMEOUT`] before the socket is closed. A connection that has
 //! nothing open when the listener closes waits [`ListenerLimits::final_request_wait`](super::ListenerLimits) for a
 //! request that is on its way.
@@ -28,16 +28,16 @@
 use crate::client_stream::{MeteredStream, SharedSocket};
 use crate::headers::{ClientResponse, MAX_HEADER_LINES};
 
-/// What a client still sends behind its last answer is read for so long, and up to [`MAX_DRAINED_BYTES`].
+/// What a client still sends behind its last response is read for so long, and up to [`MAX_DRAINED_BYTES`].
 pub(super) const DRAIN_INPUT_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_DRAINED_BYTES: usize = 4 << 20;
 /// The smallest buffer that the HTTP library takes.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// How the exchange of requests and answers on a connection ended.
+/// How the exchange of requests and responses on a connection ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ExchangeEnd {
-    /// In order, after an answer that was the last.
+    /// In order, after a response that was the last.
     Finished,
     /// The client broke HTTP or the connection, or left while its request was open.
     Broken,
@@ -181,7 +181,7 @@
 }
 
 /// Reads what still comes until the client closes too. Closed with something unread, the kernel resets the
-/// connection, and the answer may be lost on its way.
+/// connection, and the response may be lost on its way.
 async fn drain_input(socket: &SharedSocket) -> DeliveryStatus {
     let mut scrap = vec![0; MIN_BUFFER_BYTES];
     let mut left = MAX_DRAINED_BYTES;
--- a/crates/data-plane/src/listener/delivery.rs
+++ b/crates/data-plane/src/listener/delivery.rs
@@ -1,12 +1,12 @@
-//! Whether the last answer on a connection was read by its client. A handler that acts only once its answer has arrived
-//! waits for that.
+//! Whether the last response on a connection was read by its client. A handler that acts only once its response has
+//! arrived waits for that.
 
 use tokio::sync::watch;
 
-/// What the end of a connection tells of the last answer on it.
+/// What the end of a connection tells of the last response on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryStatus {
-    /// The client closed in order after the answer: it has read it.
+    /// The client closed in order after the response: it has read it.
     Delivered,
     /// The connection broke.
     Broken,
@@ -14,12 +14,12 @@
     Unknown,
 }
 
-/// Tells what became of a request's answer. It stands among the extensions of a request whose handler wants it.
+/// Tells what became of a request's response. It stands among the extensions of a request whose handler wants it.
 #[derive(Clone)]
 pub struct DeliveryReceipt(watch::Receiver<Option<DeliveryStatus>>);
 
 impl DeliveryReceipt {
-    /// Waits for the end of the connection, and says what it tells of the answer.
+    /// Waits for the end of the connection, and says what it tells of the response.
     pub async fn wait(&mut self) -> DeliveryStatus {
         let status = self.0.wait_for(Option::is_some).await;
         status
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -63,7 +63,7 @@
 pub enum RequestOutcome {
     /// An upstream's response was passed on.
     Served,
-    /// It has not run, and its client was told to come again.
+    /// It has not run, and its client was advised to send it again.
     Refused,
     /// It was no valid request, too large, or came too slowly.
     Malformed,
@@ -89,7 +89,7 @@
     pub unrouted_requests: Counter,
     /// The revision (`rev`) of the configuration in force.
     pub configuration_revision: Gauge,
-    /// Balancers of the fleet, as the control plane tells it.
+    /// Balancers of the fleet, as the control plane reports it.
     pub balancers: Gauge,
     /// Upstreams that are known.
     pub upstreams: Gauge,
--- a/crates/data-plane/src/routes.rs
+++ b/crates/data-plane/src/routes.rs
@@ -16,7 +16,7 @@
 //! **Promises.** A configuration is in force whole or not at all, and never an older one than before. Each request that
 //! has a route is counted with its outcome.
 //!
-//! **Neighbours down.** Without the control plane all stays as it was last told. A balancer that was told nothing yet
+//! **Neighbours down.** Without the control plane all stays as last received. A balancer that has received nothing yet
 //! refuses requests with advice to come again.
 
 mod client_deadline;
@@ -106,7 +106,7 @@
     services: RefCell<ServiceTable>,
     membership: Membership,
     draining: Cell<bool>,
-    /// Wakes the sessions with the control plane when there is something new to say.
+    /// Wakes the sessions with the control plane when there is something new to send.
     changes: ChangeNotifier,
     metrics: Metrics,
     /// Holds the listener to the limits of the configuration.
--- a/crates/data-plane/src/routes/configuration.rs
+++ b/crates/data-plane/src/routes/configuration.rs
@@ -15,14 +15,14 @@
 
 /// The decision modules' housekeeping comes no more often than this: a fifth of a core has other work.
 const MIN_TICK: Duration = Duration::from_millis(25);
-/// A late answer keeps some value: the users' rules say that it earns less, not how much less.
+/// A late response keeps some value: the users' rules say that it earns less, not how much less.
 const LATE_VALUE: f64 = 0.3;
 /// A client whose deadline is shorter than the longest by this part of the route's latency target has been refused or
 /// has waited elsewhere: a connection takes less.
 const RESENT_TARGET_DIVISOR: u32 = 4;
 
 impl Routes {
-    /// Puts a configuration in force, as of this log index. The engine is told by [`Self::send_settings`].
+    /// Puts a configuration in force, as of this log index. [`Self::send_settings`] passes it to the engine.
     pub(super) fn apply_config(&self, index: u64, config: &Config) {
         tracing::info!(
             revision = config.revision,
@@ -126,7 +126,7 @@
         Span((wait_s.min(60.0) * 1e6) as i64)
     }
 
-    /// Tells the engine the settings of all services.
+    /// Sends the engine the settings of all services.
     pub(super) fn send_settings(&self) {
         let fleet = self.control_state.borrow().fleet.unwrap_or(FleetView {
             balancers: 1,
--- a/crates/data-plane/src/routes/membership.rs
+++ b/crates/data-plane/src/routes/membership.rs
@@ -1,7 +1,7 @@
-//! Upstreams and key ranges as the engine is told of them: all upstreams, or those of a zone that changed.
+//! Upstreams and key ranges as they are sent to the engine: all upstreams, or those of a zone that changed.
 //!
 //! Owns which upstreams the engine knows, by service, and when those in slow start have started. An upstream of a
-//! service that is not configured is not told; it is with the next configuration, which tells all.
+//! service that is not configured is not sent; it is with the next configuration, when all are sent.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,14 +16,14 @@
 use super::watch_updates::ControlState;
 use crate::engine::{EngineEvent, ListedUpstream};
 
-/// An upstream's start is told by what is left of its slow start, as of the update. Moved by less than this it is the
+/// An upstream's start is known by what is left of its slow start, as of the update. Moved by less than this it is the
 /// same start.
 const START_TOLERANCE: Duration = Duration::from_millis(1000);
 
-/// What the engine was told of upstreams, one by one.
+/// What was sent to the engine of each upstream.
 pub(super) struct Membership {
     service_by_upstream: RefCell<FxHashMap<String, usize>>,
-    /// When an upstream in slow start has started, as first told.
+    /// When an upstream in slow start has started, as first received.
     started_at: RefCell<FxHashMap<String, SystemTime>>,
     /// Upstream lists count their times from here.
     epoch: Instant,
@@ -50,7 +50,7 @@
         self.epoch.elapsed().as_millis() as u64
     }
 
-    /// Notes a start that was told for this time, unless it is the one that is known.
+    /// Notes a start at this time, unless it is the one that is known.
     fn record_start(&self, upstream: String, at: SystemTime) {
         let mut started = self.started_at.borrow_mut();
         let known = started.entry(upstream).or_insert(at);
@@ -62,7 +62,7 @@
 }
 
 impl Routes {
-    /// Tells the engine all upstreams of all services.
+    /// Sends the engine all upstreams of all services.
     pub(super) fn send_all_upstreams(&self) {
         let mut lists: Vec<Vec<ListedUpstream>> = Vec::new();
         lists.resize_with(self.services.borrow().len(), Vec::new);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Tells the engine those of a zone's upstreams that have changed.
+    /// Sends the engine those of a zone's upstreams that have changed.
     pub(super) fn send_changed_upstreams(&self, zone: &str, ids: BTreeSet<String>) {
         let mut lists: BTreeMap<usize, Vec<ListedUpstream>> = BTreeMap::new();
         let control_state = self.control_state.borrow();
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Tells the engine who holds which keys of these services.
+    /// Sends the engine the owners of the key ranges of these services.
     pub(super) fn send_key_owners<'a>(&self, services: impl Iterator<Item = &'a String>) {
         let control_state = self.control_state.borrow();
         for name in services {
@@ -146,7 +146,7 @@
         self.services.borrow().index_of(name)
     }
 
-    /// An upstream as the engine is told of it. One in an evacuated zone drains.
+    /// An upstream as it is sent to the engine. One in an evacuated zone drains.
     fn listed_upstream(
         &self,
         control_state: &ControlState,
--- a/crates/data-plane/src/routes/watch_updates.rs
+++ b/crates/data-plane/src/routes/watch_updates.rs
@@ -1,5 +1,5 @@
 //! What the control plane sent, by version, and what is requested of it. Each part of an update is taken only if it is
-//! newer than what is held; then the engine is told what has changed, in one order: settings, upstreams, key owners.
+//! newer than what is held; then what has changed is sent to the engine, in one order: settings, upstreams, key owners.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
 use crate::change_notifier::ChangeWatcher;
 use crate::control_client::UpdateHandler;
 
-/// What is held of the replicated state, as last told. Log indexes are 0 for what was never told.
+/// What is held of the replicated state, as last received. Log indexes are 0 for what was never received.
 #[derive(Default)]
 pub(super) struct ControlState {
     pub(super) config_index: u64,
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -4,7 +4,7 @@
 //! `readiness` answers the platform's checks.
 //!
 //! **Promises.** What clients sent up to 3 s after the stop is answered before the process ends. **Neighbours down.**
-//! Without the control plane it serves what it was told last; if the engine ends the process does too, since nothing
+//! Without the control plane it serves what it last received; if the engine ends the process does too, since nothing
 //! would be answered any more and a restart is better.
 
 mod readiness;
@@ -42,7 +42,7 @@
 const RESERVED_FDS: usize = 264;
 /// Descriptors for clients and upstreams, whatever the settings say.
 const MIN_CONNECTION_FDS: usize = 32;
-/// The decision modules work to this much less than the client's deadline, so that an answer at the deadline still
+/// The decision modules work to this much less than the client's deadline, so that a response at the deadline still
 /// arrives: the way to the client, and a busy moment here.
 const RESPONSE_HEADROOM: Duration = Duration::from_millis(30);
 /// Timers fire on multiples of this, so that those of many services fire together.
--- a/crates/data-plane/src/runtime/shutdown.rs
+++ b/crates/data-plane/src/runtime/shutdown.rs
@@ -14,12 +14,12 @@
 /// of the stop.
 const ACCEPT_SHARE_OF_GRACE: f64 = 0.5;
 /// Nothing is taken later than this after SIGTERM. A request that was taken after 4.4 s of 10 was sent on twice, and
-/// the process ended while its upstream was at work. The platform asks for an answer to whatever a client sent up to
+/// the process ended while its upstream was at work. The platform asks for a response to whatever a client sent up to
 /// 3 s after the signal.
 const LAST_REQUEST_AFTER_SIGTERM: Duration = Duration::from_millis(2800);
 /// This much is left at the end.
 pub(super) const EXIT_MARGIN: Duration = Duration::from_millis(500);
-/// What has not run by then is rejected so long before the last answers have to be out.
+/// What has not run by then is rejected so long before the last responses have to be out.
 const REJECT_LEAD_TIME: Duration = Duration::from_millis(300);
 
 /// The limits of the clients' side, with so many connections and so much time from SIGTERM to the end.
