--- a/crates/data-plane/src/control_client.rs
+++ b/crates/data-plane/src/control_client.rs
@@ -42,7 +42,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use protocol::key_ranges::KeyLoadReport;
+use protocol::key_load::KeyLoadReport;
 use protocol::wire::{Balancer, ControlNode, FleetView, WatchRequest, WatchUpdate};
 use tokio::time::{Instant, sleep};
 
--- a/crates/data-plane/src/control_client/session.rs
+++ b/crates/data-plane/src/control_client/session.rs
@@ -96,7 +96,7 @@
                 // much comes.
                 biased;
                 () = sleep_until(self.outbound.next_send) => self.outbound.send_due().await?,
-                update = &mut update => return update?,
+                update = &mut update => return Ok(update??),
                 () = self.changes.changed() => self.outbound.schedule_change(),
             }
         }
--- a/crates/data-plane/src/routes/tests.rs
+++ b/crates/data-plane/src/routes/tests.rs
@@ -4,7 +4,7 @@
 
 use protocol::compact_config::CompactConfig;
 use protocol::config::{Config, RequestKind, Route, Service, TrafficSplit};
-use protocol::wire::WatchUpdate;
+use protocol::wire::{Indexed, WatchUpdate};
 use tokio::time::Instant;
 
 use super::client_deadline::LongestDeadline;
@@ -169,7 +169,10 @@
     /// Takes in what a session brings.
     fn take_configuration(&self, index: u64, config: Arc<CompactConfig>) {
         let update = WatchUpdate {
-            config: Some((index, config)),
+            config: Some(Indexed {
+                index,
+                value: config,
+            }),
             ..WatchUpdate::default()
         };
         UpdateHandler::handle_update(self, &update);
--- a/crates/data-plane/src/routes/watch_updates.rs
+++ b/crates/data-plane/src/routes/watch_updates.rs
@@ -4,9 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use protocol::config::RequestLimits;
-use protocol::key_ranges::{KeyLoadReport, KeyRangeView, WORK_UNIT_MS};
+use protocol::key_load::{BucketLoad, KeyLoadReport, LOAD_UNIT_MS};
+use protocol::key_ranges::KeyRangeView;
 use protocol::upstream_list::{UpdateOutcome, UpstreamList};
-use protocol::wire::{FleetView, WatchRequest, WatchUpdate};
+use protocol::wire::{FleetView, Indexed, WatchRequest, WatchUpdate};
 
 use super::Routes;
 use crate::change_notifier::ChangeWatcher;
@@ -90,8 +91,8 @@
         if is_config_new {
             let state = self.control_state.borrow();
             self.send_key_owners(state.key_ranges.keys());
-        } else if are_keys_new && let Some((_, services)) = &update.key_ranges {
-            self.send_key_owners(services.keys());
+        } else if are_keys_new && let Some(ranges) = &update.key_ranges {
+            self.send_key_owners(ranges.value.keys());
         }
         if is_config_new || are_evacuations_new || any_zone_changed || are_keys_new {
             self.changes.notify();
@@ -101,14 +102,17 @@
 
     fn take_key_load(&self) -> KeyLoadReport {
         let services = self.services.borrow();
-        let mut counts = KeyLoadReport::new();
+        let mut report = KeyLoadReport::new();
         for (key, spent) in self.engine.take_key_load() {
-            let units = spent.as_millis() / u128::from(WORK_UNIT_MS);
+            let units = spent.as_millis() / u128::from(LOAD_UNIT_MS);
             let units = units.min(u128::from(u16::MAX)) as u16;
-            let name = services.get(key.service).name.clone();
-            counts.entry(name).or_default().push((key.bucket, units));
+            let load = BucketLoad {
+                bucket: key.bucket,
+                units,
+            };
+            report.push(&services.get(key.service).name, load);
         }
-        counts
+        report
     }
 
     fn handle_fleet_view(&self, fleet: FleetView) {
@@ -130,9 +134,9 @@
 impl Routes {
     fn take_config(&self, update: &WatchUpdate) -> bool {
         let held = self.control_state.borrow().config_index;
-        let newer = update.config.as_ref().filter(|(index, _)| *index > held);
-        if let Some((index, config)) = newer {
-            self.apply_config(*index, &config.to_config());
+        let newer = update.config.as_ref().filter(|config| config.index > held);
+        if let Some(config) = newer {
+            self.apply_config(config.index, &config.value.to_config());
         }
         newer.is_some()
     }
@@ -168,7 +172,11 @@
     fn take_evacuations(&self, update: &WatchUpdate) -> bool {
         let held = self.control_state.borrow().evacuations_index;
         let evacuations = update.evacuated_zones.as_ref();
-        let Some((index, zones)) = evacuations.filter(|(index, _)| *index > held) else {
+        let Some(Indexed {
+            index,
+            value: zones,
+        }) = evacuations.filter(|e| e.index > held)
+        else {
             return false;
         };
         let before = {
@@ -186,7 +194,11 @@
         let mut state = self.control_state.borrow_mut();
         let held = state.keys_index;
         let keys = update.key_ranges.as_ref();
-        let Some((index, services)) = keys.filter(|(index, _)| *index > held) else {
+        let Some(Indexed {
+            index,
+            value: services,
+        }) = keys.filter(|k| k.index > held)
+        else {
             return false;
         };
         state.keys_index = *index;
