--- a/crates/data-plane/src/client_connections/connection.rs
+++ b/crates/data-plane/src/client_connections/connection.rs
@@ -17,7 +17,7 @@
 use crate::client_stream::Traffic;
 
 /// A connection that served a client within this time is not evicted.
-pub(super) const EVICT_KEPT_AFTER: Duration = Duration::from_secs(2);
+pub(super) const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
 /// A connection that has sent nothing for this long may be evicted: clients that have a request send it right away.
 pub(super) const EVICT_UNUSED_AFTER: Duration = Duration::from_millis(250);
 
@@ -40,7 +40,7 @@
     /// A request is open.
     RequestOpen,
     /// Its last request was answered, and the next one has not come whole.
-    Kept(KeepAlive),
+    KeepAlive(KeepAlive),
     /// Only read to its end, so that the last response is not lost to a reset.
     Closing { since: Instant },
     /// Chosen to make room.
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy)]
 struct KeepAlive {
     /// When the response was handed over to be written.
-    answered: Instant,
+    answered_at: Instant,
     /// When a part of it was last seen written.
     last_written: Instant,
     /// Bytes that had been read when the response was given.
@@ -81,8 +81,8 @@
     /// The open request has its response, which is yet to be written.
     pub(super) fn on_response(&self) {
         let now = Instant::now();
-        self.state.set(State::Kept(KeepAlive {
-            answered: now,
+        self.state.set(State::KeepAlive(KeepAlive {
+            answered_at: now,
             last_written: now,
             bytes_read: self.traffic.bytes_read(),
             bytes_written: self.traffic.bytes_written(),
@@ -103,19 +103,19 @@
 
     /// Whether a request is open on it, or was answered and may be followed by another.
     pub(super) fn is_in_use(&self) -> bool {
-        matches!(self.state.get(), State::RequestOpen | State::Kept(_))
+        matches!(self.state.get(), State::RequestOpen | State::KeepAlive(_))
     }
 
     /// Whether no request is open on it, the last response is written, and nothing of a next request has come.
     pub fn is_idle(&self) -> bool {
         match self.state.get() {
             State::New { .. } => self.traffic.bytes_read() == 0,
-            State::Kept(kept) => self.is_kept_idle(&kept),
+            State::KeepAlive(kept) => self.is_keep_alive_idle(&kept),
             State::RequestOpen | State::Closing { .. } | State::Evicted => false,
         }
     }
 
-    fn is_kept_idle(&self, kept: &KeepAlive) -> bool {
+    fn is_keep_alive_idle(&self, kept: &KeepAlive) -> bool {
         self.traffic.bytes_read() == kept.bytes_read && !self.traffic.is_write_blocked()
     }
 
@@ -124,9 +124,9 @@
         match self.state.get() {
             State::New { since } => Some(since + self.timeouts.get().header),
             State::RequestOpen | State::Closing { .. } | State::Evicted => None,
-            State::Kept(mut kept) => {
+            State::KeepAlive(mut kept) => {
                 let at = self.keep_alive_deadline(&mut kept);
-                self.state.set(State::Kept(kept));
+                self.state.set(State::KeepAlive(kept));
                 Some(at)
             }
         }
@@ -141,7 +141,7 @@
             (kept.bytes_written, kept.last_written) = (bytes_written, Instant::now());
         }
         if self.traffic.is_write_blocked() {
-            return (kept.last_written + idle).min(kept.answered + idle * MAX_READ_IDLE_TIMES);
+            return (kept.last_written + idle).min(kept.answered_at + idle * MAX_READ_IDLE_TIMES);
         }
         if self.traffic.bytes_read() == kept.bytes_read {
             return kept.last_written + idle;
@@ -153,7 +153,7 @@
     /// with the close is sent once more.
     pub(super) fn idle_since(&self) -> Option<Instant> {
         match self.state.get() {
-            State::Kept(kept) => self.is_kept_idle(&kept).then_some(kept.last_written),
+            State::KeepAlive(kept) => self.is_keep_alive_idle(&kept).then_some(kept.last_written),
             _ => None,
         }
     }
@@ -163,11 +163,11 @@
     pub(super) fn eviction_rank(&self, now: Instant) -> Option<(bool, Instant)> {
         let (served, since, after) = match self.state.get() {
             State::New { since } | State::Closing { since } => (false, since, EVICT_UNUSED_AFTER),
-            State::Kept(KeepAlive {
+            State::KeepAlive(KeepAlive {
                 next_head: Some(began),
                 ..
             }) => (false, began, EVICT_UNUSED_AFTER),
-            State::Kept(_) => (true, self.idle_since()?, EVICT_KEPT_AFTER),
+            State::KeepAlive(_) => (true, self.idle_since()?, EVICT_IDLE_AFTER),
             State::RequestOpen | State::Evicted => return None,
         };
         (now >= since + after).then_some((served, since))
--- a/crates/data-plane/src/client_connections/tests.rs
+++ b/crates/data-plane/src/client_connections/tests.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::{advance, timeout};
 
-use super::connection::{EVICT_KEPT_AFTER, EVICT_UNUSED_AFTER};
+use super::connection::{EVICT_IDLE_AFTER, EVICT_UNUSED_AFTER};
 use super::*;
 
 const TIMEOUTS: ClientTimeouts = ClientTimeouts {
@@ -121,7 +121,7 @@
     let all = ClientConnections::new(1, 1, TIMEOUTS);
     let slot = all.register(Traffic::default());
     slot.on_response();
-    advance(EVICT_KEPT_AFTER).await;
+    advance(EVICT_IDLE_AFTER).await;
     all.evict_idle();
     slot.connection.on_request();
     assert!(!is_evicted(&slot).await);
--- a/crates/data-plane/src/listener.rs
+++ b/crates/data-plane/src/listener.rs
@@ -75,7 +75,7 @@
     fn handle_request(
         &self,
         request: Request<Incoming>,
-        arrived: Instant,
+        arrived_at: Instant,
         stopping: bool,
     ) -> impl Future<Output = ClientResponse>;
 }
--- a/crates/data-plane/src/listener/connection.rs
+++ b/crates/data-plane/src/listener/connection.rs
@@ -134,11 +134,11 @@
         request: Request<Incoming>,
         slot: &ConnectionSlot,
     ) -> Result<ClientResponse, Infallible> {
-        let arrived = Instant::now();
+        let arrived_at = Instant::now();
         slot.connection.on_request();
         let mut response = self
             .handler
-            .handle_request(request, arrived, self.stopping.get())
+            .handle_request(request, arrived_at, self.stopping.get())
             .await;
         if self.stopping.get() {
             response
--- a/crates/data-plane/src/listener/tests.rs
+++ b/crates/data-plane/src/listener/tests.rs
@@ -215,7 +215,7 @@
 }
 
 /// Longest wait for anything that has to happen.
-const SOON: Duration = Duration::from_secs(6);
+const MAX_WAIT: Duration = Duration::from_secs(6);
 
 async fn wait_until(what: &str, happened: impl Fn() -> bool) {
     let happened = async {
@@ -223,14 +223,14 @@
             sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(SOON, happened)
+    timeout(MAX_WAIT, happened)
         .await
         .unwrap_or_else(|_| panic!("{what} does not happen"));
 }
 
 /// How a client leaves while its request is open.
 #[derive(Clone, Copy, Debug)]
-enum Leaving {
+enum ClientExit {
     Closes,
     Resets,
     /// It half closes, and would read on.
@@ -242,8 +242,8 @@
     let test = async {
         let (listener, at) = bind().await;
         let timeouts = ClientTimeouts {
-            header: SOON,
-            idle: SOON,
+            header: MAX_WAIT,
+            idle: MAX_WAIT,
         };
         let limits = ListenerLimits {
             max_connections: 99,
@@ -254,7 +254,11 @@
         let handler = Rc::new(PendingHandler::default());
         spawn_local(Listener::new(handler.clone(), limits).serve(listener, std::future::pending()));
         let mut clients = 0;
-        for leaving in [Leaving::Closes, Leaving::Resets, Leaving::HalfCloses] {
+        for exit in [
+            ClientExit::Closes,
+            ClientExit::Resets,
+            ClientExit::HalfCloses,
+        ] {
             // Nothing; a part of a request; a whole one; more than the HTTP library buffers.
             for behind in [&b""[..], b"GET / HT", REQUEST, &[b'x'; 12_000]] {
                 let mut stream = TcpStream::connect(at).await.expect("a connection");
@@ -263,23 +267,20 @@
                 wait_until("a request", || handler.requests.get() == clients).await;
                 stream.write_all(behind).await.expect("written");
                 let mut kept = None;
-                match leaving {
-                    Leaving::Closes => drop(stream),
-                    Leaving::Resets => {
+                match exit {
+                    ClientExit::Closes => drop(stream),
+                    ClientExit::Resets => {
                         socket2::SockRef::from(&stream)
                             .set_linger(Some(Duration::ZERO))
                             .expect("set");
                         drop(stream);
                     }
-                    Leaving::HalfCloses => {
+                    ClientExit::HalfCloses => {
                         stream.shutdown().await.expect("half closed");
                         kept = Some(stream);
                     }
                 }
-                let what = format!(
-                    "the end after {leaving:?} with {} bytes behind",
-                    behind.len()
-                );
+                let what = format!("the end after {exit:?} with {} bytes behind", behind.len());
                 wait_until(&what, || handler.given_up.get() == clients).await;
                 drop(kept);
             }
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -104,10 +104,10 @@
 
 impl RouteMetrics {
     /// Counts a request of this route that arrived then and has its response now.
-    pub fn record_response(&self, outcome: RequestOutcome, arrived: Instant) {
+    pub fn record_response(&self, outcome: RequestOutcome, arrived_at: Instant) {
         self.requests_by_outcome[outcome as usize].inc();
         self.request_seconds
-            .observe(arrived.elapsed().as_secs_f64());
+            .observe(arrived_at.elapsed().as_secs_f64());
     }
 }
 
--- a/crates/data-plane/src/routes/client_deadline.rs
+++ b/crates/data-plane/src/routes/client_deadline.rs
@@ -29,7 +29,7 @@
     pub(super) fn from_headers(
         headers: &HeaderMap,
         route: &ActiveRoute,
-        arrived: Instant,
+        arrived_at: Instant,
     ) -> Result<Self, RequestError> {
         let Some(value) = headers.get(DEADLINE) else {
             return Ok(Self {
@@ -42,17 +42,17 @@
             .filter(|ms| *ms > 0)
             .ok_or(RequestError::Malformed("Deadline-Ms"))?;
         let deadline = route.deadline.min(Duration::from_millis(ms));
-        let longest = route.longest_deadline.observe(arrived, deadline);
+        let max_recent = route.max_recent_deadline.observe(arrived_at, deadline);
         Ok(Self {
             deadline,
-            is_resent: longest > deadline + route.resent_margin,
+            is_resent: max_recent > deadline + route.resent_margin,
         })
     }
 }
 
 /// The longest deadline that clients of a route gave of late: that of first attempts.
 #[derive(Default)]
-pub(super) struct LongestDeadline(Cell<Windows>);
+pub(super) struct MaxDeadline(Cell<Windows>);
 
 #[derive(Clone, Copy, Default)]
 struct Windows {
@@ -62,7 +62,7 @@
     since: Option<Instant>,
 }
 
-impl LongestDeadline {
+impl MaxDeadline {
     /// Takes in a deadline, and gives the longest of the current window and the one before.
     pub(super) fn observe(&self, now: Instant, deadline: Duration) -> Duration {
         let mut windows = self.0.get();
--- a/crates/data-plane/src/routes/configuration.rs
+++ b/crates/data-plane/src/routes/configuration.rs
@@ -7,7 +7,7 @@
 use protocol::config::{Config, RequestKind, Route};
 use protocol::wire::FleetView;
 
-use super::client_deadline::LongestDeadline;
+use super::client_deadline::MaxDeadline;
 use super::route_table::{ActiveRoute, Split};
 use super::services::{Service, ServiceTable};
 use super::{MAX_DURATION_MS, Routes, bounded_duration};
@@ -67,7 +67,7 @@
             deadline: bounded_duration(route.deadline_ms),
             splits,
             resent_margin: Duration::from_millis(route.target_ms) / RESENT_TARGET_DIVISOR,
-            longest_deadline: LongestDeadline::default(),
+            max_recent_deadline: MaxDeadline::default(),
             metrics: self.metrics.route(&route.name),
         }
     }
--- a/crates/data-plane/src/routes/request.rs
+++ b/crates/data-plane/src/routes/request.rs
@@ -88,13 +88,13 @@
     async fn handle_request(
         &self,
         request: Request<Incoming>,
-        arrived: Instant,
+        arrived_at: Instant,
         _: bool,
     ) -> ClientResponse {
         // A length beside a transfer coding is read by the coding (RFC 9112, 6.3); another reader may have gone by
         // the length, and what it took for the body must not be taken for a request here.
         let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-        let mut response = self.respond(request, arrived).await;
+        let mut response = self.respond(request, arrived_at).await;
         if chunked || response.status() == StatusCode::BAD_REQUEST {
             response
                 .headers_mut()
@@ -106,7 +106,7 @@
 
 impl Routes {
     /// Finds the route of a request and answers it, and counts what became of it.
-    async fn respond(&self, request: Request<Incoming>, arrived: Instant) -> ClientResponse {
+    async fn respond(&self, request: Request<Incoming>, arrived_at: Instant) -> ClientResponse {
         let (head, body) = request.into_parts();
         if let Err(error) = check_head(&head) {
             return error.into_response();
@@ -120,11 +120,11 @@
             self.metrics.unrouted_requests.inc();
             return empty_response(StatusCode::NOT_FOUND);
         };
-        let (outcome, response) = match self.forward(&route, head, body, arrived).await {
+        let (outcome, response) = match self.forward(&route, head, body, arrived_at).await {
             Ok(response) => (RequestOutcome::Served, response),
             Err(error) => (error.outcome(), error.into_response()),
         };
-        route.metrics.record_response(outcome, arrived);
+        route.metrics.record_response(outcome, arrived_at);
         response
     }
 
@@ -134,13 +134,13 @@
         route: &ActiveRoute,
         head: Parts,
         body: Incoming,
-        arrived: Instant,
+        arrived_at: Instant,
     ) -> Result<ClientResponse, RequestError> {
         let ClientDeadline {
             deadline,
             is_resent,
-        } = ClientDeadline::from_headers(&head.headers, route, arrived)?;
-        let until = arrived + deadline;
+        } = ClientDeadline::from_headers(&head.headers, route, arrived_at)?;
+        let until = arrived_at + deadline;
         let max_body_bytes = self.control_state.borrow().limits.max_body_bytes;
         let length = body.size_hint().exact();
         if length.is_some_and(|l| l > max_body_bytes as u64) {
--- a/crates/data-plane/src/routes/route_table.rs
+++ b/crates/data-plane/src/routes/route_table.rs
@@ -7,7 +7,7 @@
 
 use rustc_hash::FxHashMap;
 
-use super::client_deadline::LongestDeadline;
+use super::client_deadline::MaxDeadline;
 use crate::metrics::RouteMetrics;
 
 /// The golden ratio as a fraction of 2³²: steps of it spread evenly over the range, however many are taken.
@@ -20,7 +20,7 @@
     pub(super) splits: Vec<Split>,
     /// A client whose deadline is this much shorter than the longest was elsewhere before.
     pub(super) resent_margin: Duration,
-    pub(super) longest_deadline: LongestDeadline,
+    pub(super) max_recent_deadline: MaxDeadline,
     pub(super) metrics: Rc<RouteMetrics>,
 }
 
--- a/crates/data-plane/src/routes/tests.rs
+++ b/crates/data-plane/src/routes/tests.rs
@@ -7,7 +7,7 @@
 use protocol::wire::{Indexed, WatchUpdate};
 use tokio::time::Instant;
 
-use super::client_deadline::LongestDeadline;
+use super::client_deadline::MaxDeadline;
 use super::route_table::Split;
 use super::*;
 use crate::control_client::UpdateHandler;
@@ -16,11 +16,11 @@
 use crate::upstream_pool::{PoolConfig, UpstreamPool};
 
 #[test]
-fn longest_deadline_is_that_of_the_last_two_windows() {
-    let (longest, start) = (LongestDeadline::default(), Instant::now());
+fn max_deadline_is_that_of_the_last_two_windows() {
+    let (max_deadline, start) = (MaxDeadline::default(), Instant::now());
     let seen = |after_s: u64, told_ms: u64| {
         let now = start + Duration::from_secs(after_s);
-        longest
+        max_deadline
             .observe(now, Duration::from_millis(told_ms))
             .as_millis()
     };
--- a/crates/data-plane/tests/client_schedules.rs
+++ b/crates/data-plane/tests/client_schedules.rs
@@ -32,8 +32,8 @@
 /// Longest wait for anything that has to happen.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 const SCHEDULES: u32 = 3000;
-/// What is left after so many pieces is written at once.
-const MAX_PIECES: usize = 100;
+/// What is left after so many chunks is written at once.
+const MAX_CHUNKS: usize = 100;
 
 #[derive(Clone, Debug)]
 struct PlannedRequest {
@@ -66,8 +66,8 @@
 #[derive(Clone, Debug)]
 struct Schedule {
     requests: Vec<PlannedRequest>,
-    /// The lengths of the pieces that are written, over and over.
-    pieces: Vec<usize>,
+    /// The lengths of the chunks that are written, over and over.
+    chunks: Vec<usize>,
     /// Reads nothing before all is written.
     reads_late: bool,
     end: ClientEnd,
@@ -124,19 +124,19 @@
         1 => Just(ClientEnd::Garbage),
         1 => Just(ClientEnd::Cut),
     ];
-    let pieces = prop::collection::vec(prop_oneof![1..40usize, 40..3000usize], 1..4);
+    let chunks = prop::collection::vec(prop_oneof![1..40usize, 40..3000usize], 1..4);
     let stops_after = prop::option::weighted(0.2, 1..4usize);
     (
         prop::collection::vec(planned_request(), 1..6),
-        pieces,
+        chunks,
         any::<bool>(),
         end,
         stops_after,
     )
         .prop_map(
-            |(requests, pieces, reads_late, end, stops_after)| Schedule {
+            |(requests, chunks, reads_late, end, stops_after)| Schedule {
                 requests,
-                pieces,
+                chunks,
                 reads_late,
                 end,
                 stops_after,
@@ -199,7 +199,7 @@
 #[derive(Default)]
 struct PlannedHandler {
     /// Requests that came whole, and whom to tell when there were so many.
-    whole: Cell<usize>,
+    complete_requests: Cell<usize>,
     awaited: Cell<Option<(usize, oneshot::Sender<()>)>>,
 }
 
@@ -222,9 +222,11 @@
             *answer.status_mut() = StatusCode::BAD_REQUEST;
             return answer;
         }
-        self.whole.set(self.whole.get() + 1);
+        self.complete_requests.set(self.complete_requests.get() + 1);
         match self.awaited.take() {
-            Some((count, reached)) if count == self.whole.get() => drop(reached.send(())),
+            Some((count, reached)) if count == self.complete_requests.get() => {
+                drop(reached.send(()))
+            }
             other => self.awaited.set(other),
         }
         for _ in 0..plan[2] {
@@ -241,7 +243,7 @@
     /// All that the client was sent until it or the listener closed.
     received: Vec<u8>,
     /// Its requests that had come whole.
-    whole_requests: usize,
+    complete_requests: usize,
 }
 
 async fn play(schedule: &Schedule) -> Transcript {
@@ -279,7 +281,7 @@
     serving.abort();
     Transcript {
         received,
-        whole_requests: handler.whole.get(),
+        complete_requests: handler.complete_requests.get(),
     }
 }
 
@@ -312,7 +314,7 @@
     }
 }
 
-/// Writes the schedule's requests and what is behind them, in its pieces.
+/// Writes the schedule's requests and what is behind them, in its chunks.
 async fn send_requests(schedule: &Schedule, mut writer: OwnedWriteHalf) -> OwnedWriteHalf {
     let mut text = Vec::new();
     for (number, request) in schedule.requests.iter().enumerate() {
@@ -323,17 +325,17 @@
         ClientEnd::Cut => text.extend(&schedule.requests[0].text(0)[..30]),
         ClientEnd::Stays | ClientEnd::HalfCloses | ClientEnd::Leaves(_) => {}
     }
-    let pieces = schedule
-        .pieces
+    let chunks = schedule
+        .chunks
         .iter()
         .cycle()
-        .take(MAX_PIECES)
+        .take(MAX_CHUNKS)
         .chain([&usize::MAX]);
     let mut text = &text[..];
-    for length in pieces {
-        let (piece, rest) = text.split_at(text.len().min(*length));
+    for length in chunks {
+        let (chunk, rest) = text.split_at(text.len().min(*length));
         // The listener may have closed already.
-        if writer.write_all(piece).await.is_err() {
+        if writer.write_all(chunk).await.is_err() {
             break;
         }
         text = rest;
@@ -352,7 +354,9 @@
         received.reserve(64 << 10);
         let enough = match schedule.end {
             ClientEnd::Leaves(bytes) => received.len() >= bytes,
-            ClientEnd::Stays => whole_answers(schedule, &received).count == schedule.requests.len(),
+            ClientEnd::Stays => {
+                complete_answers(schedule, &received).count == schedule.requests.len()
+            }
             ClientEnd::HalfCloses | ClientEnd::Garbage | ClientEnd::Cut => false,
         };
         if enough || matches!(reader.read_buf(&mut received).await, Ok(0) | Err(_)) {
@@ -362,26 +366,26 @@
 }
 
 /// Answers that stand there whole, each the one to the request of its number.
-struct WholeAnswers<'a> {
+struct CompleteAnswers<'a> {
     count: usize,
     /// What stands behind them.
     rest: &'a [u8],
 }
 
-fn whole_answers<'a>(schedule: &Schedule, received: &'a [u8]) -> WholeAnswers<'a> {
+fn complete_answers<'a>(schedule: &Schedule, received: &'a [u8]) -> CompleteAnswers<'a> {
     let mut rest = received;
     for (number, request) in schedule.requests.iter().enumerate() {
         match one_answer(request, number, rest) {
             Some(length) => rest = &rest[length..],
             None => {
-                return WholeAnswers {
+                return CompleteAnswers {
                     count: number,
                     rest,
                 };
             }
         }
     }
-    WholeAnswers {
+    CompleteAnswers {
         count: schedule.requests.len(),
         rest,
     }
@@ -422,12 +426,15 @@
 }
 
 fn judge(schedule: &Schedule, transcript: &Transcript) {
-    let whole_requests = transcript.whole_requests;
-    let WholeAnswers {
+    let complete_requests = transcript.complete_requests;
+    let CompleteAnswers {
         count: answers,
         rest,
-    } = whole_answers(schedule, &transcript.received);
-    assert!(answers <= whole_requests, "an answer to what was not asked");
+    } = complete_answers(schedule, &transcript.received);
+    assert!(
+        answers <= complete_requests,
+        "an answer to what was not asked"
+    );
     let last = schedule
         .requests
         .iter()
@@ -457,9 +464,9 @@
         let due = last.map_or(schedule.requests.len(), |last| last + 1);
         assert_eq!(answers, due, "the connection ended without an answer");
     }
-    if schedule.end == ClientEnd::Stays && whole_requests > 0 {
+    if schedule.end == ClientEnd::Stays && complete_requests > 0 {
         // Whatever the handler has taken is answered whole, also while the listener stops.
-        assert_eq!(answers, whole_requests);
+        assert_eq!(answers, complete_requests);
     }
 }
 
