--- a/crates/control-plane/src/key_leases.rs
+++ b/crates/control-plane/src/key_leases.rs
@@ -1,5 +1,10 @@
-//! Where upstreams divide a service's keys: while this one leads, it puts into the log who is to hold which, and
-//! grants and takes back what is agreed on. What is planned is `placement`'s; here are the calls.
+//! Leases on keys: where upstreams divide a service's keys, the leader of the log decides who is to hold which, and grants
+//! and releases what is agreed on. `placement` plans without I/O; here are the calls.
+//!
+//! **State.** The plans of one term and connections to upstreams, all in memory: a new leader plans anew from the
+//! replicated state, once whatever its predecessor may have sent has run out. **Neighbours.** An upstream that does not
+//! answer is given nothing for a while; one that is gone loses its keys when its lease has run out. A leader that is cut
+//! off stops its calls after [`LEADER_STALENESS_MS`].
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,214 +15,285 @@
 use data_plane::http_client::{HttpClient, HttpClientError};
 use http_body_util::Full;
 use hyper::header::CONTENT_TYPE;
-use hyper::{Request, StatusCode};
+use hyper::{Request, Response, StatusCode};
 use placement::{Candidate, KeyLoad, LeaseCall, LeaseCallOutcome, LeaseRequest, Planner, Timing};
+use protocol::key_ranges::LeaseHolder;
 use serde_json::json;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::server::{ControlServer, ELECTION_TIMEOUT_MS};
+use crate::server::{ControlServer, ELECTION_TIMEOUT_MS, KnownUpstream};
 
 /// Keys are granted for so long, or for as long as the platform allows: an election takes up to two of its
 /// time-outs, and what was renewed last a third of this ago must outlive it.
-const HOLD: u64 = 5000;
-const _: () = assert!(HOLD - HOLD / 3 > 2 * ELECTION_TIMEOUT_MS);
+const LEASE_MS: u64 = 5000;
+const _: () = assert!(LEASE_MS - LEASE_MS / 3 > 2 * ELECTION_TIMEOUT_MS);
 /// A grant is given up after so long: twice across regions and a busy moment at either end.
-const CALL: u64 = 800;
+const GRANT_TIMEOUT_MS: u64 = 800;
 /// A release is answered once what ran on the keys has ended.
-const RELEASE: u64 = 3000;
-/// Who leads sends grants for so long after it surely led: some heartbeats.
-const STALE: u64 = 1000;
+const RELEASE_TIMEOUT_MS: u64 = 3000;
+/// A leader sends grants for so long after a majority last followed it: some heartbeats.
+const LEADER_STALENESS_MS: u64 = 1000;
 /// Between two calls after one that failed.
-const AGAIN: u64 = 200;
-/// Keys are divided once no upstream has come for so long: two asks of the platform in each zone.
-const SETTLE: u64 = 2500;
-/// Plans are made this often, and this long after a call has ended: with the others that end just then.
-const EVERY: Duration = Duration::from_millis(100);
-const GATHER: Duration = Duration::from_millis(10);
-/// Calls that may be out at once.
-const CALLS: usize = 64;
+const RETRY_INTERVAL_MS: u64 = 200;
+/// Keys are divided once no upstream has come for so long: two calls to the platform in each zone.
+const STABILIZATION_MS: u64 = 2500;
+/// Plans are made this often.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
+/// Plans are made this long after a call has ended: with the others that end just then.
+const PLAN_DELAY_AFTER_CALL: Duration = Duration::from_millis(10);
+/// Calls that may be under way at once.
+const MAX_CALLS: usize = 64;
+
+struct ServicePlan {
+    planner: Planner,
+    load: KeyLoad,
+}
 
 /// The plans of one term, and the connections to upstreams.
+///
+/// Invariant: `calls_under_way` counts the spawned calls that have not ended, of whichever term. Plans are those of
+/// `term`: what a call of an earlier term brings is not shown to them.
 #[derive(Default)]
-struct Desk {
+struct LeaseManager {
     term: u64,
-    config: u64,
-    planners: BTreeMap<String, (Planner, KeyLoad)>,
+    config_index: u64,
+    plans: BTreeMap<String, ServicePlan>,
+    /// By upstream.
     clients: BTreeMap<String, Rc<HttpClient>>,
-    out: usize,
+    calls_under_way: usize,
 }
 
-/// Keeps the keys of all services, for good.
-pub async fn run(cell: Rc<ControlServer>) {
-    let (desk, ended) = (
-        Rc::new(RefCell::new(Desk::default())),
-        Rc::new(Notify::new()),
-    );
+/// A call that is to be made.
+struct PlannedCall {
+    service: String,
+    call: LeaseCall,
+    /// The term of the plan.
+    term: u64,
+    /// When it was planned: it must not arrive later than the plan reckons with.
+    planned_at: Instant,
+}
+
+/// Keeps the keys of all services leased while this process leads, for good.
+pub async fn run(server: Rc<ControlServer>) {
+    let manager = Rc::new(RefCell::new(LeaseManager::default()));
+    let call_ended = Rc::new(Notify::new());
     loop {
-        // What is planned now must not arrive later than was reckoned with, however late its turn comes.
-        let now = Instant::now();
-        let calls = plan(&cell, &mut desk.borrow_mut());
-        let planned = (desk.borrow().term, now);
-        for (service, call) in calls {
-            let (cell, desk, ended) = (cell.clone(), desk.clone(), ended.clone());
-            tokio::task::spawn_local(carry_out(cell, desk, ended, service, call, planned));
+        let calls = manager.borrow_mut().plan(&server);
+        for call in calls {
+            let (server, manager, call_ended) =
+                (server.clone(), manager.clone(), call_ended.clone());
+            tokio::task::spawn_local(async move {
+                carry_out(&server, &manager, call).await;
+                call_ended.notify_one();
+            });
         }
-        if timeout(EVERY, ended.notified()).await.is_ok() {
-            sleep(GATHER).await;
+        if timeout(PLAN_INTERVAL, call_ended.notified()).await.is_ok() {
+            sleep(PLAN_DELAY_AFTER_CALL).await;
         }
     }
 }
 
-/// What is to be called by now; what is to be changed is put into the log.
-fn plan(cell: &Rc<ControlServer>, desk: &mut Desk) -> Vec<(String, LeaseCall)> {
-    let Some((term, led_at)) = cell.leadership_confirmed_at() else {
-        desk.planners.clear();
-        return Vec::new();
-    };
-    let now = cell.uptime_ms();
-    if desk.term != term {
-        (desk.term, desk.config) = (term, 0);
-        desk.planners.clear();
+impl LeaseManager {
+    /// Puts changes that are due into the log, and returns the calls that are due.
+    fn plan(&mut self, server: &ControlServer) -> Vec<PlannedCall> {
+        // What is planned now must not arrive later than was reckoned with, however late its turn comes.
+        let planned_at = Instant::now();
+        let Some(leadership) = server.confirmed_leadership() else {
+            self.plans.clear();
+            return Vec::new();
+        };
+        let now_ms = server.uptime_ms();
+        self.update_services(server, leadership.term, now_ms);
+        if self.plans.is_empty() {
+            return Vec::new();
+        }
+        let Some(upstreams) = server.all_upstreams() else {
+            return Vec::new();
+        };
+        let may_call = now_ms < leadership.at_ms + LEADER_STALENESS_MS;
+        let counts = server.take_work_counts();
+        let mut calls = Vec::new();
+        for (service, plan) in &mut self.plans {
+            plan.load
+                .record(counts.get(service).map_or(&[], Vec::as_slice));
+            plan.load.refresh(now_ms);
+            let free_calls = if may_call {
+                MAX_CALLS.saturating_sub(self.calls_under_way)
+            } else {
+                0
+            };
+            let planned = plan.next_calls(server, service, &upstreams, now_ms, free_calls);
+            self.calls_under_way += planned.len();
+            calls.extend(planned.into_iter().map(|call| PlannedCall {
+                service: service.clone(),
+                call,
+                term: self.term,
+                planned_at,
+            }));
+        }
+        self.clients
+            .retain(|id, _| upstreams.iter().any(|known| known.upstream.id == *id));
+        calls
     }
-    if let Some((config, services)) = cell.sharded_services_since(desk.config) {
-        desk.config = config;
+
+    /// Begins anew in a new term, and follows the services that the configuration names.
+    fn update_services(&mut self, server: &ControlServer, term: u64, now_ms: u64) {
+        if self.term != term {
+            (self.term, self.config_index) = (term, 0);
+            self.plans.clear();
+        }
+        let Some(sharded) = server.sharded_services_since(self.config_index) else {
+            return;
+        };
+        self.config_index = sharded.config_index;
         let timing = Timing {
-            lease_ms: HOLD.min(cell.settings.bounds.max_hold_ms),
-            call_timeout_ms: CALL,
-            leader_staleness_ms: STALE,
-            retry_interval_ms: AGAIN,
-            stabilization_ms: SETTLE,
+            lease_ms: LEASE_MS.min(server.settings.bounds.max_hold_ms),
+            call_timeout_ms: GRANT_TIMEOUT_MS,
+            leader_staleness_ms: LEADER_STALENESS_MS,
+            retry_interval_ms: RETRY_INTERVAL_MS,
+            stabilization_ms: STABILIZATION_MS,
         };
-        desk.planners.retain(|s, _| services.contains(s));
-        for service in services {
-            desk.planners
-                .entry(service)
-                .or_insert_with(|| (Planner::new(now, timing), KeyLoad::default()));
+        self.plans
+            .retain(|service, _| sharded.services.contains(service));
+        for service in sharded.services {
+            self.plans.entry(service).or_insert_with(|| ServicePlan {
+                planner: Planner::new(now_ms, timing),
+                load: KeyLoad::default(),
+            });
         }
     }
-    if desk.planners.is_empty() {
-        return Vec::new();
+
+    /// The connection to an upstream. One that is dropped is reset.
+    fn client(&mut self, holder: &LeaseHolder) -> Rc<HttpClient> {
+        self.clients
+            .entry(holder.id.clone())
+            .or_insert_with(|| Rc::new(HttpClient::with_reset_on_drop(holder.addr)))
+            .clone()
     }
-    let Some(upstreams) = cell.all_upstreams() else {
-        return Vec::new();
-    };
-    let (mut calls, counted) = (Vec::new(), cell.take_work_counts());
-    for (service, (planner, work)) in &mut desk.planners {
-        work.record(counted.get(service).map_or(&[], Vec::as_slice));
-        work.refresh(now);
-        let listed: Vec<Candidate> = upstreams
+
+    /// A call has ended. The plans of a later term did not ask for it, and are not told.
+    fn on_call_ended(&mut self, now_ms: u64, planned: &PlannedCall, outcome: LeaseCallOutcome) {
+        self.calls_under_way -= 1;
+        if self.term == planned.term
+            && let Some(plan) = self.plans.get_mut(&planned.service)
+        {
+            plan.planner
+                .on_call_completed(now_ms, &planned.call, outcome);
+        }
+    }
+}
+
+impl ServicePlan {
+    /// Puts changes of the service's key ranges into the log, and returns the calls that are due, `free_calls` at most.
+    fn next_calls(
+        &mut self,
+        server: &ControlServer,
+        service: &str,
+        upstreams: &[KnownUpstream],
+        now_ms: u64,
+        free_calls: usize,
+    ) -> Vec<LeaseCall> {
+        let candidates: Vec<Candidate> = upstreams
             .iter()
-            .filter(|(u, _)| u.svc == *service)
-            .map(|(u, evacuated)| Candidate {
-                holder: protocol::key_ranges::LeaseHolder {
-                    id: u.id.clone(),
-                    addr: u.addr,
-                },
-                slots: u.slots,
-                draining: u.draining || *evacuated,
-                accepts_keys: !u.draining && !evacuated && u.warm_left_ms == 0,
-            })
+            .filter(|known| known.upstream.svc == service)
+            .map(candidate)
             .collect();
-        let room = if now < led_at + STALE {
-            CALLS.saturating_sub(desk.out)
-        } else {
-            0
-        };
-        let (changes, out) = cell.with_key_ranges(service, |slices| {
-            planner.plan(now, room, slices, &listed, work)
+        let (changes, calls) = server.with_key_ranges(service, |ranges| {
+            self.planner
+                .plan(now_ms, free_calls, ranges, &candidates, &self.load)
         });
         if !changes.is_empty() {
-            let takers = listed.iter().filter(|l| l.accepts_keys).count();
             tracing::info!(
+                service,
                 changes = changes.len(),
-                listed = listed.len(),
-                takers,
-                "keys"
+                candidates = candidates.len(),
+                accepting = candidates.iter().filter(|c| c.accepts_keys).count(),
+                "key ranges are to be reassigned"
             );
-            cell.propose_key_changes(service, changes);
+            server.propose_key_changes(service, changes);
         }
-        desk.out += out.len();
-        calls.extend(out.into_iter().map(|call| (service.clone(), call)));
+        calls
     }
-    desk.clients
-        .retain(|id, _| upstreams.iter().any(|(u, _)| u.id == *id));
-    calls
 }
 
-async fn carry_out(
-    cell: Rc<ControlServer>,
-    desk: Rc<RefCell<Desk>>,
-    ended: Rc<Notify>,
-    service: String,
-    call: LeaseCall,
-    (term, planned): (u64, Instant),
-) {
-    let client = {
-        let mut desk = desk.borrow_mut();
-        let new = || Rc::new(HttpClient::with_reset_on_drop(call.holder.addr));
-        desk.clients
-            .entry(call.holder.id.clone())
-            .or_insert_with(new)
-            .clone()
-    };
-    let answer = asked(&client, &call, planned).await;
-    if !matches!(answer, LeaseCallOutcome::Completed(_)) {
-        tracing::info!(?answer, id = call.holder.id, since = call.first, ask = ?call.request, "keys");
+fn candidate(known: &KnownUpstream) -> Candidate {
+    let KnownUpstream {
+        upstream,
+        is_evacuated,
+    } = known;
+    Candidate {
+        holder: LeaseHolder {
+            id: upstream.id.clone(),
+            addr: upstream.addr,
+        },
+        slots: upstream.slots,
+        draining: upstream.draining || *is_evacuated,
+        accepts_keys: !upstream.draining && !is_evacuated && upstream.warm_left_ms == 0,
     }
-    let mut desk = desk.borrow_mut();
-    desk.out -= 1;
-    // The plans of a later term did not ask this.
-    let asked = desk.term == term;
-    if let Some((planner, _)) = desk.planners.get_mut(&service).filter(|_| asked) {
-        planner.on_call_completed(cell.uptime_ms(), &call, answer);
+}
+
+async fn carry_out(server: &ControlServer, manager: &RefCell<LeaseManager>, planned: PlannedCall) {
+    let call = &planned.call;
+    let client = manager.borrow_mut().client(&call.holder);
+    let outcome = send_call(&client, call, planned.planned_at).await;
+    if !matches!(outcome, LeaseCallOutcome::Completed(_)) {
+        tracing::info!(
+            service = planned.service,
+            upstream = call.holder.id,
+            first_key = call.first,
+            request = ?call.request,
+            ?outcome,
+            "a call about key leases was not carried out"
+        );
     }
-    ended.notify_one();
+    manager
+        .borrow_mut()
+        .on_call_ended(server.uptime_ms(), &planned, outcome);
 }
 
-async fn asked(client: &HttpClient, call: &LeaseCall, planned: Instant) -> LeaseCallOutcome {
+/// Makes the call; it is given up when its time, counted from `planned_at`, has passed.
+async fn send_call(client: &HttpClient, call: &LeaseCall, planned_at: Instant) -> LeaseCallOutcome {
     let mut body =
         json!({"since": call.first, "target_rev": call.last, "fence": call.fencing_token});
-    let (path, within) = match &call.request {
-        LeaseRequest::Grant {
-            lease_ms: hold,
-            handoff,
-        } => {
-            body["hold_ms"] = json!(hold);
+    let (path, within_ms) = match &call.request {
+        LeaseRequest::Grant { lease_ms, handoff } => {
+            body["hold_ms"] = json!(lease_ms);
             if let Some(handoff) = handoff {
                 body["handoff"] = json!(handoff);
             }
-            ("/-/grant", CALL)
+            ("/-/grant", GRANT_TIMEOUT_MS)
         }
-        LeaseRequest::Release => ("/-/release", RELEASE),
+        LeaseRequest::Release => ("/-/release", RELEASE_TIMEOUT_MS),
     };
     let request = Request::post(path)
         .header(CONTENT_TYPE, "application/json")
         .header("target-instance", &call.holder.id)
         .body(Full::new(Bytes::from(body.to_string())));
     let Ok(request) = request else {
+        // Its id can't stand in a header.
         return LeaseCallOutcome::NoResponse;
     };
-    match client
-        .call(request, planned + Duration::from_millis(within))
-        .await
-    {
-        Ok(answer) => match answer.status() {
-            StatusCode::OK => {
-                let handoff = answer
-                    .headers()
-                    .get("handoff")
-                    .and_then(|v| v.to_str().ok());
-                LeaseCallOutcome::Completed(handoff.map(str::to_string))
-            }
-            StatusCode::CONFLICT => LeaseCallOutcome::Fenced,
-            StatusCode::MISDIRECTED_REQUEST => LeaseCallOutcome::AddressReused,
-            status => {
-                tracing::info!(%status, "keys");
-                LeaseCallOutcome::NoResponse
-            }
-        },
+    let deadline = planned_at + Duration::from_millis(within_ms);
+    match client.call(request, deadline).await {
+        Ok(response) => outcome_of(&response),
         Err(HttpClientError::Connect(_)) => LeaseCallOutcome::NotSent,
         Err(_) => LeaseCallOutcome::NoResponse,
     }
 }
+
+fn outcome_of<B>(response: &Response<B>) -> LeaseCallOutcome {
+    match response.status() {
+        StatusCode::OK => {
+            let handoff = response.headers().get("handoff");
+            let handoff = handoff.and_then(|value| value.to_str().ok());
+            LeaseCallOutcome::Completed(handoff.map(str::to_string))
+        }
+        StatusCode::CONFLICT => LeaseCallOutcome::Fenced,
+        StatusCode::MISDIRECTED_REQUEST => LeaseCallOutcome::AddressReused,
+        status => {
+            tracing::info!(%status, "an upstream answered a call about key leases with an unknown status");
+            LeaseCallOutcome::NoResponse
+        }
+    }
+}
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -1,85 +1,121 @@
-//! What one control balancer knows: its member of the log, the agreed state, sessions, the zones' upstreams,
-//! and the other control balancers. Everything runs on one thread; whoever waits for news waits on
+//! One control process: its member of the log, the replicated state, the sessions of the data plane, the zones'
+//! upstreams, and the other control processes.
+//!
+//! **State.** All of it is in [`state::State`], divided by owner; that module says who may change what. The modules
+//! beside it hold what [`ControlServer`] does by concern: `log_driver` (steps of the log, and what follows from them),
+//! `contact` (quorum contact, reads, who leads), `commands` and `acknowledgement` (operators' commands), `membership`,
+//! `peers`, `sessions`, `zones`, `keys`.
+//!
+//! **Threads.** Everything runs on one thread. The state is behind one [`RefCell`]: a borrow never lasts across an
+//! `await`, nor across [`ControlServer::notify_changed`]. Whoever waits for changes waits on
 //! [`ControlServer::watch_changes`].
-
+//!
+//! **Promises.** A command's outcome is told only after its entry is committed by a majority and applied here. What is
+//! agreed on is read and handed out only in quorum contact.
+//!
+//! **Neighbours.** A peer that is silent for 3 s loses its sessions here and has to introduce itself again; a peer that
+//! comes back wiped has another id and is met as a new one. Without a leader, commands end as [`Indeterminate`].
+
+mod acknowledgement;
+mod clock;
+mod commands;
 mod contact;
 mod keys;
-mod log;
+mod log_driver;
 mod membership;
-mod orders;
 mod peers;
 mod sessions;
+mod state;
 mod zones;
 
-use std::cell::{Cell as Plain, RefCell};
-use std::collections::{BTreeMap, BTreeSet};
+use std::cell::RefCell;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::Arc;
 use std::sync::mpsc as disk;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use data_plane::change_notifier::{ChangeNotifier, ChangeWatcher};
-use protocol::compact_config::CompactConfig;
 use protocol::settings::Settings;
-use protocol::upstream_list::UpstreamList;
-use protocol::wire::{ControlNode, PeerMessage, Session};
+use protocol::wire::{ControlNode, PeerMessage};
 use raft::{Members, NodeId, RaftNode, Timing};
-use rustc_hash::FxHashMap;
-use tokio::sync::{Notify, mpsc, oneshot};
+use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
+pub use self::acknowledgement::Acknowledgement;
+pub use self::commands::CALLER_WAIT;
 pub use self::membership::LogStatus;
-pub use self::orders::{Acknowledgement, CALLER_WAIT};
+pub use self::state::SessionId;
+pub use self::zones::KnownUpstream;
 
-use self::contact::Reader;
-use self::peers::Peer;
-use crate::configuration::{CommandOutcome, ReplicatedState};
-use crate::evacuations::CommandId;
+use self::clock::Clock;
+use self::state::{
+    KeyWork, PeerRegistry, PendingCommands, QuorumContact, ReadRequests, ReplicatedLog,
+    SessionRegistry, State, ZoneCommands, ZoneRegistry,
+};
 use crate::store::DiskRequest;
 
-/// A leader says something this often. Heartbeats cross regions, and their bytes are paid for.
+/// A leader sends heartbeats this often. They cross regions, and their bytes are paid for.
 const HEARTBEAT_INTERVAL_MS: u64 = 200;
-/// Without a leader's word for so long, up to twice as long, a member campaigns: two heartbeats may be
-/// lost or late first.
+/// A member that hears nothing of a leader for so long, up to twice as long, campaigns: two heartbeats may be lost or
+/// late first.
 pub const ELECTION_TIMEOUT_MS: u64 = 600;
 const TIMING: Timing = Timing {
     heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
     election_timeout_ms: ELECTION_TIMEOUT_MS,
 };
-/// A process that has no place in the log asks for one this often: it counts as lost until it has one.
+/// A process that is no member of the log asks to become one this often: it counts as lost until it is.
 const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// The log's clock.
+/// The longest time between two ticks of the log.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// The log is cut after so many entries, or bytes of orders in them: large configurations must not fill the
-/// disk before there are many.
+/// The log is compacted after so many entries.
 pub(crate) const COMPACT_AFTER_ENTRIES: usize = 256;
+/// The log is compacted after so many bytes of commands: large configurations must not fill the disk before there are
+/// many entries.
 pub(crate) const COMPACT_AFTER_BYTES: usize = 2 << 20;
-/// Control balancers tell each other their sessions this often, changed or not.
+/// Control processes send each other heartbeats this often, and all sessions to those that missed changes.
 pub const SESSION_SYNC_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// A peer to be dialled.
 pub struct DialRequest {
+    /// Where it listens for peers.
     pub address: SocketAddr,
-    /// What it is to be told.
+    /// What it is to be sent, in order.
     pub messages: mpsc::Receiver<PeerMessage>,
-    /// Wakes when it has connected itself.
+    /// Wakes when the peer has connected to this process itself.
     pub connected: Rc<Notify>,
 }
 
-/// Where a cell sends what it wants done.
+/// Where a [`ControlServer`] sends what it wants done.
 pub struct Channels {
+    /// What the disk is to write, in order.
     pub disk: disk::Sender<DiskRequest>,
     /// Peers to be dialled.
     pub dial: mpsc::UnboundedSender<DialRequest>,
-    /// Why this member can't go on.
-    pub fatal_errors: mpsc::UnboundedSender<String>,
+    /// Why this process can't go on.
+    pub fatal_errors: mpsc::UnboundedSender<FatalError>,
+}
+
+/// Why a control process can't go on: its log holds what this build can't read, and must not pass over.
+#[derive(Debug, thiserror::Error)]
+pub enum FatalError {
+    /// A snapshot of the replicated state.
+    #[error("{0}")]
+    UnreadableSnapshot(String),
+    /// A committed entry, maybe of a later build.
+    #[error("entry {index} can't be read: {source}")]
+    UnreadableEntry {
+        /// Its index.
+        index: u64,
+        /// What is wrong with it.
+        source: ciborium::de::Error<std::io::Error>,
+    },
 }
 
-/// What a cell takes from its machine besides settings, disk and network.
+/// What a [`ControlServer`] takes from its machine besides settings, disk and network.
 pub struct Environment {
-    /// Begins anywhere: an answer to an earlier life of this process must not pass for one to this.
+    /// Where tokens of reads begin: drawn at random, because an answer to an earlier life of this process must not pass
+    /// for one to this.
     pub first_token: u64,
     /// Milliseconds of Unix time. It may step either way.
     pub wall_clock: Box<dyn Fn() -> u64>,
@@ -100,73 +136,33 @@
     }
 }
 
-struct Inner {
-    core: RaftNode,
-    agreed: ReplicatedState,
-    /// The configuration as balancers are told it, and the place in the log that it is of.
-    compact: Option<(u64, Arc<CompactConfig>)>,
-    applied: u64,
-    /// Bytes of the orders that the log holds.
-    logged: usize,
-    /// Orders under way, by their place in the log, with the term they were written in.
-    orders: BTreeMap<u64, (u64, oneshot::Sender<CommandOutcome>)>,
-    reads: FxHashMap<u64, Reader>,
-    /// The moment of this process's life up to which a read has proven that all that was acknowledged is
-    /// applied here, and whether that was lately enough when it was looked at last.
-    proven: Option<u64>,
-    contact: bool,
-    peers: BTreeMap<SocketAddr, Peer>,
-    ids: FxHashMap<NodeId, SocketAddr>,
-    /// Who led when it was last written down.
-    led: Option<NodeId>,
-    local: BTreeMap<String, (u64, Session)>,
-    /// Nodes whose sessions here are other than was told last.
-    moved: BTreeSet<String>,
-    /// All sessions that stand anywhere, by node; gone when they may be other.
-    roll: Option<Rc<Vec<Session>>>,
-    /// What was told of who serves control.
-    controls: Vec<ControlNode>,
-    zones: BTreeMap<String, UpstreamList>,
-    /// When each order of zones was last taken or acknowledged here.
-    order_times: FxHashMap<CommandId, Instant>,
-    /// Acknowledgements that this one tried.
-    attempts: u64,
-    /// Those under way, or written and not known yet to be read or lost, by zone.
-    settling: BTreeMap<String, usize>,
-    /// The last step of each zone's orders that this one put into the log: its term and place.
-    zone_steps: FxHashMap<String, (u64, u64)>,
-    /// What balancers counted of requests for keys, on its way to the leader.
-    work: BTreeMap<String, BTreeMap<u16, u16>>,
-}
-
-/// One control balancer.
+/// One control process.
 pub struct ControlServer {
+    /// As read when the process began.
     pub settings: Settings,
+    /// Its name in the log.
     pub id: NodeId,
+    /// How it introduces itself to peers and balancers.
     pub control_node: ControlNode,
-    start: Instant,
-    inner: RefCell<Inner>,
-    channels: Channels,
-    wall_clock: Box<dyn Fn() -> u64>,
-    version: ChangeNotifier,
-    next_session: Plain<u64>,
-    next_token: Plain<u64>,
-    /// It has begun to lead, and says so at once.
-    announces: Plain<bool>,
-    /// When the leader was asked for contact last.
-    contact_asked: Plain<Instant>,
+    clock: Clock,
+    state: RefCell<State>,
+    disk: disk::Sender<DiskRequest>,
+    fatal_errors: mpsc::UnboundedSender<FatalError>,
+    changes: ChangeNotifier,
 }
 
-/// Why an order got no verdict.
+/// Why a command has no outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Indeterminate {
-    /// Somebody else leads.
+    /// Another process leads; its address for peers, where known.
     NotLeader(Option<SocketAddr>),
-    /// No majority answered in time; it may be taken or not.
+    /// No majority answered in time: the command may be applied or not.
     NoMajority,
 }
 
 impl ControlServer {
+    /// A control process that goes on from what its disk holds. Nothing happens by itself: its host runs
+    /// [`Self::run_clock`] and [`Self::run_disk_events`], and serves `channels`.
     pub fn new(
         settings: Settings,
         id: NodeId,
@@ -174,69 +170,53 @@
         channels: Channels,
         environment: Environment,
     ) -> Rc<Self> {
-        let mut core = RaftNode::new(id, TIMING, id, stored, Members::default());
-        core.set_membership_policy(membership::policy(&settings));
-        let me = ControlNode {
+        let clock = Clock::new(environment.wall_clock);
+        let mut node = RaftNode::new(id, TIMING, id, stored, Members::default());
+        node.set_membership_policy(membership::policy(&settings));
+        let control_node = ControlNode {
             internal_addr: settings.internal_addr(),
             zone: settings.zone.clone(),
             region: settings.region.clone(),
             has_disk: settings.data_dir.is_some(),
         };
-        let cell = Rc::new(Self {
-            id,
-            control_node: me,
-            start: Instant::now(),
-            inner: RefCell::new(Inner {
-                core,
-                agreed: ReplicatedState::default(),
-                compact: None,
-                applied: 0,
-                logged: 0,
-                orders: BTreeMap::new(),
-                reads: FxHashMap::default(),
-                proven: None,
-                contact: false,
-                peers: BTreeMap::new(),
-                ids: FxHashMap::default(),
-                led: None,
-                local: BTreeMap::new(),
-                moved: BTreeSet::new(),
-                roll: None,
-                controls: Vec::new(),
-                zones: BTreeMap::new(),
-                order_times: FxHashMap::default(),
-                attempts: 0,
-                settling: BTreeMap::new(),
-                zone_steps: FxHashMap::default(),
-                work: BTreeMap::new(),
-            }),
-            channels,
-            wall_clock: environment.wall_clock,
-            version: ChangeNotifier::default(),
-            next_session: Plain::new(0),
-            next_token: Plain::new(environment.first_token),
-            announces: Plain::new(false),
-            contact_asked: Plain::new(Instant::now()),
+        let state = State {
+            log: ReplicatedLog::new(node),
+            pending_commands: PendingCommands::default(),
+            reads: ReadRequests::new(environment.first_token),
+            contact: QuorumContact::new(Instant::now()),
+            peers: PeerRegistry::new(control_node.internal_addr, channels.dial),
+            sessions: SessionRegistry::default(),
+            zones: ZoneRegistry::default(),
+            zone_commands: ZoneCommands::default(),
+            key_work: KeyWork::default(),
+        };
+        let server = Rc::new(Self {
             settings,
+            id,
+            control_node,
+            clock,
+            state: RefCell::new(state),
+            disk: channels.disk,
+            fatal_errors: channels.fatal_errors,
+            changes: ChangeNotifier::default(),
         });
-        cell.add_seeds(&cell.settings.seeds);
-        cell.with_core(|_| {});
-        cell
+        server.add_seeds(&server.settings.seeds);
+        // Carries out what the member of the log wants from its start.
+        server.with_raft_node(|_| {});
+        server
     }
 
-    /// Other machines that serve control, as the settings file names them by now.
-    pub fn add_seeds(&self, seeds: &[SocketAddr]) {
-        for seed in seeds {
-            self.add_peer(self.settings.internal_addr_of(*seed), None);
-        }
-    }
-
-    /// Wakes with every change of what the data plane or the directory may want to know.
+    /// Wakes with every change that the data plane, the directory or the status may show.
     pub fn watch_changes(&self) -> ChangeWatcher {
-        self.version.watch()
+        self.changes.watch()
     }
 
     fn notify_changed(&self) {
-        self.version.notify();
+        self.changes.notify();
+    }
+
+    /// Milliseconds since this process began.
+    pub fn uptime_ms(&self) -> u64 {
+        self.clock.uptime_ms()
     }
 }
--- a/crates/control-plane/src/server/contact.rs
+++ b/crates/control-plane/src/server/contact.rs
@@ -1,9 +1,12 @@
-//! Contact: whether what is agreed on here may be served, who leads, and reads that a majority confirms.
+//! Quorum contact, linearizable reads, and who leads.
 //!
-//! A cell is **in contact** while, within the last [`CONTACT_TIMEOUT`], it applied all that had been acknowledged anywhere.
-//! The leader proves that by a round of heartbeats that a majority has answered, a follower by what the leader answers
-//! to its question; both count from the moment of sending, on a clock that runs on while the process stands still. So
-//! whoever looks right after a freeze finds that it is out of contact.
+//! A control process is **in contact** while, within the last [`CONTACT_TIMEOUT`], it had applied all that had been
+//! acknowledged anywhere. The leader proves that by a round of heartbeats that a majority has answered, a follower by the
+//! leader's answer to its question (Raft thesis, 6.4); both count from the moment of sending, on a clock that runs on while
+//! the process stands still. So whoever looks right after a freeze finds that the process is out of contact.
+//!
+//! Without a majority nobody is in contact: reads fail, and balancers are told so. A process without a disk is no member
+//! of the log and is never in contact; it only learns who leads.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,150 +16,149 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::{ControlServer, ELECTION_TIMEOUT_MS, Indeterminate, Inner};
+use super::state::{PeerReadToken, Reader};
+use super::{ControlServer, ELECTION_TIMEOUT_MS, Indeterminate};
 
 /// What is agreed on is served for so long after the moment up to which it is known to be complete: two questions
 /// may be lost, or take long on a narrow link. Far below the time that a new version has to come into force.
 pub const CONTACT_TIMEOUT: Duration = Duration::from_millis(2000);
-/// A follower asks the leader this often.
-const ASK: Duration = Duration::from_millis(600);
-/// One that can be pointed to confirms within this that a majority follows it: some round trips across regions.
-const CONFIRM: Duration = Duration::from_millis(300);
-/// What others say of the leader is old after so long: they say it every second.
-const TOLD: Duration = Duration::from_millis(1500);
-/// An order that finds no leader waits so long for one, within the second after which its caller moves on: an
-/// election is over sooner than a caller who is turned away comes back.
-const NO_LEADER: Duration = Duration::from_millis(930);
+/// A leader to whom a caller can be redirected is confirmed by a majority within this: some round trips across regions.
+const LEADER_CONFIRM_TIMEOUT: Duration = Duration::from_millis(300);
+/// A command that finds no leader waits so long for one, within the second after which its caller moves on: an election
+/// is over sooner than a caller who is turned away comes back.
+const LEADER_WAIT: Duration = Duration::from_millis(930);
 /// Between two looks at what has changed.
-const LOOK: Duration = Duration::from_millis(50);
-
-/// Who waits for a read.
-pub(super) enum Reader {
-    /// Somebody here.
-    Here(oneshot::Sender<Option<u64>>),
-    /// Another control balancer, which takes no part in the log; it knows the read by its own mark.
-    Peer(SocketAddr, u64),
-}
-
-impl Inner {
-    pub(super) fn read_ended(&mut self, token: u64, index: Option<u64>) {
-        match self.reads.remove(&token) {
-            Some(Reader::Here(answer)) => drop(answer.send(index)),
-            Some(Reader::Peer(peer, token)) => {
-                if let Some(peer) = self.peers.get(&peer).filter(|_| index.is_some()) {
-                    let _ = peer.to.try_send(PeerMessage::LeadershipConfirmed { token });
-                }
-            }
-            None => {}
-        }
-    }
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// While this process leads: when a majority last followed it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConfirmedLeadership {
+    /// Its term.
+    pub term: u64,
+    /// Uptime in ms at which it surely led.
+    pub at_ms: u64,
 }
 
 impl ControlServer {
-    /// A number that was never used before.
-    fn token(&self) -> u64 {
-        let token = self.next_token.get().wrapping_add(1);
-        self.next_token.set(token);
-        token
-    }
-
     /// How long ago all that was acknowledged by then was applied here; `None` where that was never known.
     pub fn quorum_contact_age(&self) -> Option<Duration> {
-        let inner = self.inner.borrow();
-        let at = inner.core.quorum_contact_at().max(inner.proven)?;
-        Some(Duration::from_millis(self.uptime_ms().saturating_sub(at)))
+        let state = self.state.borrow();
+        let by_log = state.log.node().quorum_contact_at();
+        let at_ms = by_log.max(state.contact.proven_at_ms())?;
+        Some(Duration::from_millis(
+            self.uptime_ms().saturating_sub(at_ms),
+        ))
     }
 
-    /// Whether what is agreed on here may be served at this moment.
+    /// Whether what is agreed on may be served at this moment.
     pub fn has_quorum_contact(&self) -> bool {
         self.quorum_contact_age()
             .is_some_and(|age| age < CONTACT_TIMEOUT)
     }
 
-    /// Asks for contact when it is time to; who waits for news hears when it is lost or had again.
-    pub(super) fn keep_contact(&self) {
+    /// Asks the leader for contact when that is due, and notifies watchers when contact is lost or regained.
+    pub(super) fn maintain_contact(&self) {
         if self.control_node.has_disk
             && !self.is_leader()
-            && self.contact_asked.get().elapsed() >= ASK
+            && self.state.borrow().contact.is_request_due()
         {
-            self.contact_asked.set(Instant::now());
-            let token = self.token();
-            self.with_core(|core| core.request_quorum_contact(token));
+            let token = {
+                let mut state = self.state.borrow_mut();
+                state.contact.record_request(Instant::now());
+                state.reads.next_token()
+            };
+            self.with_raft_node(|node| node.request_quorum_contact(token.get()));
         }
-        let contact = self.has_quorum_contact();
-        let before = std::mem::replace(&mut self.inner.borrow_mut().contact, contact);
-        if contact != before {
-            tracing::info!(contact, "contact with a majority");
+        let in_contact = self.has_quorum_contact();
+        let has_changed = self.state.borrow_mut().contact.record_status(in_contact);
+        if has_changed {
+            if in_contact {
+                tracing::info!("quorum contact established: the replicated state is served");
+            } else {
+                tracing::warn!("quorum contact lost: the replicated state is not served");
+            }
             self.notify_changed();
         }
     }
 
-    /// Waits until all that was acknowledged before this call is applied here; whether it came to that. It never does
-    /// where there is no disk. Failure: one without a disk took the confirmation that somebody leads for contact,
-    /// and told balancers so, while it held nothing of what is agreed on.
+    /// Waits until all that was acknowledged before this call is applied here. Returns whether that was so within
+    /// `within`. It never is where there is no disk. Failure seen once: a process without a disk took the confirmation
+    /// that somebody leads for contact, and told balancers so, while it held nothing of what is agreed on.
     pub async fn wait_until_current(&self, within: Duration) -> bool {
         if !self.control_node.has_disk {
             return false;
         }
-        let (began, until) = (self.uptime_ms(), Instant::now() + within);
+        let (began_ms, until) = (self.uptime_ms(), Instant::now() + within);
         loop {
             // A leader that was just lost does not answer: ask whoever leads next.
-            let patience = Duration::from_millis(ELECTION_TIMEOUT_MS).min(until - Instant::now());
-            if let Some(index) = self.confirmed_index(patience).await {
-                let mut changes = self.watch_changes();
-                while self.inner.borrow().applied < index {
-                    if timeout(LOOK, changes.changed()).await.is_err() && Instant::now() >= until {
-                        return false;
-                    }
+            let election_timeout = Duration::from_millis(ELECTION_TIMEOUT_MS);
+            let patience = election_timeout.min(until - Instant::now());
+            if let Some(index) = self.read_index(patience).await {
+                let is_applied = self.wait_until_applied(index, until).await;
+                if is_applied {
+                    self.state.borrow_mut().contact.record_proof(began_ms);
                 }
-                let mut inner = self.inner.borrow_mut();
-                inner.proven = inner.proven.max(Some(began));
-                return true;
+                return is_applied;
+            }
+            if Instant::now() + POLL_INTERVAL >= until {
+                return false;
             }
-            if Instant::now() + LOOK >= until {
+            sleep(POLL_INTERVAL).await;
+        }
+    }
+
+    /// Waits until the entry at this index is applied. Returns whether that was so before `until`.
+    async fn wait_until_applied(&self, index: u64, until: Instant) -> bool {
+        let mut changes = self.watch_changes();
+        while self.state.borrow().log.applied_index() < index {
+            let change = timeout(POLL_INTERVAL, changes.changed()).await;
+            if change.is_err() && Instant::now() >= until {
                 return false;
             }
-            sleep(LOOK).await;
         }
+        true
     }
 
-    /// The place in the log that covers all that was acknowledged before this call. One that takes no part in the
-    /// log learns no place, only that there is a leader that a majority confirms.
-    async fn confirmed_index(&self, within: Duration) -> Option<u64> {
+    /// The index that covers all that was acknowledged before this call. A process that is no member of the log learns
+    /// no index, only that there is a leader that a majority confirms.
+    async fn read_index(&self, within: Duration) -> Option<u64> {
         let (answer, answered) = oneshot::channel();
-        let token = self.token();
-        self.inner
+        let token = self
+            .state
             .borrow_mut()
             .reads
-            .insert(token, Reader::Here(answer));
+            .register(Reader::Local(answer));
         if self.control_node.has_disk || self.is_leader() {
-            self.with_core(|core| core.request_read(token));
-        } else if let Some(leader) = self.leader_address()
-            && let Some(peer) = self.inner.borrow().peers.get(&leader)
-        {
-            let _ = peer.to.try_send(PeerMessage::ConfirmLeadership { token });
+            self.with_raft_node(|node| node.request_read(token.get()));
+        } else if let Some(leader) = self.leader_address() {
+            let token = token.get();
+            let question = PeerMessage::ConfirmLeadership { token };
+            self.state.borrow().peers.send(leader, question);
         }
         let index = timeout(within, answered).await;
-        self.inner.borrow_mut().reads.remove(&token);
+        self.state.borrow_mut().reads.remove(token);
         index.ok()?.ok()?
     }
 
-    /// Another control balancer asks whether a majority confirms that this one leads.
-    pub(super) fn confirm_for(&self, peer: SocketAddr, mark: u64) {
+    /// A peer asks whether a majority confirms that this process leads.
+    pub(super) fn handle_confirm_leadership(&self, peer: SocketAddr, token: u64) {
         if self.is_leader() {
-            let token = self.token();
-            self.inner
-                .borrow_mut()
-                .reads
-                .insert(token, Reader::Peer(peer, mark));
-            self.with_core(|core| core.request_read(token));
+            let reader = Reader::Peer {
+                address: peer,
+                token: PeerReadToken::from_raw(token),
+            };
+            let token = self.state.borrow_mut().reads.register(reader);
+            self.with_raft_node(|node| node.request_read(token.get()));
         }
     }
 
-    /// Leads, and knows all that was acknowledged: a leader that was cut off must not turn an order away on
-    /// what it last knew.
-    pub(super) async fn confirmed(&self, until: Instant) -> Result<(), Indeterminate> {
-        self.leads_soon(until.min(Instant::now() + NO_LEADER))
+    /// Waits until this process leads and knows all that was acknowledged: a leader that was cut off must not reject a
+    /// command on what it last knew.
+    pub(super) async fn wait_until_current_leader(
+        &self,
+        until: Instant,
+    ) -> Result<(), Indeterminate> {
+        self.wait_for_leadership(until.min(Instant::now() + LEADER_WAIT))
             .await?;
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() || !self.wait_until_current(left).await {
@@ -165,65 +167,55 @@
         Ok(())
     }
 
-    /// Whether this one leads, or else who does, confirmed by a majority: nobody is pointed to one that is gone or
-    /// cut off. Waits a moment for an election to end.
-    async fn leads_soon(&self, until: Instant) -> Result<(), Indeterminate> {
+    /// Waits until this process leads, or another one is confirmed by a majority to lead: nobody is redirected to one
+    /// that is gone or cut off.
+    async fn wait_for_leadership(&self, until: Instant) -> Result<(), Indeterminate> {
         while !self.is_leader() {
-            let (leader, left) = (
-                self.leader_address(),
-                until.saturating_duration_since(Instant::now()),
-            );
+            let leader = self.leader_address();
+            let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Err(Indeterminate::NotLeader(None));
             }
-            let asked = CONFIRM.min(left);
-            let confirmed = leader.is_some() && self.confirmed_index(asked).await.is_some();
-            if confirmed && self.leader_address() == leader {
+            let patience = LEADER_CONFIRM_TIMEOUT.min(left);
+            let is_confirmed = leader.is_some() && self.read_index(patience).await.is_some();
+            if is_confirmed && self.leader_address() == leader {
                 return Err(Indeterminate::NotLeader(leader));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Where to send a caller whom only the leader, or a member of the log, can answer.
+    /// Where to redirect a caller whom only the leader, or a member of the log, can answer.
     pub async fn redirect_target(&self) -> Indeterminate {
-        let led = self.leads_soon(Instant::now() + NO_LEADER).await;
-        led.err().unwrap_or(Indeterminate::NoMajority)
+        let leads = self.wait_for_leadership(Instant::now() + LEADER_WAIT).await;
+        leads.err().unwrap_or(Indeterminate::NoMajority)
     }
 
+    /// Whether this process takes itself for the leader. Whether it still is shows only when a majority is asked.
     pub fn is_leader(&self) -> bool {
-        self.inner.borrow().core.status().role == Role::Leader
-    }
-
-    /// While this one leads: its term, and when it surely led, on the clock of its life in milliseconds.
-    pub fn leadership_confirmed_at(&self) -> Option<(u64, u64)> {
-        let inner = self.inner.borrow();
-        Some((
-            inner.core.status().term,
-            inner.core.leadership_confirmed_at()?,
-        ))
+        self.state.borrow().log.node().status().role == Role::Leader
     }
 
-    /// Milliseconds of this process's life.
-    pub fn uptime_ms(&self) -> u64 {
-        self.clock().0
+    /// While this process leads: its term, and when a majority last followed it.
+    pub fn confirmed_leadership(&self) -> Option<ConfirmedLeadership> {
+        let state = self.state.borrow();
+        let node = state.log.node();
+        Some(ConfirmedLeadership {
+            term: node.status().term,
+            at_ms: node.leadership_confirmed_at()?,
+        })
     }
 
-    /// Where the leader talks to others, as far as is known; to one that takes no part in the log, as the others
-    /// say. Whether it still leads shows when it is asked.
+    /// The leader's address for peers, as far as is known: as the log says or, where there is no disk, as the peers say.
+    /// Whether it still leads shows when it is asked.
     pub fn leader_address(&self) -> Option<SocketAddr> {
+        let state = self.state.borrow();
         if self.control_node.has_disk {
-            let inner = self.inner.borrow();
-            let leader = inner.core.status().leader?;
-            let (_, at) = inner.core.members().all().find(|(id, _)| *id == leader)?;
-            return at.parse().ok();
+            let leader = state.log.node().status().leader?;
+            state.log.member_address(leader)
+        } else {
+            state.peers.hinted_leader()
         }
-        let (inner, now) = (self.inner.borrow(), Instant::now());
-        let lately = |at: Option<Instant>| at.is_some_and(|at| now < at + TOLD);
-        let named = inner.peers.values().filter_map(|peer| peer.leader);
-        let (leader, told) = named.max_by_key(|(_, told)| *told)?;
-        let heard = inner.peers.get(&leader).and_then(|peer| peer.heard);
-        (lately(Some(told)) && lately(heard)).then_some(leader)
     }
 }
--- a/crates/control-plane/src/server/keys.rs
+++ b/crates/control-plane/src/server/keys.rs
@@ -1,57 +1,61 @@
-//! Who holds which keys, as agreed on, and how much work there is for them.
+//! Which upstream holds which keys, as agreed on, and how much work there is for them.
 
 use protocol::key_ranges::{KeyRangeChange, KeyRangeMap, WorkCounts};
 
 use super::ControlServer;
 use crate::configuration::Command;
 
+/// The services whose upstreams divide their keys.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ShardedServices {
+    /// Index of the configuration that names them.
+    pub config_index: u64,
+    /// Their names.
+    pub services: Vec<String>,
+}
+
 impl ControlServer {
-    /// Puts changes of who holds which keys into the log; whether they count shows once they are agreed on.
+    /// Puts changes of a service's key ranges into the log, if this process leads. Whether they count shows once they
+    /// are applied.
     pub fn propose_key_changes(&self, service: &str, changes: Vec<KeyRangeChange>) {
-        let mut data = Vec::new();
         let command = Command::AssignKeys {
             service: service.to_string(),
             changes,
         };
-        if ciborium::into_writer(&command, &mut data).is_ok() {
-            let _ = self.with_core(|core| core.propose(data));
+        let mut data = Vec::new();
+        match ciborium::into_writer(&command, &mut data) {
+            // Where it no longer leads, the next leader plans anew.
+            Ok(()) => drop(self.with_raft_node(|node| node.propose(data))),
+            Err(error) => tracing::error!(service, %error, "key changes can't be encoded"),
         }
     }
 
-    /// Balancers counted so many requests for keys.
+    /// Adds requests that balancers counted by key.
     pub fn record_work(&self, counts: WorkCounts) {
-        let mut inner = self.inner.borrow_mut();
-        for (service, runs) in counts {
-            let known = inner.work.entry(service).or_default();
-            for (run, n) in runs {
-                let known = known.entry(run).or_default();
-                *known = known.saturating_add(n);
-            }
-        }
+        self.state.borrow_mut().key_work.record(counts);
     }
 
-    /// What was counted and not taken yet.
+    /// Takes the counts of requests that were not taken yet.
     pub fn take_work_counts(&self) -> WorkCounts {
-        let work = std::mem::take(&mut self.inner.borrow_mut().work);
-        work.into_iter()
-            .map(|(service, runs)| (service, runs.into_iter().collect()))
-            .collect()
+        self.state.borrow_mut().key_work.take()
     }
 
-    /// Looks at a service's slices, as agreed on.
+    /// Looks at a service's key ranges, as agreed on.
     pub fn with_key_ranges<T>(&self, service: &str, look: impl FnOnce(&KeyRangeMap) -> T) -> T {
-        let inner = self.inner.borrow();
-        match inner.agreed.keys.get(service) {
-            Some(slices) => look(slices),
+        let state = self.state.borrow();
+        match state.log.state().keys.get(service) {
+            Some(ranges) => look(ranges),
             None => look(&KeyRangeMap::default()),
         }
     }
 
-    /// The place in the log of the configuration, and the services in it whose upstreams divide their keys, if
-    /// it is another place than `known`.
-    pub fn sharded_services_since(&self, known: u64) -> Option<(u64, Vec<String>)> {
-        let inner = self.inner.borrow();
-        let agreed = &inner.agreed;
-        (agreed.config_index != known).then(|| (agreed.config_index, agreed.sharded()))
+    /// The services whose upstreams divide their keys, if the configuration is another than the one at `known_index`.
+    pub fn sharded_services_since(&self, known_index: u64) -> Option<ShardedServices> {
+        let state = self.state.borrow();
+        let replicated = state.log.state();
+        (replicated.config_index != known_index).then(|| ShardedServices {
+            config_index: replicated.config_index,
+            services: replicated.sharded(),
+        })
     }
 }
--- a/crates/control-plane/src/server/membership.rs
+++ b/crates/control-plane/src/server/membership.rs
@@ -1,5 +1,8 @@
-//! This member's place in the log: it asks for one, tells how the members stand, and gives leadership up before
+//! This process's membership in the log: it asks to join, tells how the members stand, and hands leadership over before
 //! its process ends.
+//!
+//! A member that was removed while it was away learns of that only from the leader that takes it in again: so it asks
+//! whenever it votes for nobody or hears no leader.
 
 use std::time::Duration;
 
@@ -10,12 +13,20 @@
 
 use super::{ControlServer, TIMING};
 
-/// How often it is looked whether another one leads: a fraction of a round trip between regions.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often it is looked whether another process leads: a fraction of a round trip between regions.
+const HAND_OVER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What is known here of the log and its members.
+/// A silent voter is removed after this, in ms, where that makes a majority smaller or a learner is ready to replace it,
+/// however soon a lost leader is replaced: a process that is killed starts again within this time.
+const VOTER_REMOVAL_TIMEOUT_MS: u64 = 1600;
+/// A silent voter is removed after this, in ms, in any case: a machine without power starts again within this time.
+const UNCONDITIONAL_REMOVAL_TIMEOUT_MS: u64 = 24_000;
+/// A silent learner is removed after this, in ms.
+const LEARNER_REMOVAL_TIMEOUT_MS: u64 = 8000;
+
+/// What this process knows of the log and its members.
 pub struct LogStatus {
-    /// What the member knows of itself.
+    /// What its member knows of itself.
     pub own: raft::Status,
     /// The members as of its last entry.
     pub members: Members,
@@ -23,64 +34,59 @@
     pub report: Option<MembershipReport>,
 }
 
-/// Members are given up after these times, in milliseconds, however soon a lost leader is replaced: a process that
-/// is killed starts again within the first, a machine without power within the second.
-const ABSENCE: u64 = 1600;
-const LONG_ABSENCE: u64 = 24_000;
-const LEARNER_ABSENCE: u64 = 8000;
-
-/// When members are given up, for the losses that are to be borne here.
+/// When members are removed, for the number of nodes that may be lost according to the settings.
 pub(super) fn policy(settings: &Settings) -> MembershipPolicy {
     MembershipPolicy {
-        voter_removal_timeout_ms: ABSENCE,
-        unconditional_removal_timeout_ms: LONG_ABSENCE,
-        learner_removal_timeout_ms: LEARNER_ABSENCE,
+        voter_removal_timeout_ms: VOTER_REMOVAL_TIMEOUT_MS,
+        unconditional_removal_timeout_ms: UNCONDITIONAL_REMOVAL_TIMEOUT_MS,
+        learner_removal_timeout_ms: LEARNER_REMOVAL_TIMEOUT_MS,
         ..MembershipPolicy::new(TIMING, settings.tolerate.nodes)
     }
 }
 
 impl ControlServer {
-    /// What the log's member knows, for who asks how things stand.
+    /// What this process knows of the log, for whoever asks how things stand.
     pub fn log_status(&self) -> LogStatus {
-        let core = &self.inner.borrow().core;
+        let state = self.state.borrow();
+        let node = state.log.node();
         LogStatus {
-            own: core.status(),
-            members: core.members().clone(),
-            report: core.membership_report(),
+            own: node.status(),
+            members: node.members().clone(),
+            report: node.membership_report(),
         }
     }
 
-    /// Asks to take part in the log, while it votes for nobody or hears no leader: it may have been removed
-    /// while it was away, and learns of that only from the leader that takes it in again.
-    pub(super) fn join(&self) {
+    /// Asks to become a member of the log, while it votes for nobody or hears no leader.
+    pub(super) fn request_membership(&self) {
         if !self.control_node.has_disk {
             return;
         }
-        let wants = self.with_core(|core| {
-            let wants = core.wants_to_join();
-            if wants {
-                core.handle_join_request(self.id, self.control_node.internal_addr.to_string());
+        let wants_to_join = self.with_raft_node(|node| {
+            let wants_to_join = node.wants_to_join();
+            if wants_to_join {
+                let address = self.control_node.internal_addr.to_string();
+                node.handle_join_request(self.id, address);
             }
-            wants
+            wants_to_join
         });
-        if wants {
-            self.tell_all(&PeerMessage::Join {
+        if wants_to_join {
+            self.state.borrow().peers.broadcast(&PeerMessage::Join {
                 id: self.id,
                 inner: self.control_node.internal_addr,
             });
         }
     }
 
-    /// The process is about to end: it leads no more once another one does, or `within` has passed.
+    /// The process is about to end: hands leadership over. Returns once another process leads, or `within` has passed.
     pub async fn shut_down(&self, within: Duration) {
         let until = Instant::now() + within;
-        let alone = self.with_core(|core| {
-            core.begin_shutdown();
-            !core.members().voters.keys().any(|id| *id != self.id)
+        let is_only_voter = self.with_raft_node(|node| {
+            node.begin_shutdown();
+            !node.members().voters.keys().any(|id| *id != self.id)
         });
-        let led = || alone || self.inner.borrow().core.has_other_leader();
-        while !led() && Instant::now() < until {
-            sleep(LOOK).await;
+        let has_handed_over = || is_only_voter || self.state.borrow().log.node().has_other_leader();
+        while !has_handed_over() && Instant::now() < until {
+            sleep(HAND_OVER_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/control-plane/src/server/peers.rs
+++ b/crates/control-plane/src/server/peers.rs
@@ -1,338 +1,210 @@
-//! The other control balancers: who is there, what they are told, and what they tell.
+//! The other control processes: who is there, what they are sent, and what they say.
+//!
+//! Each process dials every other one and speaks on its own connection only (`connections`). A peer that is silent is
+//! forgotten after a while, with its sessions; one that is gone stays listed and is dialled on. What a peer's queue has no
+//! room for is dropped: the log sends its messages again, sessions are sent whole, zones by request.
 
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::rc::Rc;
-use std::time::Duration;
 
 use protocol::wire::{ControlNode, PeerMessage, Session};
 use raft::NodeId;
-use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-use super::{ControlServer, DialRequest, Inner};
-
-/// One that has said nothing for so long is lost, and its sessions and its cell with it.
-const LAPSE: Duration = Duration::from_millis(3000);
-/// What is on its way to one peer; more is dropped, and told anew.
-const PEER_QUEUE: usize = 256;
-
-/// What is known of another control balancer.
-pub(super) struct Peer {
-    pub(super) at: Option<ControlNode>,
-    pub(super) to: mpsc::Sender<PeerMessage>,
-    pub(super) connected: Rc<Notify>,
-    pub(super) heard: Option<Instant>,
-    /// Whom it takes for the leader, and when it said so.
-    pub(super) leader: Option<(SocketAddr, Instant)>,
-    /// Those that stand with it, by node.
-    pub(super) sessions: BTreeMap<String, Session>,
-    /// It has missed something that was told: it is told all sessions next.
-    pub(super) behind: bool,
-    /// It was silent for too long, and its sessions are forgotten: it has to introduce itself again.
-    pub(super) lapsed: bool,
-}
+use super::ControlServer;
+use super::state::{MessageAdmission, ReadToken};
 
 impl ControlServer {
-    /// Another control balancer that may be there.
-    pub fn add_peer(&self, at: SocketAddr, control: Option<ControlNode>) {
-        let mut inner = self.inner.borrow_mut();
-        self.meet_in(&mut inner, at, control);
-    }
-
-    pub(super) fn meet_in(&self, inner: &mut Inner, at: SocketAddr, control: Option<ControlNode>) {
-        if at == self.control_node.internal_addr {
-            return;
-        }
-        let peer = inner.peers.entry(at).or_insert_with(|| {
-            let (to, queue) = mpsc::channel(PEER_QUEUE);
-            let connected = Rc::new(Notify::new());
-            let _ = self.channels.dial.send(DialRequest {
-                address: at,
-                messages: queue,
-                connected: connected.clone(),
-            });
-            let sessions = BTreeMap::new();
-            let (at, heard, leader) = (None, None, None);
-            Peer {
-                at,
-                to,
-                connected,
-                heard,
-                leader,
-                sessions,
-                behind: true,
-                lapsed: false,
-            }
-        });
-        if control.is_some() {
-            peer.at = control;
+    /// Other machines that serve control, as the settings file names them by now.
+    pub fn add_seeds(&self, seeds: &[SocketAddr]) {
+        let mut state = self.state.borrow_mut();
+        for seed in seeds {
+            state.peers.add(self.settings.internal_addr_of(*seed));
         }
     }
 
-    /// Those that the log names are called, whether they have called or not.
-    pub(super) fn meet_members(&self) {
-        let mut inner = self.inner.borrow_mut();
-        let members: Vec<SocketAddr> = inner
-            .core
-            .members()
-            .all()
-            .filter_map(|(_, at)| at.parse().ok())
-            .collect();
-        for at in members {
-            self.meet_in(&mut inner, at, None);
+    /// Dials all members of the log, whether they have connected to this process or not.
+    pub(super) fn add_members_as_peers(&self) {
+        let mut state = self.state.borrow_mut();
+        for address in state.log.member_addresses() {
+            state.peers.add(address);
         }
     }
 
-    /// A control balancer has connected.
-    pub fn on_peer_connected(&self, id: NodeId, control: ControlNode) {
-        let mut inner = self.inner.borrow_mut();
-        inner.ids.insert(id, control.internal_addr);
-        let at = control.internal_addr;
-        self.meet_in(&mut inner, at, Some(control));
-        if let Some(peer) = inner.peers.get_mut(&at) {
-            peer.lapsed = false;
-            peer.connected.notify_waiters();
-        }
+    /// A peer has connected and introduced itself.
+    pub fn on_peer_connected(&self, id: NodeId, node: ControlNode) {
+        self.state.borrow_mut().peers.on_connected(id, node);
     }
 
-    /// A control balancer has said something. Whether it may go on: after too long a silence it has to
-    /// introduce itself again, because what it said before is forgotten.
-    pub fn handle_peer_message(&self, from: SocketAddr, tell: PeerMessage) -> bool {
-        let mut news = false;
-        {
-            let mut inner = self.inner.borrow_mut();
-            let inner = &mut *inner;
-            if let Some(peer) = inner.peers.get_mut(&from) {
-                let now = Instant::now();
-                if peer.lapsed {
-                    return false;
-                }
-                if !peer.live(now) {
-                    // Its sessions count again.
-                    (inner.roll, news) = (None, true);
+    /// A peer has said something. Returns whether it may go on: after too long a silence it has to introduce itself
+    /// again, because what it said before is forgotten.
+    pub fn handle_peer_message(&self, from: SocketAddr, message: PeerMessage) -> bool {
+        let is_back = {
+            let mut state = self.state.borrow_mut();
+            match state.peers.on_message(from, Instant::now()) {
+                MessageAdmission::Refused => return false,
+                MessageAdmission::Accepted => false,
+                MessageAdmission::AcceptedAfterSilence => {
+                    state.sessions.invalidate_all();
+                    true
                 }
-                peer.heard = Some(now);
             }
+        };
+        let has_changed = self.dispatch_peer_message(from, message);
+        if is_back || has_changed {
+            self.notify_changed();
         }
-        match tell {
-            PeerMessage::Raft(message) => self.with_core(|core| core.step(message)),
+        true
+    }
+
+    /// Returns whether the sessions with peers have changed; what else changes is notified by its handler.
+    fn dispatch_peer_message(&self, from: SocketAddr, message: PeerMessage) -> bool {
+        match message {
+            PeerMessage::Raft(message) => self.with_raft_node(|node| node.step(message)),
             PeerMessage::Join { id, inner } => {
-                self.with_core(|core| core.handle_join_request(id, inner.to_string()))
+                self.with_raft_node(|node| node.handle_join_request(id, inner.to_string()));
             }
             PeerMessage::Sessions { sessions, controls } => {
-                let all = sessions
-                    .into_iter()
-                    .map(|s| (s.balancer.node.clone(), s))
-                    .collect();
-                news |= self.sessions_of(from, Some(controls), |known| {
-                    let other = *known != all;
-                    *known = all;
-                    other
-                });
+                return self.handle_sessions(from, sessions, &controls);
             }
             PeerMessage::SessionChanges {
                 sessions,
                 gone,
                 controls,
             } => {
-                news |= self.sessions_of(from, controls, |known| {
-                    let mut other = false;
-                    for node in &gone {
-                        other |= known.remove(node).is_some();
-                    }
-                    for s in sessions {
-                        let node = s.balancer.node.clone();
-                        other |= known.get(&node) != Some(&s);
-                        known.insert(node, s);
-                    }
-                    other
-                });
+                let controls = controls.unwrap_or_default();
+                return self.handle_session_changes(from, sessions, &gone, &controls);
             }
             PeerMessage::Heartbeat { leader } => {
-                if let Some(peer) = self.inner.borrow_mut().peers.get_mut(&from) {
-                    peer.leader = leader.map(|leader| (leader, Instant::now()));
-                }
+                let mut state = self.state.borrow_mut();
+                state.peers.record_leader_hint(from, leader);
             }
             PeerMessage::Work(counts) => self.record_work(counts),
-            PeerMessage::ConfirmLeadership { token } => self.confirm_for(from, token),
+            PeerMessage::ConfirmLeadership { token } => self.handle_confirm_leadership(from, token),
             PeerMessage::LeadershipConfirmed { token } => {
-                self.inner.borrow_mut().read_ended(token, Some(0))
+                let token = ReadToken::from_raw(token);
+                self.state.borrow_mut().complete_read(token, Some(0));
             }
-            PeerMessage::ZoneUpdate { zone, told } => self.zone(from, &zone, &told),
+            PeerMessage::ZoneUpdate { zone, told } => self.handle_zone_update(from, &zone, &told),
             PeerMessage::ZoneSnapshotRequest { zone } => {
-                let mut inner = self.inner.borrow_mut();
-                let whole = inner
-                    .zones
-                    .get(&zone)
-                    .and_then(|z| z.snapshot(self.clock().0));
-                if let (Some(told), Some(peer)) = (whole, inner.peers.get_mut(&from)) {
-                    let _ = peer.to.try_send(PeerMessage::ZoneUpdate { zone, told });
-                }
+                self.handle_zone_snapshot_request(from, zone);
             }
         }
-        if news {
-            self.notify_changed();
-        }
-        true
+        false
     }
 
-    /// What a peer told of its sessions, and of who serves control. Whether that is news.
-    pub(super) fn sessions_of(
+    /// A peer tells all its sessions, and which control processes it knows.
+    fn handle_sessions(
         &self,
         from: SocketAddr,
-        controls: Option<Vec<ControlNode>>,
-        apply: impl FnOnce(&mut BTreeMap<String, Session>) -> bool,
+        sessions: Vec<Session>,
+        controls: &[ControlNode],
     ) -> bool {
-        let mut inner = self.inner.borrow_mut();
-        for control in controls.into_iter().flatten() {
-            self.meet_in(&mut inner, control.internal_addr, None);
+        let mut state = self.state.borrow_mut();
+        for control in controls {
+            state.peers.add(control.internal_addr);
         }
-        let news = inner
-            .peers
-            .get_mut(&from)
-            .is_some_and(|peer| apply(&mut peer.sessions));
-        if news {
-            inner.roll = None;
+        let has_changed = state.peers.replace_sessions(from, sessions);
+        if has_changed {
+            state.sessions.invalidate_all();
         }
-        news
+        has_changed
     }
 
-    pub(super) fn tell_all(&self, tell: &PeerMessage) {
-        for peer in self.inner.borrow().peers.values() {
-            let _ = peer.to.try_send(tell.clone());
+    /// A peer tells changes of its sessions, and which control processes it knows if those are others than before.
+    fn handle_session_changes(
+        &self,
+        from: SocketAddr,
+        present: Vec<Session>,
+        gone: &[String],
+        controls: &[ControlNode],
+    ) -> bool {
+        let mut state = self.state.borrow_mut();
+        for control in controls {
+            state.peers.add(control.internal_addr);
+        }
+        let has_changed = state.peers.update_sessions(from, present, gone);
+        if has_changed {
+            state.sessions.invalidate_all();
         }
+        has_changed
     }
 
-    /// Tells the peers which sessions here are other than they were told last: those that changed since the
-    /// last tick together.
-    pub(super) fn tell_moved(&self) {
-        let mut inner = self.inner.borrow_mut();
-        let known = inner.live_controls();
-        let controls = (known != inner.controls).then_some(known);
-        if inner.moved.is_empty() && controls.is_none() {
+    /// Sends peers the sessions here that have changed since they were sent last, those of one tick together.
+    pub(super) fn send_session_changes(&self) {
+        let mut state = self.state.borrow_mut();
+        let controls = state.peers.take_changed_live_nodes();
+        if !state.sessions.has_changes() && controls.is_none() {
             return;
         }
-        if let Some(controls) = &controls {
-            inner.controls.clone_from(controls);
-        }
-        let moved = std::mem::take(&mut inner.moved);
-        let (stand, gone): (Vec<_>, Vec<_>) = moved
-            .into_iter()
-            .partition(|node| inner.local.contains_key(node));
-        let stand = stand.iter().filter_map(|node| inner.local.get(node));
-        let sessions = stand.map(|(_, s)| s.clone()).collect();
-        let tell = PeerMessage::SessionChanges {
-            sessions,
-            gone,
+        let changes = state.sessions.take_changes();
+        let message = PeerMessage::SessionChanges {
+            sessions: changes.present,
+            gone: changes.gone,
             controls,
         };
-        for peer in inner.peers.values_mut() {
-            peer.behind |= peer.to.try_send(tell.clone()).is_err();
-        }
+        state.peers.broadcast_session_changes(&message);
     }
 
-    /// Tells the peers that this one is there, and all sessions to who has missed some.
-    pub(super) fn tell_alive(&self) {
+    /// Sends peers a heartbeat, all sessions to those that missed changes, and the leader what balancers counted.
+    pub(super) fn send_heartbeats(&self) {
         let leader = if self.control_node.has_disk {
             self.leader_address()
         } else {
             None
         };
-        let all = self.sessions();
+        let all_sessions = self.sessions_message();
         if let Some(leader) = leader.filter(|at| *at != self.control_node.internal_addr) {
             let counts = self.take_work_counts();
-            if let Some(peer) = self.inner.borrow().peers.get(&leader)
-                && !counts.is_empty()
-            {
-                let _ = peer.to.try_send(PeerMessage::Work(counts));
-            }
-        }
-        for peer in self.inner.borrow_mut().peers.values_mut() {
-            let _ = peer.to.try_send(PeerMessage::Heartbeat { leader });
-            if peer.behind {
-                peer.behind = peer.to.try_send(all.clone()).is_err();
+            if !counts.is_empty() {
+                let state = self.state.borrow();
+                state.peers.send(leader, PeerMessage::Work(counts));
             }
         }
+        let mut state = self.state.borrow_mut();
+        state.peers.broadcast_heartbeat(leader, &all_sessions);
     }
 
-    /// All sessions that stand here.
-    pub(super) fn sessions(&self) -> PeerMessage {
-        let inner = self.inner.borrow();
-        let sessions = inner.local.values().map(|(_, s)| s.clone()).collect();
+    /// All sessions with this process, and the control processes that it knows.
+    fn sessions_message(&self) -> PeerMessage {
+        let state = self.state.borrow();
         PeerMessage::Sessions {
-            sessions,
-            controls: inner.live_controls(),
+            sessions: state.sessions.local().cloned().collect(),
+            controls: state.peers.live_nodes(),
         }
     }
 
-    /// All that a peer is told which has just been reached, or may have missed something.
+    /// What a peer is sent on a new connection: it may have missed anything.
     pub fn introduction_messages(&self) -> Vec<PeerMessage> {
-        let (inner, now) = (self.inner.borrow(), self.clock().0);
-        let zones = inner
-            .zones
-            .iter()
-            .filter_map(|(zone, z)| Some((zone.clone(), z.snapshot(now)?)));
-        let zones: Vec<PeerMessage> = zones
-            .map(|(zone, told)| PeerMessage::ZoneUpdate { zone, told })
-            .collect();
-        drop(inner);
-        std::iter::once(self.sessions()).chain(zones).collect()
+        let mut messages = vec![self.sessions_message()];
+        let state = self.state.borrow();
+        let zones = state.zones.snapshots(self.uptime_ms());
+        messages.extend(zones.map(|(zone, told)| PeerMessage::ZoneUpdate { zone, told }));
+        messages
     }
 
-    /// Sessions with a control balancer that has been silent for too long are not known to stand.
+    /// Forgets the sessions of peers that have been silent for too long: they are not known to stand.
     pub fn expire_silent_peers(&self) {
-        let now = Instant::now();
-        let news = {
-            let mut inner = self.inner.borrow_mut();
-            let mut news = false;
-            let silent = |p: &&mut Peer| p.heard.is_some_and(|at| now >= at + LAPSE);
-            for peer in inner
-                .peers
-                .values_mut()
-                .filter(|p| !p.lapsed)
-                .filter(silent)
-            {
-                // Its connection may stand: this process may have stood still itself. It ends by the next word.
-                peer.lapsed = true;
-                news |= !std::mem::take(&mut peer.sessions).is_empty();
-            }
-            if news {
-                inner.roll = None;
+        let has_changed = {
+            let mut state = self.state.borrow_mut();
+            let has_changed = state.peers.expire_silent(Instant::now());
+            if has_changed {
+                state.sessions.invalidate_all();
             }
-            news
+            has_changed
         };
-        if news {
+        if has_changed {
             self.notify_changed();
         }
     }
 
-    /// Control balancers with a disk that are there, this one included.
+    /// Control processes with a disk that are there, this one included, in order.
     pub fn control_nodes(&self) -> Vec<ControlNode> {
-        let mut all = self.inner.borrow().live_controls();
-        all.retain(|c| c.has_disk);
+        let mut nodes = self.state.borrow().peers.live_nodes();
+        nodes.retain(|node| node.has_disk);
         if self.control_node.has_disk {
-            all.push(self.control_node.clone());
+            nodes.push(self.control_node.clone());
         }
-        all.sort();
-        all
-    }
-}
-
-impl Inner {
-    /// Other control balancers that are there.
-    pub(super) fn live_controls(&self) -> Vec<ControlNode> {
-        let now = Instant::now();
-        self.peers
-            .values()
-            .filter(|p| p.live(now))
-            .filter_map(|p| p.at.clone())
-            .collect()
-    }
-}
-
-impl Peer {
-    pub(super) fn live(&self, now: Instant) -> bool {
-        self.heard.is_some_and(|at| now < at + LAPSE)
+        nodes.sort();
+        nodes
     }
 }
--- a/crates/control-plane/src/server/sessions.rs
+++ b/crates/control-plane/src/server/sessions.rs
@@ -1,157 +1,86 @@
-//! Sessions of the data plane, here and elsewhere, and what a session is told.
+//! Sessions of the data plane, and what a session is told.
+//!
+//! A balancer keeps a session with one or two control processes. Each process tells the others of its own (`peers`), so
+//! that every one knows the whole fleet. A balancer whose control process is gone opens a session with another.
 
-use std::collections::BTreeMap;
 use std::rc::Rc;
-use std::sync::Arc;
 
-use protocol::compact_config::CompactConfig;
-use protocol::key_ranges::KeyRangeMap;
 use protocol::wire::{self, FleetView, Session, WatchRequest, WatchUpdate};
 
-use super::{ControlServer, Inner};
+use super::ControlServer;
+use super::state::SessionId;
 
 impl ControlServer {
-    /// A session opens, or says something new; `None` for the first time. Returns its mark.
-    pub fn update_session(&self, mark: Option<u64>, session: Session) -> u64 {
-        let mark = mark.unwrap_or_else(|| {
-            self.next_session.set(self.next_session.get() + 1);
-            self.next_session.get()
-        });
-        let node = session.balancer.node.clone();
-        let mut inner = self.inner.borrow_mut();
-        let before = inner.local.insert(node.clone(), (mark, session.clone()));
-        if before.is_none_or(|(_, s)| s != session) {
-            inner.moved.insert(node);
-            inner.roll = None;
-            drop(inner);
+    /// A balancer opens a session with this process.
+    pub fn open_session(&self, session: Session) -> SessionId {
+        let id = self.state.borrow_mut().sessions.next_id();
+        self.update_session(id, session);
+        id
+    }
+
+    /// A balancer says something of itself on its session.
+    pub fn update_session(&self, id: SessionId, session: Session) {
+        let is_new = self.state.borrow_mut().sessions.update(id, session);
+        if is_new {
             self.notify_changed();
         }
-        mark
     }
 
     /// A session has ended; another of the same balancer may stand already.
-    pub fn end_session(&self, mark: u64, node: &str) {
-        let mut inner = self.inner.borrow_mut();
-        if inner.local.get(node).is_some_and(|(m, _)| *m == mark) {
-            inner.local.remove(node);
-            inner.moved.insert(node.to_string());
-            inner.roll = None;
-            drop(inner);
+    pub fn end_session(&self, id: SessionId, node: &str) {
+        let has_ended = self.state.borrow_mut().sessions.end(id, node);
+        if has_ended {
             self.notify_changed();
         }
     }
 
-    /// Whether a session of this balancer stands here.
+    /// Whether a balancer has a session with this process.
     pub fn has_session(&self, node: &str) -> bool {
-        self.inner.borrow().local.contains_key(node)
+        self.state.borrow().sessions.contains(node)
     }
 
-    /// All sessions that stand, with whichever control balancer, in the order of the nodes' names.
+    /// All sessions that stand, with any control process, one a node, ordered by node.
     pub fn all_sessions(&self) -> Rc<Vec<Session>> {
-        let mut inner = self.inner.borrow_mut();
-        if let Some(roll) = &inner.roll {
-            return roll.clone();
-        }
-        let mut all: BTreeMap<&str, Session> = BTreeMap::new();
-        let local = inner.local.values().map(|(_, s)| s);
-        for s in inner
-            .peers
-            .values()
-            .flat_map(|p| p.sessions.values())
-            .chain(local)
-        {
-            let known = all.entry(&s.balancer.node).or_insert_with(|| s.clone());
-            known.ready |= s.ready;
-            known.draining |= s.draining;
-        }
-        let roll = Rc::new(all.into_values().collect::<Vec<_>>());
-        inner.roll = Some(roll.clone());
-        roll
+        self.state.borrow_mut().all_sessions()
     }
 
-    pub(super) fn bank(&self, node: &str) -> FleetView {
-        let members = self.all_sessions();
-        let position = members.binary_search_by(|s| s.balancer.node.as_str().cmp(node));
+    fn fleet_view(&self, node: &str) -> FleetView {
+        let sessions = self.all_sessions();
+        let position = sessions.binary_search_by(|s| s.balancer.node.as_str().cmp(node));
         FleetView {
-            balancers: members.len().max(1) as u32,
+            balancers: sessions.len().max(1) as u32,
             position: position.unwrap_or(0) as u32,
         }
     }
 
-    /// What a balancer that has this does not have yet; what it is told counts as had from then on. Out of
-    /// contact nothing is told of what is agreed on, and no smaller bank: who is missing may be beyond a cut.
+    /// What a balancer that has this lacks; `has` counts it as had from then on. Out of contact nothing is told of what
+    /// is agreed on, and no smaller fleet: whoever is missing may be beyond a partition.
     pub fn watch_update(
         &self,
         node: &str,
         has: &mut WatchRequest,
-        contact: bool,
+        in_contact: bool,
     ) -> Option<WatchUpdate> {
-        let mut bank = self.bank(node);
-        let controls = self.control_nodes();
-        let mut inner = self.inner.borrow_mut();
-        let mut news = WatchUpdate::default();
-        if contact {
-            inner.agreed_news(has, &mut news);
-        } else if let Some(known) = has.fleet.filter(|known| known.balancers > bank.balancers) {
-            bank = known;
+        let mut fleet = self.fleet_view(node);
+        let control_nodes = self.control_nodes();
+        let mut state = self.state.borrow_mut();
+        let mut update = WatchUpdate::default();
+        if in_contact {
+            state.log.add_changes_since(has, &mut update);
+        } else if let Some(known) = has.fleet.filter(|known| known.balancers > fleet.balancers) {
+            fleet = known;
         }
-        let now = self.clock().0;
-        for (zone, z) in &inner.zones {
-            let version = has.zone_versions.get(zone).copied().unwrap_or(0);
-            if let Some(told) = z.update_since(version, now) {
-                has.zone_versions.insert(zone.clone(), z.version());
-                news.zone_updates.insert(zone.clone(), told);
-            }
+        let uptime_ms = self.uptime_ms();
+        state.zones.add_changes_since(has, &mut update, uptime_ms);
+        if has.fleet != Some(fleet) {
+            has.fleet = Some(fleet);
+            update.fleet = Some(fleet);
         }
-        if has.fleet != Some(bank) {
-            has.fleet = Some(bank);
-            news.fleet = Some(bank);
-        }
-        let digest = wire::digest(&controls);
+        let digest = wire::digest(&control_nodes);
         if has.control_nodes_digest != digest {
             has.control_nodes_digest = digest;
-            news.control_nodes = Some(controls);
-        }
-        (news != WatchUpdate::default()).then_some(news)
-    }
-}
-
-impl Inner {
-    /// The configuration in rows, made once for all sessions. Only what is valid is ever agreed on.
-    fn compact_config(&mut self) -> Option<(u64, Arc<CompactConfig>)> {
-        let index = self.agreed.config_index;
-        if self
-            .compact
-            .as_ref()
-            .is_none_or(|(known, _)| *known != index)
-        {
-            let config = serde_json::from_str(&self.agreed.config);
-            let config = config.inspect_err(|cause| tracing::error!(%cause, "the configuration"));
-            self.compact = Some((index, Arc::new(CompactConfig::of(&config.ok()?))));
-        }
-        self.compact.clone()
-    }
-
-    /// What was agreed on and a balancer that has this does not have yet.
-    fn agreed_news(&mut self, has: &mut WatchRequest, news: &mut WatchUpdate) {
-        if self.agreed.config_index > has.config_index {
-            news.config = self.compact_config();
-            has.config_index = self.agreed.config_index;
-        }
-        let agreed = &self.agreed;
-        if agreed.evacuations_index > has.evacuations_index {
-            has.evacuations_index = agreed.evacuations_index;
-            let zones = agreed.evacuated().map(|(zone, _)| zone.clone()).collect();
-            news.evacuated_zones = Some((agreed.evacuations_index, zones));
-        }
-        if agreed.keys_index > has.keys_index {
-            let rows = |(service, slices): (&String, &KeyRangeMap)| {
-                let rows = slices.changed_since(has.keys_index);
-                (!rows.is_empty()).then(|| (service.clone(), rows))
-            };
-            let rows = agreed.keys.iter().filter_map(rows).collect();
-            has.keys_index = agreed.keys_index;
-            news.keys = Some((agreed.keys_index, rows));
+            update.control_nodes = Some(control_nodes);
         }
+        (update != WatchUpdate::default()).then_some(update)
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/server/state/key_work.rs
@@ -0,0 +1,35 @@
+//! Requests that balancers counted by key, on their way to the leader.
+
+use std::collections::BTreeMap;
+
+use protocol::key_ranges::WorkCounts;
+
+/// Counts of requests by service and bucket of keys, summed up until they are taken.
+///
+/// Invariant: a count is in one place only; taking them leaves none. Counts saturate. What is here when the process
+/// dies is lost: the leader plans by fewer counts for a moment.
+#[derive(Default)]
+pub(crate) struct KeyWork {
+    counts: BTreeMap<String, BTreeMap<u16, u16>>,
+}
+
+impl KeyWork {
+    /// Adds counts of a balancer, or those that a peer passes on.
+    pub(crate) fn record(&mut self, counts: WorkCounts) {
+        for (service, buckets) in counts {
+            let totals = self.counts.entry(service).or_default();
+            for (bucket, n) in buckets {
+                let total = totals.entry(bucket).or_default();
+                *total = total.saturating_add(n);
+            }
+        }
+    }
+
+    /// Hands out all counts and forgets them.
+    pub(crate) fn take(&mut self) -> WorkCounts {
+        std::mem::take(&mut self.counts)
+            .into_iter()
+            .map(|(service, buckets)| (service, buckets.into_iter().collect()))
+            .collect()
+    }
+}
--- a/crates/control-plane/src/server/zones.rs
+++ b/crates/control-plane/src/server/zones.rs
@@ -1,140 +1,143 @@
-//! The zones' upstreams: listed by the cell that keeps a zone, passed on by the others.
+//! The zones' upstreams: listed by the process that manages a zone, copied by the others.
+//!
+//! A zone whose own control processes are gone is managed by the next one; two that manage a zone for a moment write the
+//! same list of the platform. All lists may be lost with the process: see [`super::state::ZoneRegistry`].
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use protocol::upstream_list::{UpdateOutcome, Upstream, UpstreamList};
+use protocol::upstream_list::{UpdateOutcome, Upstream, UpstreamList, UpstreamUpdate};
 use protocol::wire::{ControlNode, PeerMessage};
 
 use super::ControlServer;
 
+/// An upstream of any zone.
+#[derive(Clone, Debug, PartialEq)]
+pub struct KnownUpstream {
+    /// As its zone's list gives it.
+    pub upstream: Upstream,
+    /// Its zone is evacuated.
+    pub is_evacuated: bool,
+}
+
 impl ControlServer {
-    /// The zones that this balancer's cell keeps: its own, and those whose own control balancers are not
-    /// there and to which it is next.
+    /// The zones that this process manages: its own, and those whose own control processes are gone and to which it is
+    /// next, if of several at a place it has the lowest address.
     pub fn managed_zones(&self) -> Vec<String> {
-        let controls = self.control_nodes();
-        let map = &self.settings.zone_map;
-        let keeps = |zone: &&String| {
-            let region = map.get(*zone);
-            let far = |c: &ControlNode| (c.zone != **zone, Some(&c.region) != region);
-            controls
+        let nodes = self.control_nodes();
+        let zone_map = &self.settings.zone_map;
+        let is_managed = |zone: &&String| {
+            let region = zone_map.get(*zone);
+            let distance = |c: &ControlNode| (c.zone != **zone, Some(&c.region) != region);
+            nodes
                 .iter()
-                .min_by_key(|c| (far(c), c.internal_addr))
+                .min_by_key(|c| (distance(c), c.internal_addr))
                 .is_some_and(|c| *c == self.control_node)
         };
-        map.keys().filter(keeps).cloned().collect()
+        zone_map.keys().filter(is_managed).cloned().collect()
     }
 
-    /// Milliseconds of this process's life, and of Unix time.
-    pub(super) fn clock(&self) -> (u64, u64) {
-        (self.start.elapsed().as_millis() as u64, (self.wall_clock)())
+    fn is_zone_managed(&self, zone: &str) -> bool {
+        self.managed_zones().iter().any(|managed| managed == zone)
     }
 
-    /// A zone's list has come from the platform.
+    /// The platform has listed a zone's upstreams.
     pub fn set_platform_list(&self, zone: &str, upstreams: Vec<Upstream>) {
-        let (now, unix) = self.clock();
-        self.tell_on(zone, |list| {
-            list.set_platform_list(upstreams, now, unix, self.id)
+        let (uptime_ms, unix_ms) = (self.clock.uptime_ms(), self.clock.unix_ms());
+        self.change_zone(zone, |list| {
+            list.set_platform_list(upstreams, uptime_ms, unix_ms, self.id)
         });
     }
 
-    /// Does something to a zone's list, and tells everyone if that is news.
-    pub(super) fn tell_on(&self, zone: &str, act: impl FnOnce(&mut UpstreamList) -> bool) {
-        let told = {
-            let mut inner = self.inner.borrow_mut();
-            let list = inner.zones.entry(zone.into()).or_default();
-            let before = list.version();
-            if !act(list) {
-                return;
-            }
-            list.update_since(before, self.clock().0)
+    /// Changes a zone's list, and tells peers and watchers if it is another then.
+    fn change_zone(&self, zone: &str, change: impl FnOnce(&mut UpstreamList) -> bool) {
+        let uptime_ms = self.uptime_ms();
+        let changed = self
+            .state
+            .borrow_mut()
+            .zones
+            .change(zone, uptime_ms, change);
+        let Some(changed) = changed else {
+            return;
         };
-        if let Some(told) = told {
-            self.tell_all(&PeerMessage::ZoneUpdate {
-                zone: zone.into(),
-                told,
-            });
+        if let Some(told) = changed.update {
+            let zone = zone.into();
+            let update = PeerMessage::ZoneUpdate { zone, told };
+            self.state.borrow().peers.broadcast(&update);
         }
         self.notify_changed();
     }
 
-    /// Another control balancer tells a zone.
-    pub(super) fn zone(
-        &self,
-        from: SocketAddr,
-        zone: &str,
-        told: &protocol::upstream_list::UpstreamUpdate,
-    ) {
-        let (now, unix) = self.clock();
-        let taken = {
-            let mut inner = self.inner.borrow_mut();
-            let taken = inner
-                .zones
-                .entry(zone.into())
-                .or_default()
-                .apply_update(told, now);
-            if taken == UpdateOutcome::MissingBase
-                && let Some(peer) = inner.peers.get(&from)
-            {
-                let _ = peer
-                    .to
-                    .try_send(PeerMessage::ZoneSnapshotRequest { zone: zone.into() });
-            }
-            taken
-        };
-        match taken {
+    /// A peer tells a zone's upstreams.
+    pub(super) fn handle_zone_update(&self, from: SocketAddr, zone: &str, update: &UpstreamUpdate) {
+        let (uptime_ms, unix_ms) = (self.clock.uptime_ms(), self.clock.unix_ms());
+        let outcome = self
+            .state
+            .borrow_mut()
+            .zones
+            .apply_update(zone, update, uptime_ms);
+        match outcome {
             UpdateOutcome::Applied(_) => self.notify_changed(),
-            // Told by who knew more, maybe this one in an earlier life: who keeps the zone tells it on.
-            UpdateOutcome::Stale(ids) if !ids.is_empty() && self.keeps(zone) => {
-                self.tell_on(zone, |list| list.refresh_platform_list(now, unix, self.id));
+            UpdateOutcome::MissingBase => {
+                let zone = zone.into();
+                let request = PeerMessage::ZoneSnapshotRequest { zone };
+                self.state.borrow().peers.send(from, request);
+            }
+            // Told by one that knew more, maybe this process in an earlier life: who manages the zone tells it on.
+            UpdateOutcome::Stale(ids) if !ids.is_empty() && self.is_zone_managed(zone) => {
+                self.change_zone(zone, |list| {
+                    list.refresh_platform_list(uptime_ms, unix_ms, self.id)
+                });
             }
-            UpdateOutcome::Stale(_) | UpdateOutcome::MissingBase => {}
+            UpdateOutcome::Stale(_) => {}
         }
     }
 
-    pub(super) fn keeps(&self, zone: &str) -> bool {
-        self.managed_zones().iter().any(|z| z == zone)
+    /// A peer asks for a zone's whole list.
+    pub(super) fn handle_zone_snapshot_request(&self, from: SocketAddr, zone: String) {
+        let state = self.state.borrow();
+        if let Some(told) = state.zones.snapshot(&zone, self.uptime_ms()) {
+            let update = PeerMessage::ZoneUpdate { zone, told };
+            state.peers.send(from, update);
+        }
     }
 
-    /// A balancer has these versions of the zones. What this cell keeps and tells in future is above them: it
-    /// may have told them itself, before its clock went back or its memory was lost.
+    /// A balancer has these versions of the zones. What this process manages and tells in future is above them: it may
+    /// have told them itself, before its clock went back or its memory was lost.
     pub fn observe_zone_versions(&self, zones: &BTreeMap<String, u64>) {
-        let unix = self.clock().1;
+        let unix_ms = self.clock.unix_ms();
         for (zone, version) in zones {
-            let behind = self
-                .inner
-                .borrow()
-                .zones
-                .get(zone)
-                .is_none_or(|z| z.version() < *version);
-            if behind && self.keeps(zone) {
-                self.tell_on(zone, |list| list.observe_version(*version, unix, self.id));
+            let known = self.state.borrow().zones.version(zone);
+            let is_behind = known.is_none_or(|known| known < *version);
+            if is_behind && self.is_zone_managed(zone) {
+                self.change_zone(zone, |list| {
+                    list.observe_version(*version, unix_ms, self.id)
+                });
             }
         }
     }
 
-    /// All upstreams that are known, with the zones that are evacuated; `None` while some zone's are not.
-    pub fn all_upstreams(&self) -> Option<Vec<(Upstream, bool)>> {
-        let (inner, now) = (self.inner.borrow(), self.clock().0);
+    /// The upstreams of all zones; `None` while some zone's are not known.
+    pub fn all_upstreams(&self) -> Option<Vec<KnownUpstream>> {
+        let (state, uptime_ms) = (self.state.borrow(), self.uptime_ms());
         let mut all = Vec::new();
         for zone in self.settings.zone_map.keys() {
-            let list = inner.zones.get(zone).filter(|z| z.version() > 0)?;
-            let evacuated = inner.agreed.evacuations(zone) > 0;
-            all.extend(list.upstreams(now).map(|u| (u, evacuated)));
+            let is_evacuated = state.log.state().evacuations(zone) > 0;
+            let upstreams = state.zones.upstreams(zone, uptime_ms)?;
+            all.extend(upstreams.map(|upstream| KnownUpstream {
+                upstream,
+                is_evacuated,
+            }));
         }
         Some(all)
     }
 
     /// How many upstreams are known of each zone.
     pub fn upstream_counts_by_zone(&self) -> Vec<(String, usize)> {
-        let (inner, now) = (self.inner.borrow(), self.clock().0);
+        let (state, uptime_ms) = (self.state.borrow(), self.uptime_ms());
         let zones = self.settings.zone_map.keys();
-        let known = |zone: &String| {
-            inner
-                .zones
-                .get(zone)
-                .map_or(0, |z| z.upstreams(now).count())
-        };
-        zones.map(|zone| (zone.clone(), known(zone))).collect()
+        zones
+            .map(|zone| (zone.clone(), state.zones.upstream_count(zone, uptime_ms)))
+            .collect()
     }
 }
--- a/crates/control-plane/tests/golden/process.rs
+++ b/crates/control-plane/tests/golden/process.rs
@@ -85,6 +85,6 @@
         };
         orders_sent_again(&operator).await;
         stop.send(()).expect("it runs");
-        assert_eq!(process.await.expect("no panic"), Ok(()));
+        process.await.expect("no panic").expect("it ends in order");
     });
 }
--- a/crates/shorefront/src/main.rs
+++ b/crates/shorefront/src/main.rs
@@ -135,6 +135,8 @@
     };
     match role {
         Role::DataPlane => data_plane::runtime::run(settings, reloads, stop).await,
-        Role::Control => control_plane::runtime::run(settings, reloads, stop).await,
+        Role::Control => control_plane::runtime::run(settings, reloads, stop)
+            .await
+            .map_err(|error| error.to_string()),
     }
 }
