--- a/crates/control-plane/src/connections/dialer.rs
+++ b/crates/control-plane/src/connections/dialer.rs
@@ -60,9 +60,9 @@
     let (mut reader, writer) = stream.into_split();
     let mut writer = BufWriter::new(writer);
     let handshake = Handshake::Control {
-        protocol: PROTOCOL_VERSION,
-        id: server.id,
-        at: server.control_node.clone(),
+        protocol_version: PROTOCOL_VERSION,
+        node_id: server.id,
+        control_node: server.control_node.clone(),
     };
     // What waits by now is older than the introduction; the log sends its own again.
     while queue.try_recv().is_ok() {}
--- a/crates/control-plane/src/discovery.rs
+++ b/crates/control-plane/src/discovery.rs
@@ -49,9 +49,9 @@
     fn from(instance: Instance) -> Self {
         Self {
             draining: instance.state != "ready",
-            warm_left_ms: instance.warm_left_ms.clamp(0.0, MAX_WARM_LEFT_MS) as u64,
+            warmup_remaining_ms: instance.warm_left_ms.clamp(0.0, MAX_WARM_LEFT_MS) as u64,
             id: instance.id,
-            svc: instance.svc,
+            service: instance.svc,
             addr: instance.addr,
             slots: instance.slots,
         }
--- a/crates/control-plane/src/key_leases.rs
+++ b/crates/control-plane/src/key_leases.rs
@@ -4,7 +4,7 @@
 //! **State.** The plans of one term and connections to upstreams, all in memory: a new leader plans anew from the
 //! replicated state, once whatever its predecessor may have sent has run out. **Neighbours.** An upstream that does not
 //! answer is given nothing for a while; one that is gone loses its keys when its lease has run out. A leader that is cut
-//! off stops its calls after [`LEADER_STALENESS_MS`].
+//! off stops its calls after `LEADER_STALENESS_MS`.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -196,7 +196,7 @@
     ) -> Vec<LeaseCall> {
         let candidates: Vec<Candidate> = upstreams
             .iter()
-            .filter(|known| known.upstream.svc == service)
+            .filter(|known| known.upstream.service == service)
             .map(candidate)
             .collect();
         let (changes, calls) = server.with_key_ranges(service, |ranges| {
@@ -229,7 +229,7 @@
         },
         slots: upstream.slots,
         draining: upstream.draining || *is_evacuated,
-        accepts_keys: !upstream.draining && !is_evacuated && upstream.warm_left_ms == 0,
+        accepts_keys: !upstream.draining && !is_evacuated && upstream.warmup_remaining_ms == 0,
     }
 }
 
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`snapshot`]: the replicated state in the forms that this build reads, and the one that it writes.
 //! - [`store`]: what is on disk, in one `redb` file, written by a thread of its own.
 //! - [`server`]: what a control balancer knows: the log, sessions, zones; it tells whoever waits for news.
-//! - [`client_connections`]: connections between control balancers, and the sessions of the data plane.
+//! - [`connections`]: connections between control balancers, and the sessions of the data plane.
 //! - [`peer_writer`]: the order in which a peer is told, and at what pace.
 //! - [`discovery`]: the list of upstreams, asked for by the one cell that keeps a zone.
 //! - [`key_leases`]: where upstreams divide a service's keys, the leader grants them what `placement` plans.
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -1,13 +1,13 @@
 //! One control process: its member of the log, the replicated state, the sessions of the data plane, the zones'
 //! upstreams, and the other control processes.
 //!
-//! **State.** All of it is in [`state::State`], divided by owner; that module says who may change what. The modules
+//! **State.** All of it is in `state::State`, divided by owner; that module says who may change what. The modules
 //! beside it hold what [`ControlServer`] does by concern: `log_driver` (steps of the log, and what follows from them),
 //! `contact` (quorum contact, reads, who leads), `commands` and `acknowledgement` (operators' commands), `membership`,
 //! `peers`, `sessions`, `zones`, `keys`.
 //!
 //! **Threads.** Everything runs on one thread. The state is behind one [`RefCell`]: a borrow never lasts across an
-//! `await`, nor across [`ControlServer::notify_changed`]. Whoever waits for changes waits on
+//! `await`, nor across `ControlServer::notify_changed`. Whoever waits for changes waits on
 //! [`ControlServer::watch_changes`].
 //!
 //! **Promises.** A command's outcome is told only after its entry is committed by a majority and applied here. What is
@@ -44,6 +44,8 @@
 
 pub use self::acknowledgement::Acknowledgement;
 pub use self::commands::CALLER_WAIT;
+pub use self::contact::ConfirmedLeadership;
+pub use self::keys::ShardedServices;
 pub use self::membership::LogStatus;
 pub use self::state::SessionId;
 pub use self::zones::KnownUpstream;
--- a/crates/control-plane/src/server/contact.rs
+++ b/crates/control-plane/src/server/contact.rs
@@ -1,6 +1,6 @@
 //! Quorum contact, linearizable reads, and who leads.
 //!
-//! A control process is **in contact** while, within the last [`CONTACT_TIMEOUT`], it had applied all that had been
+//! A control process is **in contact** while, within the last 2 s, it had applied all that had been
 //! acknowledged anywhere. The leader proves that by a round of heartbeats that a majority has answered, a follower by the
 //! leader's answer to its question (Raft thesis, 6.4); both count from the moment of sending, on a clock that runs on while
 //! the process stands still. So whoever looks right after a freeze finds that the process is out of contact.
@@ -21,7 +21,7 @@
 
 /// What is agreed on is served for so long after the moment up to which it is known to be complete: two questions
 /// may be lost, or take long on a narrow link. Far below the time that a new version has to come into force.
-pub const CONTACT_TIMEOUT: Duration = Duration::from_millis(2000);
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(2000);
 /// A leader to whom a caller can be redirected is confirmed by a majority within this: some round trips across regions.
 const LEADER_CONFIRM_TIMEOUT: Duration = Duration::from_millis(300);
 /// A command that finds no leader waits so long for one, within the second after which its caller moves on: an election
--- a/crates/control-plane/src/server/peers.rs
+++ b/crates/control-plane/src/server/peers.rs
@@ -60,31 +60,40 @@
     fn dispatch_peer_message(&self, from: SocketAddr, message: PeerMessage) -> bool {
         match message {
             PeerMessage::Raft(message) => self.with_raft_node(|node| node.step(message)),
-            PeerMessage::Join { id, inner } => {
-                self.with_raft_node(|node| node.handle_join_request(id, inner.to_string()));
+            PeerMessage::Join {
+                node_id,
+                internal_addr,
+            } => {
+                let address = internal_addr.to_string();
+                self.with_raft_node(|node| node.handle_join_request(node_id, address));
             }
-            PeerMessage::Sessions { sessions, controls } => {
-                return self.handle_sessions(from, sessions, &controls);
+            PeerMessage::Sessions {
+                sessions,
+                control_nodes,
+            } => {
+                return self.handle_sessions(from, sessions, &control_nodes);
             }
             PeerMessage::SessionChanges {
-                sessions,
-                gone,
-                controls,
+                changed,
+                removed,
+                control_nodes,
             } => {
-                let controls = controls.unwrap_or_default();
-                return self.handle_session_changes(from, sessions, &gone, &controls);
+                let control_nodes = control_nodes.unwrap_or_default();
+                return self.handle_session_changes(from, changed, &removed, &control_nodes);
             }
             PeerMessage::Heartbeat { leader } => {
                 let mut state = self.state.borrow_mut();
                 state.peers.record_leader_hint(from, leader);
             }
-            PeerMessage::Work(counts) => self.record_work(counts),
+            PeerMessage::KeyLoad(counts) => self.record_work(counts),
             PeerMessage::ConfirmLeadership { token } => self.handle_confirm_leadership(from, token),
             PeerMessage::LeadershipConfirmed { token } => {
                 let token = ReadToken::from_raw(token);
                 self.state.borrow_mut().complete_read(token, Some(0));
             }
-            PeerMessage::ZoneUpdate { zone, told } => self.handle_zone_update(from, &zone, &told),
+            PeerMessage::ZoneUpdate { zone, update } => {
+                self.handle_zone_update(from, &zone, &update);
+            }
             PeerMessage::ZoneSnapshotRequest { zone } => {
                 self.handle_zone_snapshot_request(from, zone);
             }
@@ -97,11 +106,11 @@
         &self,
         from: SocketAddr,
         sessions: Vec<Session>,
-        controls: &[ControlNode],
+        control_nodes: &[ControlNode],
     ) -> bool {
         let mut state = self.state.borrow_mut();
-        for control in controls {
-            state.peers.add(control.internal_addr);
+        for node in control_nodes {
+            state.peers.add(node.internal_addr);
         }
         let has_changed = state.peers.replace_sessions(from, sessions);
         if has_changed {
@@ -114,15 +123,15 @@
     fn handle_session_changes(
         &self,
         from: SocketAddr,
-        present: Vec<Session>,
-        gone: &[String],
-        controls: &[ControlNode],
+        changed: Vec<Session>,
+        removed: &[String],
+        control_nodes: &[ControlNode],
     ) -> bool {
         let mut state = self.state.borrow_mut();
-        for control in controls {
-            state.peers.add(control.internal_addr);
+        for node in control_nodes {
+            state.peers.add(node.internal_addr);
         }
-        let has_changed = state.peers.update_sessions(from, present, gone);
+        let has_changed = state.peers.update_sessions(from, changed, removed);
         if has_changed {
             state.sessions.invalidate_all();
         }
@@ -132,15 +141,15 @@
     /// Sends peers the sessions here that have changed since they were sent last, those of one tick together.
     pub(super) fn send_session_changes(&self) {
         let mut state = self.state.borrow_mut();
-        let controls = state.peers.take_changed_live_nodes();
-        if !state.sessions.has_changes() && controls.is_none() {
+        let control_nodes = state.peers.take_changed_live_nodes();
+        if !state.sessions.has_changes() && control_nodes.is_none() {
             return;
         }
         let changes = state.sessions.take_changes();
         let message = PeerMessage::SessionChanges {
-            sessions: changes.present,
-            gone: changes.gone,
-            controls,
+            changed: changes.changed,
+            removed: changes.removed,
+            control_nodes,
         };
         state.peers.broadcast_session_changes(&message);
     }
@@ -157,7 +166,7 @@
             let counts = self.take_work_counts();
             if !counts.is_empty() {
                 let state = self.state.borrow();
-                state.peers.send(leader, PeerMessage::Work(counts));
+                state.peers.send(leader, PeerMessage::KeyLoad(counts));
             }
         }
         let mut state = self.state.borrow_mut();
@@ -169,7 +178,7 @@
         let state = self.state.borrow();
         PeerMessage::Sessions {
             sessions: state.sessions.local().cloned().collect(),
-            controls: state.peers.live_nodes(),
+            control_nodes: state.peers.live_nodes(),
         }
     }
 
@@ -178,7 +187,7 @@
         let mut messages = vec![self.sessions_message()];
         let state = self.state.borrow();
         let zones = state.zones.snapshots(self.uptime_ms());
-        messages.extend(zones.map(|(zone, told)| PeerMessage::ZoneUpdate { zone, told }));
+        messages.extend(zones.map(|(zone, update)| PeerMessage::ZoneUpdate { zone, update }));
         messages
     }
 
--- a/crates/control-plane/src/server/state/key_work.rs
+++ b/crates/control-plane/src/server/state/key_work.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use protocol::key_ranges::WorkCounts;
+use protocol::key_ranges::KeyLoadReport;
 
 /// Counts of requests by service and bucket of keys, summed up until they are taken.
 ///
@@ -15,7 +15,7 @@
 
 impl KeyWork {
     /// Adds counts of a balancer, or those that a peer passes on.
-    pub(crate) fn record(&mut self, counts: WorkCounts) {
+    pub(crate) fn record(&mut self, counts: KeyLoadReport) {
         for (service, buckets) in counts {
             let totals = self.counts.entry(service).or_default();
             for (bucket, n) in buckets {
@@ -26,7 +26,7 @@
     }
 
     /// Hands out all counts and forgets them.
-    pub(crate) fn take(&mut self) -> WorkCounts {
+    pub(crate) fn take(&mut self) -> KeyLoadReport {
         std::mem::take(&mut self.counts)
             .into_iter()
             .map(|(service, buckets)| (service, buckets.into_iter().collect()))
--- a/crates/control-plane/src/server/state/peer_registry.rs
+++ b/crates/control-plane/src/server/state/peer_registry.rs
@@ -233,17 +233,17 @@
     pub(crate) fn update_sessions(
         &mut self,
         from: SocketAddr,
-        present: Vec<Session>,
-        gone: &[String],
+        changed: Vec<Session>,
+        removed: &[String],
     ) -> bool {
         let Some(peer) = self.peers.get_mut(&from) else {
             return false;
         };
         let mut has_changed = false;
-        for node in gone {
+        for node in removed {
             has_changed |= peer.sessions.remove(node).is_some();
         }
-        for session in present {
+        for session in changed {
             let node = session.balancer.node.clone();
             has_changed |= peer.sessions.get(&node) != Some(&session);
             peer.sessions.insert(node, session);
--- a/crates/control-plane/src/server/state/replicated_log.rs
+++ b/crates/control-plane/src/server/state/replicated_log.rs
@@ -183,7 +183,7 @@
             });
             self.compact_config = Some(ConfigAtIndex {
                 index,
-                config: Arc::new(CompactConfig::of(&config.ok()?)),
+                config: Arc::new(CompactConfig::from_config(&config.ok()?)),
             });
         }
         let known = self.compact_config.as_ref()?;
@@ -202,14 +202,14 @@
             let zones = state.evacuated().map(|(zone, _)| zone.clone()).collect();
             update.evacuated_zones = Some((state.evacuations_index, zones));
         }
-        if state.keys_index > has.keys_index {
+        if state.keys_index > has.key_ranges_index {
             let changed_ranges = |(service, ranges): (&String, &KeyRangeMap)| {
-                let changed = ranges.changed_since(has.keys_index);
+                let changed = ranges.changed_since(has.key_ranges_index);
                 (!changed.is_empty()).then(|| (service.clone(), changed))
             };
             let changes = state.keys.iter().filter_map(changed_ranges).collect();
-            has.keys_index = state.keys_index;
-            update.keys = Some((state.keys_index, changes));
+            has.key_ranges_index = state.keys_index;
+            update.key_ranges = Some((state.keys_index, changes));
         }
     }
 }
--- a/crates/control-plane/src/server/zones.rs
+++ b/crates/control-plane/src/server/zones.rs
@@ -60,10 +60,10 @@
         let Some(changed) = changed else {
             return;
         };
-        if let Some(told) = changed.update {
+        if let Some(update) = changed.update {
             let zone = zone.into();
-            let update = PeerMessage::ZoneUpdate { zone, told };
-            self.state.borrow().peers.broadcast(&update);
+            let message = PeerMessage::ZoneUpdate { zone, update };
+            self.state.borrow().peers.broadcast(&message);
         }
         self.notify_changed();
     }
@@ -96,9 +96,9 @@
     /// A peer asks for a zone's whole list.
     pub(super) fn handle_zone_snapshot_request(&self, from: SocketAddr, zone: String) {
         let state = self.state.borrow();
-        if let Some(told) = state.zones.snapshot(&zone, self.uptime_ms()) {
-            let update = PeerMessage::ZoneUpdate { zone, told };
-            state.peers.send(from, update);
+        if let Some(update) = state.zones.snapshot(&zone, self.uptime_ms()) {
+            let message = PeerMessage::ZoneUpdate { zone, update };
+            state.peers.send(from, message);
         }
     }
 
