--- a/crates/control-plane/src/configuration/validation.rs
+++ b/crates/control-plane/src/configuration/validation.rs
@@ -144,7 +144,7 @@
     if route.max_attempts == 0 {
         return Err(RouteError::ZeroTries);
     }
-    if route.svc.is_some() == route.split.is_some() {
+    if route.service.is_some() == route.split.is_some() {
         return Err(RouteError::ServiceOrSplit);
     }
     let weighted = route.weighted_services();
--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -67,18 +67,27 @@
 ) -> io::Result<()> {
     let handshake = wire::receive_message::<Handshake>(&mut stream);
     let handshake = timeout(HANDSHAKE_TIMEOUT, handshake).await??;
-    let (Handshake::Control { protocol, .. } | Handshake::DataPlane { protocol, .. }) = &handshake;
-    if *protocol != PROTOCOL_VERSION {
+    let (Handshake::Control {
+        protocol_version, ..
+    }
+    | Handshake::DataPlane {
+        protocol_version, ..
+    }) = &handshake;
+    if *protocol_version != PROTOCOL_VERSION {
         tracing::warn!(
-            protocol,
+            protocol_version,
             "a caller that speaks another protocol version is disconnected"
         );
         return Err(io::ErrorKind::Unsupported.into());
     }
     match handshake {
-        Handshake::Control { id, at, .. } => {
-            let from = at.internal_addr;
-            server.on_peer_connected(id, at);
+        Handshake::Control {
+            node_id,
+            control_node,
+            ..
+        } => {
+            let from = control_node.internal_addr;
+            server.on_peer_connected(node_id, control_node);
             let mut stream = BufReader::new(stream);
             loop {
                 let message = wire::receive_message(&mut stream);
--- a/crates/control-plane/src/http_api/directory_api.rs
+++ b/crates/control-plane/src/http_api/directory_api.rs
@@ -123,7 +123,9 @@
     let ready: Vec<&Session> = sessions.iter().filter(|s| s.ready && !s.draining).collect();
     let select = |is_near: &dyn Fn(&Session) -> bool| -> Vec<SocketAddr> {
         let near = ready.iter().filter(|s| is_near(s));
-        near.map(|s| s.balancer.http).take(MAX_ADDRESSES).collect()
+        near.map(|s| s.balancer.http_addr)
+            .take(MAX_ADDRESSES)
+            .collect()
     };
     let in_zone = select(&|s| s.balancer.zone == zone);
     if in_zone.len() >= MIN_ZONE_BALANCERS {
--- a/crates/control-plane/src/http_api/directory_api/tests.rs
+++ b/crates/control-plane/src/http_api/directory_api/tests.rs
@@ -5,13 +5,13 @@
 use super::*;
 
 fn session(port: u16, zone: &str, region: &str, ready: bool, draining: bool) -> Session {
-    let http = SocketAddr::from(([127, 0, 0, 1], port));
+    let http_addr = SocketAddr::from(([127, 0, 0, 1], port));
     let (zone, region) = (zone.to_string(), region.to_string());
     let balancer = Balancer {
         node: format!("n{port}"),
         zone,
         region,
-        http,
+        http_addr,
     };
     Session {
         balancer,
--- a/crates/control-plane/src/http_api/operator_api.rs
+++ b/crates/control-plane/src/http_api/operator_api.rs
@@ -285,7 +285,7 @@
 
 fn session_status(session: &Session) -> Value {
     json!({"node": session.balancer.node, "zone": session.balancer.zone,
-        "http": session.balancer.http, "ready": session.ready, "leaving": session.draining})
+        "http": session.balancer.http_addr, "ready": session.ready, "leaving": session.draining})
 }
 
 fn member_status(member: &MemberReport) -> Value {
--- a/crates/control-plane/src/server/keys.rs
+++ b/crates/control-plane/src/server/keys.rs
@@ -1,6 +1,6 @@
 //! Which upstream holds which keys, as agreed on, and how much work there is for them.
 
-use protocol::key_ranges::{KeyRangeChange, KeyRangeMap, WorkCounts};
+use protocol::key_ranges::{KeyLoadReport, KeyRangeChange, KeyRangeMap};
 
 use super::ControlServer;
 use crate::configuration::Command;
@@ -31,12 +31,12 @@
     }
 
     /// Adds requests that balancers counted by key.
-    pub fn record_work(&self, counts: WorkCounts) {
+    pub fn record_work(&self, counts: KeyLoadReport) {
         self.state.borrow_mut().key_work.record(counts);
     }
 
     /// Takes the counts of requests that were not taken yet.
-    pub fn take_work_counts(&self) -> WorkCounts {
+    pub fn take_work_counts(&self) -> KeyLoadReport {
         self.state.borrow_mut().key_work.take()
     }
 
--- a/crates/control-plane/src/server/membership.rs
+++ b/crates/control-plane/src/server/membership.rs
@@ -71,8 +71,8 @@
         });
         if wants_to_join {
             self.state.borrow().peers.broadcast(&PeerMessage::Join {
-                id: self.id,
-                inner: self.control_node.internal_addr,
+                node_id: self.id,
+                internal_addr: self.control_node.internal_addr,
             });
         }
     }
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -128,14 +128,13 @@
                 // A caller that no longer waits has timed out.
                 let _ = answer.send(index);
             }
-            Some(Reader::Peer { address, token }) => {
-                if index.is_some() {
-                    let token = token.get();
-                    self.peers
-                        .send(address, PeerMessage::LeadershipConfirmed { token });
-                }
+            Some(Reader::Peer { address, token }) if index.is_some() => {
+                let token = token.get();
+                self.peers
+                    .send(address, PeerMessage::LeadershipConfirmed { token });
             }
-            None => {}
+            // A peer whose read failed asks again by itself.
+            Some(Reader::Peer { .. }) | None => {}
         }
     }
 
--- a/crates/control-plane/src/server/state/session_registry.rs
+++ b/crates/control-plane/src/server/state/session_registry.rs
@@ -17,9 +17,9 @@
 /// Sessions that peers have to be told of.
 pub(crate) struct SessionChanges {
     /// Opened or changed.
-    pub(crate) present: Vec<Session>,
+    pub(crate) changed: Vec<Session>,
     /// Nodes without a session by now.
-    pub(crate) gone: Vec<String>,
+    pub(crate) removed: Vec<String>,
 }
 
 /// Sessions with this process by node, and the merged list of all sessions.
@@ -47,12 +47,10 @@
     /// A session opens, or its balancer says something of itself. Returns whether that is new.
     pub(crate) fn update(&mut self, id: SessionId, session: Session) -> bool {
         let node = session.balancer.node.clone();
-        let updated = LocalSession {
-            id,
-            session: session.clone(),
-        };
-        let before = self.local.insert(node.clone(), updated);
+        let before = self.local.get(&node);
         let is_new = before.is_none_or(|before| before.session != session);
+        self.local
+            .insert(node.clone(), LocalSession { id, session });
         if is_new {
             self.record_change(node);
         }
@@ -91,14 +89,14 @@
 
     /// What peers have to be told; it counts as told from then on.
     pub(crate) fn take_changes(&mut self) -> SessionChanges {
-        let (mut present, mut gone) = (Vec::new(), Vec::new());
+        let (mut changed, mut removed) = (Vec::new(), Vec::new());
         for node in std::mem::take(&mut self.changed) {
             match self.local.get(&node) {
-                Some(known) => present.push(known.session.clone()),
-                None => gone.push(node),
+                Some(known) => changed.push(known.session.clone()),
+                None => removed.push(node),
             }
         }
-        SessionChanges { present, gone }
+        SessionChanges { changed, removed }
     }
 
     /// The sessions with peers have changed, or which of them count.
