--- a/crates/control-plane/src/evacuations.rs
+++ b/crates/control-plane/src/evacuations.rs
@@ -67,14 +67,16 @@
     /// An attempt is about to acknowledge. It may only if this step is applied: so of two attempts one does.
     Acknowledge {
         /// The evacuation or return.
-        order: CommandId,
+        #[serde(rename = "order")]
+        command: CommandId,
         /// The attempt.
         attempt: AcknowledgementAttempt,
     },
-    /// That attempt did not succeed for sure.
+    /// The caller has not heard of that attempt, or most likely not: another attempt may acknowledge.
     Withdraw {
         /// The evacuation or return.
-        order: CommandId,
+        #[serde(rename = "order")]
+        command: CommandId,
         /// The attempt.
         attempt: AcknowledgementAttempt,
         /// Whether the acknowledgement was written, and its connection broke after that.
@@ -83,7 +85,8 @@
     /// The caller of a return has heard: a later return is another one.
     Confirm {
         /// The return.
-        order: CommandId,
+        #[serde(rename = "order")]
+        command: CommandId,
     },
     /// The returns up to this one are not sent again any more.
     Expire {
@@ -189,13 +192,13 @@
         match step {
             EvacuationStep::Begin => self.begin(index),
             EvacuationStep::Finish { ends } => self.finish(index, ends),
-            EvacuationStep::Acknowledge { order, attempt } => self.acknowledge(order, attempt),
+            EvacuationStep::Acknowledge { command, attempt } => self.acknowledge(command, attempt),
             EvacuationStep::Withdraw {
-                order,
+                command,
                 attempt,
                 written,
-            } => self.withdraw(order, attempt, written),
-            EvacuationStep::Confirm { order } => self.returns.remove(&order).is_some(),
+            } => self.withdraw(command, attempt, written),
+            EvacuationStep::Confirm { command } => self.returns.remove(&command).is_some(),
             EvacuationStep::Expire { last } => {
                 let before = self.returns.len();
                 self.returns.retain(|id, _| *id > last);
--- a/crates/control-plane/src/http_api/operator_api.rs
+++ b/crates/control-plane/src/http_api/operator_api.rs
@@ -14,7 +14,7 @@
 //! than 10 s.
 //!
 //! Every call but `Status` and `metrics` may get 307 (another process leads: `Location`) or 503 (no majority within
-//! 950 ms, or a command too old to tell). Then it is *not known* what becomes of the command: it may be applied later. The
+//! 950 ms, or a command too old to tell). A 503 leaves open what becomes of the command: it may be applied later. The
 //! caller sends it again, unchanged, until its answer is definite ([`crate::operator_client`]).
 //!
 //! **Where a call that is sent again is recognized:** see [`crate::replicated_state`].
--- a/crates/control-plane/src/server/acknowledgement.rs
+++ b/crates/control-plane/src/server/acknowledgement.rs
@@ -59,8 +59,8 @@
 
     /// Its caller has surely read it: a like command that comes is another one.
     pub async fn confirm(self) {
-        if let Some(order) = self.command.filter(|_| self.is_return) {
-            self.replicate(EvacuationStep::Confirm { order }).await;
+        if let Some(command) = self.command.filter(|_| self.is_return) {
+            self.replicate(EvacuationStep::Confirm { command }).await;
         }
     }
 
@@ -73,7 +73,7 @@
 
     fn withdrawal(&self, written: bool) -> Option<EvacuationStep> {
         Some(EvacuationStep::Withdraw {
-            order: self.command?,
+            command: self.command?,
             attempt: self.attempt?,
             written,
         })
--- a/crates/control-plane/src/server/commands.rs
+++ b/crates/control-plane/src/server/commands.rs
@@ -99,10 +99,7 @@
         };
         let mut acknowledgement =
             Acknowledgement::open(self.clone(), zone, Some(command), is_return, Some(attempt));
-        let step = EvacuationStep::Acknowledge {
-            order: command,
-            attempt,
-        };
+        let step = EvacuationStep::Acknowledge { command, attempt };
         if self.replicate_zone_step(zone, step, until).await? != CommandOutcome::Applied {
             acknowledgement.abandon_attempt();
             return Ok(None);
--- a/crates/control-plane/src/server/state/zone_commands.rs
+++ b/crates/control-plane/src/server/state/zone_commands.rs
@@ -114,7 +114,7 @@
         let is_return = |id: &CommandId| zones.clone().any(|zone| zone.returns.contains_key(id));
         let relevant = match step {
             EvacuationStep::Begin | EvacuationStep::Finish { .. } => index,
-            EvacuationStep::Acknowledge { order, .. } if is_return(order) => *order,
+            EvacuationStep::Acknowledge { command, .. } if is_return(command) => *command,
             EvacuationStep::Acknowledge { .. }
             | EvacuationStep::Withdraw { .. }
             | EvacuationStep::Confirm { .. }
--- a/crates/control-plane/tests/golden/commands.rs
+++ b/crates/control-plane/tests/golden/commands.rs
@@ -69,15 +69,15 @@
         EvacuationStep::Begin,
         EvacuationStep::Finish { ends: 4 },
         EvacuationStep::Acknowledge {
-            order: 4,
+            command: 4,
             attempt: ATTEMPT,
         },
         EvacuationStep::Withdraw {
-            order: 4,
+            command: 4,
             attempt: ATTEMPT,
             written: true,
         },
-        EvacuationStep::Confirm { order: 5 },
+        EvacuationStep::Confirm { command: 5 },
         EvacuationStep::Expire { last: 300 },
     ];
     let mut samples = vec![
--- a/crates/control-plane/tests/zone_orders.rs
+++ b/crates/control-plane/tests/zone_orders.rs
@@ -77,7 +77,7 @@
 
 impl World {
     fn step_caller(&mut self, caller: usize) {
-        let Some(order) = &mut self.calls[caller] else {
+        let Some(call) = &mut self.calls[caller] else {
             if !self.acknowledged[caller] && !self.overlaps && self.evacuation_is_recent() {
                 return;
             }
@@ -91,10 +91,10 @@
             });
             return;
         };
-        if order.is_in_flight {
+        if call.is_in_flight {
             return;
         }
-        if self.now > order.since + RESEND_WINDOW_MS {
+        if self.now > call.since + RESEND_WINDOW_MS {
             self.calls[caller] = None;
             return;
         }
@@ -103,7 +103,7 @@
 
     /// Whether a caller is evacuating the zone, or was answered lately.
     fn evacuation_is_recent(&self) -> bool {
-        let asks = self.calls.iter().flatten().any(|order| order.begin);
+        let asks = self.calls.iter().flatten().any(|call| call.begin);
         let recent = |id| {
             self.times
                 .get(id)
@@ -114,22 +114,22 @@
 
     fn decide(&mut self, caller: usize) {
         let (now, times) = (self.now, &self.times);
-        let Some(order) = &mut self.calls[caller] else {
+        let Some(call) = &mut self.calls[caller] else {
             return;
         };
-        let resend_window = if order.begin {
+        let resend_window = if call.begin {
             RESEND_WINDOW_MS
         } else {
             RESEND_WINDOW_MS + CALLER_WAIT_MS
         };
         let recent = |id| times.get(&id).is_none_or(|at| now < at + resend_window);
         // A leader decides once all that its log holds of the zone is applied.
-        order.is_in_flight = self.log.is_empty();
-        order.acknowledging = None;
-        if !order.is_in_flight {
+        call.is_in_flight = self.log.is_empty();
+        call.acknowledging = None;
+        if !call.is_in_flight {
             return;
         }
-        match self.zone.decide(order.begin, recent) {
+        match self.zone.decide(call.begin, recent) {
             Decision::New(step) => self.log.push_back((step, Some(caller))),
             Decision::Duplicate(id) => {
                 self.attempts += 1;
@@ -137,9 +137,12 @@
                     term: self.term,
                     number: self.attempts,
                 };
-                order.acknowledging = Some((id, attempt));
+                call.acknowledging = Some((id, attempt));
                 self.log.push_back((
-                    EvacuationStep::Acknowledge { order: id, attempt },
+                    EvacuationStep::Acknowledge {
+                        command: id,
+                        attempt,
+                    },
                     Some(caller),
                 ));
             }
@@ -149,24 +152,24 @@
     }
 
     fn on_read(&mut self, caller: usize, returned: Option<CommandId>) {
-        if let Some(order) = self.calls[caller].take() {
-            self.acknowledged[caller] |= order.begin;
-            if let Some(order) = returned.filter(|_| !order.begin) {
+        if let Some(call) = self.calls[caller].take() {
+            self.acknowledged[caller] |= call.begin;
+            if let Some(command) = returned.filter(|_| !call.begin) {
                 self.log
-                    .push_back((EvacuationStep::Confirm { order }, None));
+                    .push_back((EvacuationStep::Confirm { command }, None));
             }
         }
     }
 
     fn break_off(&mut self, caller: usize) {
-        let Some(order) = &mut self.calls[caller] else {
+        let Some(call) = &mut self.calls[caller] else {
             return;
         };
-        order.is_in_flight = false;
-        if let Some((order, attempt)) = order.acknowledging.take() {
+        call.is_in_flight = false;
+        if let Some((command, attempt)) = call.acknowledging.take() {
             self.log.push_back((
                 EvacuationStep::Withdraw {
-                    order,
+                    command,
                     attempt,
                     written: false,
                 },
@@ -186,19 +189,19 @@
                 EvacuationStep::Begin | EvacuationStep::Finish { .. } => {
                     self.times.insert(self.index, self.now);
                 }
-                EvacuationStep::Acknowledge { order, .. }
-                    if self.zone.returns.contains_key(&order) =>
+                EvacuationStep::Acknowledge { command, .. }
+                    if self.zone.returns.contains_key(&command) =>
                 {
-                    self.times.insert(order, self.now);
+                    self.times.insert(command, self.now);
                 }
                 _ => {}
             }
         }
         let Some(caller) = caller else { return };
-        let Some(order) = self.calls[caller].filter(|order| order.is_in_flight) else {
+        let Some(call) = self.calls[caller].filter(|call| call.is_in_flight) else {
             return;
         };
-        match (step, order.acknowledging) {
+        match (step, call.acknowledging) {
             // Proposed by an attempt that was broken off since.
             (EvacuationStep::Acknowledge { attempt, .. }, own)
                 if own.is_none_or(|(_, a)| a != attempt) => {}
@@ -208,8 +211,8 @@
                 | EvacuationStep::Expire { .. },
                 Some(_),
             ) => {}
-            (EvacuationStep::Acknowledge { order, attempt }, _) if applies => {
-                self.acknowledge(caller, order, attempt, delivery);
+            (EvacuationStep::Acknowledge { command, attempt }, _) if applies => {
+                self.acknowledge(caller, command, attempt, delivery);
             }
             _ => self.decide(caller),
         }
@@ -218,23 +221,23 @@
     fn acknowledge(
         &mut self,
         caller: usize,
-        order: CommandId,
+        command: CommandId,
         attempt: AcknowledgementAttempt,
         delivery: Delivery,
     ) {
-        let is_return = self.calls[caller].is_some_and(|order| !order.begin);
+        let is_return = self.calls[caller].is_some_and(|call| !call.begin);
         let delivery = if is_return && self.overlaps && !CERTAIN.contains(&delivery) {
             Read
         } else {
             delivery
         };
         match delivery {
-            Read => return self.on_read(caller, Some(order)),
+            Read => return self.on_read(caller, Some(command)),
             ReadWithoutSign => return self.on_read(caller, None),
             NotWritten => return self.break_off(caller),
             LostWithSign => {
                 let step = EvacuationStep::Withdraw {
-                    order,
+                    command,
                     attempt,
                     written: true,
                 };
@@ -242,8 +245,8 @@
             }
             LostWithoutSign | ProcessDied => {}
         }
-        if let Some(order) = &mut self.calls[caller] {
-            (order.is_in_flight, order.acknowledging) = (false, None);
+        if let Some(call) = &mut self.calls[caller] {
+            (call.is_in_flight, call.acknowledging) = (false, None);
         }
     }
 
@@ -251,8 +254,8 @@
         self.log.truncate(kept % (self.log.len() + 1));
         self.log.iter_mut().for_each(|(_, caller)| *caller = None);
         self.term += 1;
-        for order in self.calls.iter_mut().flatten() {
-            (order.is_in_flight, order.acknowledging) = (false, None);
+        for call in self.calls.iter_mut().flatten() {
+            (call.is_in_flight, call.acknowledging) = (false, None);
         }
         if kept.is_multiple_of(3) {
             // A member that has just started, and does not know how old calls are: it takes them for recent.
@@ -260,7 +263,7 @@
             if !self.overlaps && !self.zone.evacuations.is_empty() {
                 self.calls
                     .iter_mut()
-                    .for_each(|order| *order = order.filter(|o| !o.begin));
+                    .for_each(|call| *call = call.filter(|o| !o.begin));
             }
         }
         for id in self.zone.evacuations.keys().chain(self.zone.returns.keys()) {
@@ -299,7 +302,7 @@
         (EvacuationStep::Begin, true),
         (
             EvacuationStep::Acknowledge {
-                order: 1,
+                command: 1,
                 attempt: attempt(1),
             },
             true,
@@ -307,14 +310,14 @@
         (EvacuationStep::Begin, true),
         (
             EvacuationStep::Acknowledge {
-                order: 3,
+                command: 3,
                 attempt: attempt(2),
             },
             true,
         ),
         (
             EvacuationStep::Withdraw {
-                order: 1,
+                command: 1,
                 attempt: attempt(1),
                 written: false,
             },
@@ -337,21 +340,21 @@
         (EvacuationStep::Begin, true),
         (
             EvacuationStep::Acknowledge {
-                order: 1,
+                command: 1,
                 attempt: attempt(1),
             },
             true,
         ),
         (
             EvacuationStep::Acknowledge {
-                order: 1,
+                command: 1,
                 attempt: attempt(2),
             },
             false,
         ),
         (
             EvacuationStep::Withdraw {
-                order: 1,
+                command: 1,
                 attempt: attempt(2),
                 written: false,
             },
@@ -359,7 +362,7 @@
         ),
         (
             EvacuationStep::Withdraw {
-                order: 1,
+                command: 1,
                 attempt: attempt(1),
                 written: true,
             },
@@ -367,7 +370,7 @@
         ),
         (
             EvacuationStep::Acknowledge {
-                order: 1,
+                command: 1,
                 attempt: attempt(2),
             },
             true,
@@ -375,14 +378,14 @@
         (EvacuationStep::Finish { ends: 1 }, true),
         (
             EvacuationStep::Acknowledge {
-                order: 7,
+                command: 7,
                 attempt: attempt(3),
             },
             true,
         ),
         (
             EvacuationStep::Acknowledge {
-                order: 7,
+                command: 7,
                 attempt: attempt(4),
             },
             false,
@@ -404,13 +407,13 @@
             assert!(zone.apply(
                 begin * 10 + 1,
                 EvacuationStep::Acknowledge {
-                    order: begin * 10,
+                    command: begin * 10,
                     attempt
                 }
             ));
             if begin != heard {
                 let step = EvacuationStep::Withdraw {
-                    order: begin * 10,
+                    command: begin * 10,
                     attempt,
                     written: false,
                 };
@@ -418,7 +421,10 @@
             }
             if begin == 1 && heard == 2 {
                 // Else the second would be the first, sent again.
-                let step = EvacuationStep::Acknowledge { order: 10, attempt };
+                let step = EvacuationStep::Acknowledge {
+                    command: 10,
+                    attempt,
+                };
                 assert!(zone.apply(13, step));
             }
         }
@@ -426,7 +432,7 @@
             assert!(zone.apply(
                 23,
                 EvacuationStep::Withdraw {
-                    order: 10,
+                    command: 10,
                     attempt,
                     written: false
                 }
