--- a/crates/control-plane/src/connections/watch_session.rs
+++ b/crates/control-plane/src/connections/watch_session.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use data_plane::abort_on_drop::AbortOnDrop;
 use data_plane::control_client::{HEARTBEAT_INTERVAL, IDLE_TIMEOUT};
-use data_plane::upstream_pool::AbortOnDrop;
 use protocol::wire::{self, Balancer, Session, SessionMessage, WatchRequest, WatchUpdate};
 use tokio::io::{AsyncRead, AsyncWriteExt, BufReader, BufWriter};
 use tokio::sync::mpsc;
--- a/crates/control-plane/src/server/keys.rs
+++ b/crates/control-plane/src/server/keys.rs
@@ -1,6 +1,7 @@
 //! Which upstream holds which keys, as agreed on, and how much work there is for them.
 
-use protocol::key_ranges::{KeyLoadReport, KeyRangeChange, KeyRangeMap};
+use protocol::key_load::KeyLoadReport;
+use protocol::key_ranges::{KeyRangeChange, KeyRangeMap};
 
 use super::ControlServer;
 use crate::configuration::Command;
--- a/crates/control-plane/tests/peer_writer.rs
+++ b/crates/control-plane/tests/peer_writer.rs
@@ -4,7 +4,7 @@
 
 use control_plane::peer_writer::write_all;
 use protocol::wire::{self, PeerMessage};
-use raft::{Message, MessageBody};
+use raft::{AppendEntries, Message, MessageBody};
 use tokio::io::{AsyncReadExt, BufReader, DuplexStream};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
@@ -38,13 +38,13 @@
 
 /// A message of the log.
 fn heartbeat(sequence: u64) -> PeerMessage {
-    let body = MessageBody::AppendEntries {
+    let body = MessageBody::AppendEntries(AppendEntries {
         prev_log_index: 0,
         prev_log_term: 0,
         entries: Vec::new(),
         leader_commit: 0,
         sequence,
-    };
+    });
     PeerMessage::Raft(Message {
         from: 1,
         to: 2,
