--- a/crates/control-plane/src/http_api/operator_api.rs
+++ b/crates/control-plane/src/http_api/operator_api.rs
@@ -194,7 +194,7 @@
         json_response(
             StatusCode::OK,
             &json!({"node": self.server.settings.node, "id": format!("{:016x}", own.id),
-                "role": format!("{:?}", own.role).to_lowercase(), "term": own.term,
+                "role": own.role.to_string(), "term": own.term,
                 "leader": self.server.leader_address(), "in_contact": self.server.has_quorum_contact(),
                 "contact_age_ms": self.server.quorum_contact_age().map(|age| age.as_millis() as u64),
                 "commit": own.commit_index, "last": own.last_log_index,
--- a/crates/control-plane/src/key_leases.rs
+++ b/crates/control-plane/src/key_leases.rs
@@ -115,8 +115,7 @@
         let counts = server.take_work_counts();
         let mut calls = Vec::new();
         for (service, plan) in &mut self.plans {
-            plan.load
-                .record(counts.get(service).map_or(&[], Vec::as_slice));
+            plan.load.record(counts.loads(service));
             plan.load.refresh(now_ms);
             let free_calls = if may_call {
                 MAX_CALLS.saturating_sub(self.calls_under_way)
--- a/crates/control-plane/src/server/log_driver.rs
+++ b/crates/control-plane/src/server/log_driver.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use protocol::wire::PeerMessage;
-use raft::{RaftNode, Ready};
+use raft::{RaftNode, ReadState, Ready};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 
@@ -95,7 +95,7 @@
                 Err(error) => self.report_fatal(error),
             }
         }
-        for (token, index) in ready.read_states {
+        for ReadState { token, index } in ready.read_states {
             state.complete_read(ReadToken::from_raw(token), index);
         }
         if let Some(snapshot) = state.log.compact_if_due() {
--- a/crates/control-plane/src/server/state/key_work.rs
+++ b/crates/control-plane/src/server/state/key_work.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use protocol::key_ranges::KeyLoadReport;
+use protocol::key_load::{BucketLoad, KeyLoadReport};
 
 /// Counts of requests by service and bucket of keys, summed up until they are taken.
 ///
@@ -18,9 +18,9 @@
     pub(crate) fn record(&mut self, counts: KeyLoadReport) {
         for (service, buckets) in counts {
             let totals = self.counts.entry(service).or_default();
-            for (bucket, n) in buckets {
+            for BucketLoad { bucket, units } in buckets {
                 let total = totals.entry(bucket).or_default();
-                *total = total.saturating_add(n);
+                *total = total.saturating_add(units);
             }
         }
     }
@@ -29,7 +29,10 @@
     pub(crate) fn take(&mut self) -> KeyLoadReport {
         std::mem::take(&mut self.counts)
             .into_iter()
-            .map(|(service, buckets)| (service, buckets.into_iter().collect()))
+            .map(|(service, buckets)| {
+                let load = |(bucket, units)| BucketLoad { bucket, units };
+                (service, buckets.into_iter().map(load).collect())
+            })
             .collect()
     }
 }
--- a/crates/control-plane/src/server/state/replicated_log.rs
+++ b/crates/control-plane/src/server/state/replicated_log.rs
@@ -5,19 +5,12 @@
 
 use protocol::compact_config::CompactConfig;
 use protocol::key_ranges::KeyRangeMap;
-use protocol::wire::{WatchRequest, WatchUpdate};
+use protocol::wire::{Indexed, WatchRequest, WatchUpdate};
 use raft::{NodeId, RaftNode, Snapshot};
 
 use crate::configuration::{Command, CommandOutcome, ReplicatedState};
 use crate::server::{COMPACT_AFTER_BYTES, COMPACT_AFTER_ENTRIES, FatalError};
 
-/// The configuration in the form that balancers are sent.
-struct ConfigAtIndex {
-    /// Where in the log it was accepted.
-    index: u64,
-    config: Arc<CompactConfig>,
-}
-
 /// The member of the log and the state of its entries up to the applied one.
 ///
 /// Invariant: the state is what the commands up to `applied_index` make of an empty one, in their order; nothing else
@@ -31,7 +24,7 @@
     /// Bytes of the commands applied since the last compaction.
     uncompacted_bytes: usize,
     /// Made once for all sessions, when the first asks for it.
-    compact_config: Option<ConfigAtIndex>,
+    compact_config: Option<Indexed<Arc<CompactConfig>>>,
     /// Who led when that was last reported.
     reported_leader: Option<NodeId>,
     /// It has begun to lead, and has not told the others yet.
@@ -172,7 +165,7 @@
     }
 
     /// The configuration in the form that balancers are sent, with its index. Only valid ones are ever applied.
-    fn compact_config(&mut self) -> Option<(u64, Arc<CompactConfig>)> {
+    fn compact_config(&mut self) -> Option<Indexed<Arc<CompactConfig>>> {
         let index = self.state.config_index;
         if self
             .compact_config
@@ -182,13 +175,12 @@
             let config = serde_json::from_str(&self.state.config).inspect_err(|error| {
                 tracing::error!(%error, index, "the configuration in force can't be read");
             });
-            self.compact_config = Some(ConfigAtIndex {
+            self.compact_config = Some(Indexed {
                 index,
-                config: Arc::new(CompactConfig::from_config(&config.ok()?)),
+                value: Arc::new(CompactConfig::from_config(&config.ok()?)),
             });
         }
-        let known = self.compact_config.as_ref()?;
-        Some((known.index, known.config.clone()))
+        self.compact_config.clone()
     }
 
     /// Adds to `update` what is agreed on and the balancer lacks; `has` counts it as had from then on.
@@ -204,7 +196,10 @@
                 .evacuated_zones()
                 .map(|(zone, _)| zone.clone())
                 .collect();
-            update.evacuated_zones = Some((state.evacuations_index, zones));
+            update.evacuated_zones = Some(Indexed {
+                index: state.evacuations_index,
+                value: zones,
+            });
         }
         if state.keys_index > has.key_ranges_index {
             let changed_ranges = |(service, ranges): (&String, &KeyRangeMap)| {
@@ -213,7 +208,10 @@
             };
             let changes = state.keys.iter().filter_map(changed_ranges).collect();
             has.key_ranges_index = state.keys_index;
-            update.key_ranges = Some((state.keys_index, changes));
+            update.key_ranges = Some(Indexed {
+                index: state.keys_index,
+                value: changes,
+            });
         }
     }
 }
--- a/crates/data-plane/src/routes/tests.rs
+++ b/crates/data-plane/src/routes/tests.rs
@@ -38,7 +38,7 @@
         seed: 1,
         headroom: Duration::ZERO,
         drain_grace: Duration::ZERO,
-        grid: Duration::from_millis(1),
+        timer_granularity: Duration::from_millis(1),
         subscribe: None,
     };
     let (_, handle) = engine::Engine::new(terms, pool);
@@ -161,7 +161,10 @@
     /// Takes in what a session brings.
     fn take_news(&self, index: u64, config: Arc<CompactConfig>) {
         let news = WatchUpdate {
-            config: Some((index, config)),
+            config: Some(protocol::wire::Indexed {
+                index,
+                value: config,
+            }),
             ..WatchUpdate::default()
         };
         UpdateHandler::take(self, &news);
