--- a/crates/data-plane/tests/model/schedule.rs
+++ b/crates/data-plane/tests/model/schedule.rs
@@ -12,7 +12,7 @@
 const REUSED_IDS: usize = 3;
 const ALL_IDS: usize = 10_000;
 /// A body that fills the buffers on the way, so that writing has to wait.
-pub const SLOW_BODY_BYTES: usize = 3 << 20;
+pub(crate) const SLOW_BODY_BYTES: usize = 3 << 20;
 
 /// Bytes that nobody asked for and that are no response to a request.
 const GARBAGE: [&[u8]; 8] = [
@@ -28,7 +28,7 @@
 
 /// One attempt at an upstream.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub(crate) struct Call {
     pub upstream: usize,
     pub id: usize,
     pub method: Method,
@@ -49,11 +49,11 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Schedule {
+pub(crate) struct Schedule {
     pub calls: Vec<Call>,
 }
 
-pub fn id(number: usize) -> String {
+pub(crate) fn id(number: usize) -> String {
     format!("id-{number}")
 }
 
@@ -275,8 +275,8 @@
             // That a part of a request was run shows in its response, unless a reset or what came before the
             // response hides it.
             let stays = reads_body || [End::HalfClose, End::Silent].contains(&end);
-            let whole = reads_body && before_body.is_empty();
-            let runs = runs && (whole || (answered && !cut && shown && stays));
+            let complete = reads_body && before_body.is_empty();
+            let runs = runs && (complete || (answered && !cut && shown && stays));
             Behaviour {
                 before_body,
                 reads_body,
@@ -347,6 +347,6 @@
     )
 }
 
-pub fn schedule() -> impl Strategy<Value = Schedule> {
+pub(crate) fn schedule() -> impl Strategy<Value = Schedule> {
     vec(call(), 1..8).prop_map(|calls| Schedule { calls })
 }
