--- a/crates/standalone-proxy/src/api/mod.rs
+++ b/crates/standalone-proxy/src/api/mod.rs
@@ -186,7 +186,7 @@
 }
 
 impl RequestHandler for Api {
-    async fn answer(
+    async fn handle_request(
         &self,
         request: Request<Incoming>,
         arrived: Instant,
