--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -140,7 +140,7 @@
             },
             Err(error) => error,
         };
-        if matches!(error, StoreError::UnsupportedFormat(..)) {
+        if matches!(error, StoreError::UnsupportedFormat { .. }) {
             return Err(error);
         }
         if error.is_corrupted() {
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -102,8 +102,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FatalError {
     /// A snapshot of the replicated state.
-    #[error("{0}")]
-    UnreadableSnapshot(String),
+    #[error(transparent)]
+    UnreadableSnapshot(#[from] crate::snapshot::SnapshotError),
     /// A committed entry, maybe of a later build.
     #[error("entry {index} can't be read: {source}")]
     UnreadableEntry {
--- a/crates/control-plane/src/server/keys.rs
+++ b/crates/control-plane/src/server/keys.rs
@@ -56,7 +56,7 @@
         let replicated = state.log.state();
         (replicated.config_index != known_index).then(|| ShardedServices {
             config_index: replicated.config_index,
-            services: replicated.sharded(),
+            services: replicated.sharded_services(),
         })
     }
 }
--- a/crates/control-plane/src/server/state/replicated_log.rs
+++ b/crates/control-plane/src/server/state/replicated_log.rs
@@ -113,8 +113,7 @@
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) -> Result<(), FatalError> {
         (self.applied_index, self.uncompacted_bytes) = (snapshot.index, 0);
         if !snapshot.data.is_empty() {
-            self.state = crate::snapshot::decode(&snapshot.data)
-                .map_err(|error| FatalError::UnreadableSnapshot(error.to_string()))?;
+            self.state = crate::snapshot::decode(&snapshot.data)?;
         }
         Ok(())
     }
@@ -140,7 +139,7 @@
                 tracing::debug!(index, service, "key assignment applied");
             }
             Command::ZoneStep { zone, step } => {
-                let evacuations = self.state.evacuations(zone);
+                let evacuations = self.state.evacuation_count(zone);
                 tracing::info!(index, zone, ?step, evacuations, "zone command applied");
             }
             _ => {
@@ -157,7 +156,9 @@
         if !is_due {
             return None;
         }
-        let data = crate::snapshot::encode(&self.state)?;
+        let data = crate::snapshot::encode(&self.state)
+            .inspect_err(|error| tracing::error!(%error, "the log can't be compacted"))
+            .ok()?;
         let snapshot = self.node.compact(self.applied_index, data)?;
         self.uncompacted_bytes = 0;
         Some(snapshot)
@@ -191,7 +192,10 @@
         let state = &self.state;
         if state.evacuations_index > has.evacuations_index {
             has.evacuations_index = state.evacuations_index;
-            let zones = state.evacuated().map(|(zone, _)| zone.clone()).collect();
+            let zones = state
+                .evacuated_zones()
+                .map(|(zone, _)| zone.clone())
+                .collect();
             update.evacuated_zones = Some(Indexed {
                 index: state.evacuations_index,
                 value: zones,
--- a/crates/control-plane/src/server/zones.rs
+++ b/crates/control-plane/src/server/zones.rs
@@ -122,7 +122,7 @@
         let (state, uptime_ms) = (self.state.borrow(), self.uptime_ms());
         let mut all = Vec::new();
         for zone in self.settings.zone_map.keys() {
-            let is_evacuated = state.log.state().evacuations(zone) > 0;
+            let is_evacuated = state.log.state().evacuation_count(zone) > 0;
             let upstreams = state.zones.upstreams(zone, uptime_ms)?;
             all.extend(upstreams.map(|upstream| KnownUpstream {
                 upstream,
