--- a/crates/raft/src/contact_tracker.rs
+++ b/crates/raft/src/contact_tracker.rs
@@ -8,6 +8,8 @@
 
 use std::collections::VecDeque;
 
+use crate::QuorumContactResponse;
+
 /// Requests to the leader that may be unanswered at a time. A slow link has more than one under
 /// way.
 const MAX_OUTSTANDING_REQUESTS: usize = 4;
@@ -58,19 +60,25 @@
         );
     }
 
-    /// The leader's response: `age_ms` before it took the request, the leader sent what a majority
+    /// The leader's response: `age_ms` before it handled the request, the leader sent what a majority
     /// has answered, and `index` covers all that was acknowledged before that. Responses to older
     /// requests are no longer awaited.
-    pub(crate) fn on_response(&mut self, token: u64, age_ms: u64, index: u64, applied_index: u64) {
-        let Some(place) = self.requests.iter().position(|r| r.token == token) else {
+    pub(crate) fn on_response(&mut self, response: &QuorumContactResponse, applied_index: u64) {
+        let Some(place) = self.requests.iter().position(|r| r.token == response.token) else {
             return;
         };
         // The leader took the age after the request was sent: its broadcast was sent no earlier
         // than this.
-        let at = self.requests[place].sent_at.checked_sub(age_ms);
+        let at = self.requests[place].sent_at.checked_sub(response.age_ms);
         self.requests.drain(..=place);
         if let Some(at) = at.filter(|at| self.confirmed_at.is_none_or(|known| *at > known)) {
-            push_bounded(&mut self.unapplied, UnappliedContact { at, index });
+            push_bounded(
+                &mut self.unapplied,
+                UnappliedContact {
+                    at,
+                    index: response.index,
+                },
+            );
             self.on_applied(applied_index);
         }
     }
--- a/crates/raft/src/persistence.rs
+++ b/crates/raft/src/persistence.rs
@@ -11,11 +11,15 @@
 
 use crate::{Entry, Message, MessageBody, NodeId, Snapshot};
 
+/// The number of a request to the disk. Not to be mixed up with the number of a broadcast.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct PersistSequence(pub(crate) u64);
+
 /// The requests to the disk, in order.
 #[derive(Debug)]
 pub(crate) struct PersistencePipeline {
     /// The number of the last request.
-    last_sequence: u64,
+    last_sequence: PersistSequence,
     unsynced: VecDeque<UnsyncedRequest>,
     unsynced_bytes: usize,
     synced_index: u64,
@@ -25,7 +29,7 @@
 /// A request that is not synced yet.
 #[derive(Debug)]
 struct UnsyncedRequest {
-    sequence: u64,
+    sequence: PersistSequence,
     /// The log is synced up to this index once the request is.
     last_index: u64,
     /// The size of its entries.
@@ -35,7 +39,7 @@
 /// A message to be sent once a request is synced.
 #[derive(Debug)]
 struct DeferredMessage {
-    sequence: u64,
+    sequence: PersistSequence,
     message: Message,
 }
 
@@ -43,7 +47,7 @@
     /// Nothing is under way, and the disk has the log up to `synced_index`.
     pub(crate) fn new(synced_index: u64) -> Self {
         Self {
-            last_sequence: 0,
+            last_sequence: PersistSequence::default(),
             unsynced: VecDeque::new(),
             unsynced_bytes: 0,
             synced_index,
@@ -52,8 +56,12 @@
     }
 
     /// Numbers a request that writes these entries, or that snapshot in place of the log.
-    pub(crate) fn enqueue(&mut self, entries: &[Entry], snapshot: Option<&Snapshot>) -> u64 {
-        self.last_sequence += 1;
+    pub(crate) fn enqueue(
+        &mut self,
+        entries: &[Entry],
+        snapshot: Option<&Snapshot>,
+    ) -> PersistSequence {
+        self.last_sequence.0 += 1;
         let covered = snapshot.map_or(0, |snapshot| snapshot.index);
         let size_bytes = entries.iter().map(Entry::size_bytes).sum();
         self.unsynced_bytes += size_bytes;
@@ -66,7 +74,7 @@
     }
 
     /// All requests up to `sequence` are synced.
-    pub(crate) fn complete(&mut self, sequence: u64) {
+    pub(crate) fn complete(&mut self, sequence: PersistSequence) {
         while let Some(request) = self
             .unsynced
             .pop_front_if(|request| request.sequence <= sequence)
@@ -77,7 +85,7 @@
     }
 
     /// The next message that waited only for the requests up to `sequence`.
-    pub(crate) fn pop_released(&mut self, sequence: u64) -> Option<Message> {
+    pub(crate) fn pop_released(&mut self, sequence: PersistSequence) -> Option<Message> {
         let released = self
             .deferred
             .pop_front_if(|deferred| deferred.sequence <= sequence);
@@ -85,7 +93,7 @@
     }
 
     /// Defers a message until the request `sequence` is synced.
-    pub(crate) fn defer(&mut self, sequence: u64, message: Message) {
+    pub(crate) fn defer(&mut self, sequence: PersistSequence, message: Message) {
         self.deferred
             .push_back(DeferredMessage { sequence, message });
     }
@@ -110,7 +118,7 @@
     }
 
     /// The first request under way with which the log will be synced up to `index`.
-    pub(crate) fn request_covering(&self, index: u64) -> Option<u64> {
+    pub(crate) fn request_covering(&self, index: u64) -> Option<PersistSequence> {
         let mut requests = self.unsynced.iter();
         let covering = requests.find(|request| request.last_index >= index);
         covering.map(|request| request.sequence)
--- a/crates/raft/src/raft_node.rs
+++ b/crates/raft/src/raft_node.rs
@@ -27,7 +27,7 @@
 use crate::contact_tracker::ContactTracker;
 use crate::election_timer::ElectionTimer;
 use crate::incoming_transfer::IncomingTransfer;
-use crate::persistence::PersistencePipeline;
+use crate::persistence::{PersistSequence, PersistencePipeline};
 use crate::raft_log::RaftLog;
 use crate::read_only::{ForwardedReads, PendingReads};
 use crate::tracker::ProgressTracker;
@@ -309,10 +309,10 @@
 
     /// Adds a request to write and sync these entries, or that snapshot in place of the log, with
     /// the present term and vote. Its number.
-    fn persist(&mut self, entries: Vec<Entry>, snapshot: Option<Snapshot>) -> u64 {
+    fn persist(&mut self, entries: Vec<Entry>, snapshot: Option<Snapshot>) -> PersistSequence {
         let sequence = self.persistence.enqueue(&entries, snapshot.as_ref());
         self.ready.persist_requests.push(PersistRequest {
-            sequence,
+            sequence: sequence.0,
             term: self.term,
             voted_for: self.voted_for,
             entries,
@@ -323,6 +323,7 @@
 
     /// All [`PersistRequest`]s up to this number are synced.
     pub fn on_persisted(&mut self, sequence: u64) {
+        let sequence = PersistSequence(sequence);
         self.persistence.complete(sequence);
         while let Some(message) = self.persistence.pop_released(sequence) {
             // A promise of an older term is no longer wanted.
@@ -350,7 +351,7 @@
     }
 
     /// Sends a message once a persist request is synced; at once if it depends on none.
-    fn send_once_persisted(&mut self, request: Option<u64>, message: Message) {
+    fn send_once_persisted(&mut self, request: Option<PersistSequence>, message: Message) {
         match request {
             Some(sequence) => self.persistence.defer(sequence, message),
             None => self.ready.messages.push(message),
--- a/crates/raft/src/raft_node/append_entries.rs
+++ b/crates/raft/src/raft_node/append_entries.rs
@@ -3,6 +3,7 @@
 //! A member acknowledges only what its own disk has synced, and never truncates what is committed.
 
 use super::RaftNode;
+use crate::persistence::PersistSequence;
 use crate::{
     AppendConflict, AppendEntries, AppendResponse, Entry, LogPosition, Message, MessageBody,
     NodeId, Snapshot,
@@ -43,7 +44,7 @@
 
     /// Replaces what the log has from the first of these entries on. The number of the request that
     /// persists them.
-    fn overwrite_log(&mut self, entries: Vec<Entry>) -> u64 {
+    fn overwrite_log(&mut self, entries: Vec<Entry>) -> PersistSequence {
         let last_kept = entries
             .first()
             .map_or(self.log.last_index(), |first| first.index - 1);
@@ -93,7 +94,7 @@
         to: NodeId,
         match_index: u64,
         sequence: u64,
-        persisted: Option<u64>,
+        persisted: Option<PersistSequence>,
     ) {
         let match_index = match_index.max(self.log.commit_index());
         let synced_index = self.persistence.synced_index();
@@ -109,9 +110,8 @@
             self.send(to, acknowledgement(match_index.min(synced_index)));
         }
         let is_deferred = || {
-            let term = self.term;
-            self.persistence
-                .has_deferred_acknowledgement(to, term, match_index)
+            let persistence = &self.persistence;
+            persistence.has_deferred_acknowledgement(to, self.term, match_index)
         };
         if match_index > synced_index && !is_deferred() {
             let covering = self.persistence.request_covering(match_index);
--- a/crates/raft/src/raft_node/election.rs
+++ b/crates/raft/src/raft_node/election.rs
@@ -1,12 +1,13 @@
 //! Leader election, with pre-vote (Raft paper, section 5.2; Raft thesis, section 9.6).
 //!
-//! A vote counts for its voter and for the candidate only once it is synced. Voters that hear a
+//! A request for votes and a granted vote are sent only once the vote is synced. Voters that hear a
 //! leader answer no vote request (Raft thesis, section 4.2.3), so that a member that was removed or
 //! cut off does not unseat it.
 
 use std::collections::BTreeSet;
 
 use super::{RaftNode, Role};
+use crate::persistence::PersistSequence;
 use crate::{LogPosition, Message, MessageBody, NodeId, Payload, RequestVote, VoteResponse};
 
 /// Why a member asks for votes.
@@ -41,10 +42,10 @@
         self.request_votes(campaign, persisted);
         // Alone, a member has a majority by its own vote; as the leader it counts its entries once
         // they are synced.
-        self.on_vote_counted(pre_vote);
+        self.maybe_win_election(pre_vote);
     }
 
-    fn request_votes(&mut self, campaign: CampaignType, persisted: Option<u64>) {
+    fn request_votes(&mut self, campaign: CampaignType, persisted: Option<PersistSequence>) {
         let pre_vote = campaign == CampaignType::PreElection;
         let last = self.log.last_position();
         let request = RequestVote {
@@ -71,7 +72,7 @@
     }
 
     /// Begins a new term with a vote for itself. The number of the request that persists them.
-    fn become_candidate(&mut self) -> u64 {
+    fn become_candidate(&mut self) -> PersistSequence {
         self.become_any_candidate(Role::Candidate);
         (self.term, self.voted_for) = (self.term + 1, Some(self.id));
         self.persist(Vec::new(), None)
@@ -200,11 +201,11 @@
             return;
         }
         self.votes_granted.insert(from);
-        self.on_vote_counted(response.pre_vote);
+        self.maybe_win_election(response.pre_vote);
     }
 
-    /// Goes on once a majority has granted its votes.
-    fn on_vote_counted(&mut self, pre_vote: bool) {
+    /// Goes on to the election, or to lead, if a majority has granted its votes.
+    fn maybe_win_election(&mut self, pre_vote: bool) {
         if !self
             .members()
             .is_majority(|id| self.votes_granted.contains(&id))
--- a/crates/raft/src/raft_node/quorum_contact.rs
+++ b/crates/raft/src/raft_node/quorum_contact.rs
@@ -59,11 +59,6 @@
 
     pub(super) fn handle_quorum_contact_response(&mut self, response: &QuorumContactResponse) {
         let applied_index = self.log.applied_index();
-        self.contact.on_response(
-            response.token,
-            response.age_ms,
-            response.index,
-            applied_index,
-        );
+        self.contact.on_response(response, applied_index);
     }
 }
--- a/crates/raft/src/raft_node/replication.rs
+++ b/crates/raft/src/raft_node/replication.rs
@@ -206,8 +206,7 @@
             return;
         };
         progress.on_response(response.sequence, now);
-        let match_index = response.match_index.min(last_index);
-        progress.on_match(match_index, response.sequence, now);
+        progress.on_match(response, last_index, now);
         self.maybe_commit();
         self.confirm_broadcasts();
         self.replicate(from, false);
@@ -230,7 +229,7 @@
             return;
         };
         progress.on_response(response.sequence, now);
-        if !progress.is_stale_conflict(response.rejected_index, response.sequence) {
+        if !progress.is_stale_conflict(response) {
             progress.reset(match_index, matches, sequence);
         }
         self.confirm_broadcasts();
--- a/crates/raft/src/tracker/progress.rs
+++ b/crates/raft/src/tracker/progress.rs
@@ -2,6 +2,7 @@
 
 use super::inflights::Inflights;
 use super::outgoing_transfer::OutgoingTransfer;
+use crate::{AppendConflict, AppendResponse};
 
 /// How a leader brings a member up to date.
 #[derive(Debug)]
@@ -63,11 +64,12 @@
         self.answered_sequence = self.answered_sequence.max(sequence);
     }
 
-    /// The member has synced the leader's log up to `index`.
-    pub(crate) fn on_match(&mut self, index: u64, sequence: u64, now: u64) {
-        if index >= self.match_index {
-            self.match_index = index;
-            self.match_sequence = self.match_sequence.max(sequence);
+    /// The member has synced the leader's log up to an entry, at most to the leader's last one.
+    pub(crate) fn on_match(&mut self, response: &AppendResponse, last_index: u64, now: u64) {
+        let match_index = response.match_index.min(last_index);
+        if match_index >= self.match_index {
+            self.match_index = match_index;
+            self.match_sequence = self.match_sequence.max(response.sequence);
         }
         match &self.state {
             ProgressState::Probe { .. } => self.become_replicate(),
@@ -94,8 +96,13 @@
         self.state = ProgressState::Transfer(transfer);
     }
 
-    /// Whether a conflict at the entry `rejected_index` is older than what is known.
-    pub(crate) fn is_stale_conflict(&self, rejected_index: u64, sequence: u64) -> bool {
+    /// Whether a conflict is older than what is known.
+    pub(crate) fn is_stale_conflict(&self, response: &AppendConflict) -> bool {
+        let AppendConflict {
+            rejected_index,
+            sequence,
+            ..
+        } = *response;
         let matched_since = rejected_index <= self.match_index && sequence <= self.match_sequence;
         let repeated = match self.state {
             ProgressState::Probe { .. } => rejected_index + 1 != self.next_index,
