--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -168,6 +168,16 @@
     pub checksum: u32,
 }
 
+impl TransferId {
+    /// The position up to which the receiver has the log once the transfer is complete.
+    pub(crate) fn position(&self) -> LogPosition {
+        LogPosition {
+            index: self.index,
+            term: self.term,
+        }
+    }
+}
+
 /// What the bytes of a transfer are.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransferContent {
--- a/crates/raft/src/raft_node/chunked_transfer.rs
+++ b/crates/raft/src/raft_node/chunked_transfer.rs
@@ -11,8 +11,8 @@
 use crate::incoming_transfer::IncomingTransfer;
 use crate::tracker::{OutgoingTransfer, Progress, ProgressState, TransferData};
 use crate::{
-    AppendEntries, Chunk, ChunkResponse, Entry, LogPosition, MessageBody, NodeId, Payload,
-    Snapshot, TransferContent, TransferId,
+    AppendEntries, Chunk, ChunkResponse, Entry, MessageBody, NodeId, Payload, Snapshot,
+    TransferContent, TransferId,
 };
 
 /// A member that has not answered for so long is not there: what it is sent once it is back is
@@ -100,11 +100,7 @@
         self.accept_leader(from);
         let id = chunk.transfer;
         let (leader_commit, sequence) = (chunk.leader_commit, chunk.sequence);
-        let end = LogPosition {
-            index: id.index,
-            term: id.term,
-        };
-        if id.index <= self.log.commit_index() || self.log.contains(end) {
+        if id.index <= self.log.commit_index() || self.log.contains(id.position()) {
             return self.acknowledge(from, id.index, sequence, None);
         }
         // A chunk of another transfer ends the one before: the leader has one under way.
@@ -122,6 +118,19 @@
             return self.send_chunk_response(from, id, 0);
         }
         self.send_chunk_response(from, id, id.total_bytes);
+        self.complete_transfer(from, transfer, content, leader_commit, sequence);
+    }
+
+    /// Accepts a snapshot, or an entry, that has come with all its chunks.
+    fn complete_transfer(
+        &mut self,
+        from: NodeId,
+        transfer: IncomingTransfer,
+        content: TransferContent,
+        leader_commit: u64,
+        sequence: u64,
+    ) {
+        let id = transfer.id();
         let bytes = transfer.into_bytes();
         match content {
             TransferContent::Snapshot { members } => {
@@ -139,6 +148,7 @@
                     index: id.index,
                     payload: Payload::Data(bytes),
                 };
+                // As if the leader had sent it in one message.
                 let request = AppendEntries {
                     prev_log_index: id.index - 1,
                     prev_log_term,
--- a/crates/raft/src/tracker/outgoing_transfer.rs
+++ b/crates/raft/src/tracker/outgoing_transfer.rs
@@ -83,10 +83,7 @@
 
     /// The position of that entry.
     pub(crate) fn position(&self) -> LogPosition {
-        LogPosition {
-            index: self.data.id.index,
-            term: self.data.id.term,
-        }
+        self.data.id.position()
     }
 
     pub(crate) fn data(&self) -> &Arc<TransferData> {
