--- a/crates/standalone-proxy/tests/proxy/harness.rs
+++ b/crates/standalone-proxy/tests/proxy/harness.rs
@@ -185,6 +185,28 @@
     }
 }
 
+/// Waits until the other side's close of a connection has arrived at the end with this local address. A process that
+/// another test is just starting holds copies of all descriptors until it runs its program; until then a close is not
+/// sent, some 90 ms long beside load.
+pub(crate) fn wait_for_delivered_close(local: SocketAddr) {
+    const CLOSE_WAIT: &str = "08";
+    let port = format!(":{:04X}", local.port());
+    let is_delivered = |line: &str| {
+        let mut fields = line.split_whitespace().skip(1);
+        let (address, state) = (fields.next(), fields.nth(1));
+        address.is_some_and(|a| a.ends_with(&port)) && state == Some(CLOSE_WAIT)
+    };
+    let from = Instant::now();
+    loop {
+        let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's connections");
+        if table.lines().any(is_delivered) {
+            return;
+        }
+        assert!(from.elapsed() < EVENT_TIMEOUT, "the close is not delivered");
+        thread::sleep(Duration::from_millis(1));
+    }
+}
+
 /// Discovery: tells each watch's request line, and hands over its connection, head written.
 pub(crate) struct Discovery {
     pub address: SocketAddr,
--- a/crates/standalone-proxy/tests/proxy/serving.rs
+++ b/crates/standalone-proxy/tests/proxy/serving.rs
@@ -252,12 +252,14 @@
         let proxy = Proxy::start(&config(&serving_entries(&[&upstream])));
         let mut client = proxy.client();
         assert_eq!(client.ask(&unsafe_request("r1", 5000, "x")).status(), 200);
+        let (connection, _) = upstream.request();
         let close = || {
             go.send(()).expect("the upstream waits");
             while !matches!(
                 upstream.seen.recv_timeout(EVENT_TIMEOUT),
                 Ok(UpstreamEvent::Closed)
             ) {}
+            wait_for_delivered_close(connection);
         };
         proxy.signal("STOP");
         if close_first {
