--- a/crates/load-balancing/src/policy/attempts.rs
+++ b/crates/load-balancing/src/policy/attempts.rs
@@ -4,6 +4,7 @@
 use super::state::circuit_breaker::CircuitBreaker;
 use super::state::request::{Attempt, AttemptState, PendingRequest};
 use super::state::upstream::Upstream;
+use super::state::upstream_table::UpstreamIndex;
 use crate::interface::{
     Action, AttemptOutcome, AttemptResult, DedupGroup, Effect, RequestClass, RequestId, Status,
     Time,
@@ -23,7 +24,7 @@
         now: Time,
         id: RequestId,
         request: &PendingRequest,
-        upstream: usize,
+        upstream: UpstreamIndex,
     ) -> bool {
         self.is_eligible(now, request, upstream)
             && self.has_turn(now, id, request)
@@ -41,7 +42,12 @@
     }
 
     /// What does not pass by waiting: draining, binding, number of attempts, retry budget, effect.
-    pub(super) fn is_eligible(&self, now: Time, request: &PendingRequest, upstream: usize) -> bool {
+    pub(super) fn is_eligible(
+        &self,
+        now: Time,
+        request: &PendingRequest,
+        upstream: UpstreamIndex,
+    ) -> bool {
         let target = &self.upstreams[upstream];
         if target.status != Status::Live || !self.is_allowed_for(Some(request.class), target) {
             return false;
@@ -82,7 +88,7 @@
         now: Time,
         class: &RequestClass,
         attempt: &Attempt,
-        upstream: usize,
+        upstream: UpstreamIndex,
     ) -> bool {
         let (a, b) = (&self.upstreams[attempt.upstream], &self.upstreams[upstream]);
         let is_same_group = match class.dedup_group {
--- a/crates/load-balancing/src/policy/concurrency.rs
+++ b/crates/load-balancing/src/policy/concurrency.rs
@@ -6,6 +6,7 @@
 use super::Balancer;
 use super::state::concurrency::{ConcurrencyEstimate, MAX_CONCURRENCY};
 use super::state::upstream::Upstream;
+use super::state::upstream_table::UpstreamIndex;
 use super::subset;
 use crate::interface::Time;
 
@@ -35,7 +36,12 @@
 
     /// Books the time that an upstream had so many in flight, and the work of the served request of class
     /// `served` that ends it.
-    pub(super) fn record_concurrency(&mut self, now: Time, upstream: usize, served: Option<usize>) {
+    pub(super) fn record_concurrency(
+        &mut self,
+        now: Time,
+        upstream: UpstreamIndex,
+        served: Option<usize>,
+    ) {
         let i = upstream;
         let upstream = &self.upstreams[i];
         let most = self.service_time(upstream) * MAX_ANSWER_GAP_IN_SERVICE_TIMES;
@@ -73,10 +79,10 @@
             .concurrency
             .iter_mut()
             .for_each(ConcurrencyEstimate::end_round);
-        for upstream in &mut self.upstreams {
+        for upstream in self.upstreams.iter_mut() {
             upstream.concurrency_trial = 0;
         }
-        let own: Vec<usize> = self
+        let own: Vec<UpstreamIndex> = self
             .by_cost
             .iter()
             .copied()
@@ -96,7 +102,7 @@
     }
 
     /// Tries a higher level at half of the upstreams of whose kind nothing is known of it.
-    fn start_first_trials(&mut self, own: &[usize]) {
+    fn start_first_trials(&mut self, own: &[UpstreamIndex]) {
         for &i in own {
             let estimate = self.estimate_of_kind(&self.upstreams[i]);
             let next = estimate.next_level();
@@ -108,7 +114,7 @@
     }
 
     /// Tries, at one upstream, a higher level now and then, else a lower one.
-    fn start_later_trial(&mut self, own: &[usize]) {
+    fn start_later_trial(&mut self, own: &[UpstreamIndex]) {
         let higher = self.random_of(own);
         let lower = self.random_of(own);
         let estimate = self.estimate_of_kind(&self.upstreams[higher]);
@@ -126,7 +132,7 @@
         }
     }
 
-    fn random_of(&mut self, upstreams: &[usize]) -> usize {
+    fn random_of(&mut self, upstreams: &[UpstreamIndex]) -> UpstreamIndex {
         upstreams[self.rng.rand_range(0..upstreams.len() as u64) as usize]
     }
 }
--- a/crates/load-balancing/src/policy/dispatch.rs
+++ b/crates/load-balancing/src/policy/dispatch.rs
@@ -8,6 +8,7 @@
 use super::Balancer;
 use super::state::request::{Attempt, AttemptId, PendingRequest};
 use super::state::upstream::Upstream;
+use super::state::upstream_table::UpstreamIndex;
 use super::subset;
 use crate::interface::{Action, RequestId, Span, Time};
 
@@ -61,12 +62,12 @@
         id: RequestId,
         request: &PendingRequest,
         is_pool_full: bool,
-    ) -> Option<usize> {
+    ) -> Option<UpstreamIndex> {
         // Looked at only where needed, and once: for every class again and again, a thousand routes took all the
         // time of a small machine.
         let is_panicking = LazyCell::new(|| self.is_panicking(now, request.class));
         let owner = request.shard.map(|key| self.key_owners.owner_of(now, key));
-        let mut best: Option<(bool, f64, usize)> = None;
+        let mut best: Option<(bool, f64, UpstreamIndex)> = None;
         for &i in &self.by_cost {
             let upstream = &self.upstreams[i];
             let has_attempted = request.has_attempted(i);
@@ -173,7 +174,13 @@
             + OUTSIDE_SUBSET_PENALTY * outside
     }
 
-    fn send(&mut self, now: Time, id: RequestId, upstream: usize, actions: &mut Vec<Action>) {
+    fn send(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        upstream: UpstreamIndex,
+        actions: &mut Vec<Action>,
+    ) {
         self.spend_send_credit(now, upstream);
         self.record_concurrency(now, upstream, None);
         self.dequeue(id);
@@ -202,7 +209,7 @@
     }
 
     /// Takes or frees slots of an upstream, in every capacity pool that it belongs to.
-    pub(super) fn count_in_flight(&mut self, upstream: usize, change: i32) {
+    pub(super) fn count_in_flight(&mut self, upstream: UpstreamIndex, change: i32) {
         let in_flight = &mut self.upstreams[upstream].in_flight;
         *in_flight = in_flight.saturating_add_signed(change);
         for i in 0..self.capacity.pools.len() {
--- a/crates/load-balancing/src/policy/estimates.rs
+++ b/crates/load-balancing/src/policy/estimates.rs
@@ -7,6 +7,7 @@
 use super::state::latency_estimate::SERVICE_TIME_GAIN;
 use super::state::request::Attempt;
 use super::state::upstream::Upstream;
+use super::state::upstream_table::UpstreamIndex;
 use crate::fleet::fair_share::FairShare;
 use crate::fleet::peer_load::ReportedLoad;
 use crate::interface::{AttemptOutcome, AttemptResult, Time};
@@ -88,7 +89,7 @@
     }
 
     /// Takes in how many requests of its peers an upstream reported.
-    fn learn_reported_load(&mut self, now: Time, upstream: usize, result: &AttemptResult) {
+    fn learn_reported_load(&mut self, now: Time, upstream: UpstreamIndex, result: &AttemptResult) {
         let Some(running) = result.report.inflight else {
             return;
         };
@@ -133,7 +134,7 @@
             .filter(|upstream| upstream.is_live() && self.is_allowed_for(class, upstream))
             .any(|upstream| !upstream.is_unresponsive());
         let (mut slots, mut per_us) = (0.0, 0.0);
-        for upstream in &self.upstreams {
+        for upstream in self.upstreams.iter() {
             if upstream.is_live() && self.is_counted(&self.capacity.pools[pool], upstream) {
                 slots += self.exact_max_in_flight(upstream);
                 per_us += self.admission_limit_per_us(upstream);
--- a/crates/load-balancing/src/policy/membership.rs
+++ b/crates/load-balancing/src/policy/membership.rs
@@ -4,12 +4,13 @@
 //! while a request was sent there. When the list goes silent the last one stays in use; where it comes on request
 //! only, it is requested again, with growing waits after failures.
 
-use rustc_hash::{FxHashMap, FxHashSet};
+use rustc_hash::FxHashSet;
 
 use super::Balancer;
 use super::state::capacity::CapacityPool;
 use super::state::concurrency::ConcurrencyEstimate;
 use super::state::upstream::Upstream;
+use super::state::upstream_table::UpstreamIndex;
 use crate::fleet::ring;
 use crate::interface::{Action, Endpoint, MembershipKind, Span, Status, Time};
 
@@ -39,18 +40,19 @@
         }
         let before: Vec<Status> = self.upstreams.iter().map(|u| u.status).collect();
         if kind != MembershipKind::Update {
-            for upstream in &mut self.upstreams {
+            for upstream in self.upstreams.iter_mut() {
                 upstream.status = Status::Gone;
             }
         }
         for endpoint in list {
             self.upsert_upstream(now, endpoint);
         }
-        for i in 0..self.upstreams.len() {
-            if before.get(i) != Some(&self.upstreams[i].status) {
+        let mut before = before.into_iter();
+        for index in self.upstreams.indexes() {
+            if before.next() != Some(self.upstreams[index].status) {
                 let within = self.settings.rules.drain_close_timeout;
-                self.upstreams[i].close_idle_within(now, within);
-                self.close_idle(now, i, actions);
+                self.upstreams[index].close_idle_within(now, within);
+                self.close_idle(now, index, actions);
             }
         }
         self.remove_gone_upstreams(now);
@@ -69,19 +71,16 @@
     }
 
     fn upsert_upstream(&mut self, now: Time, endpoint: &Endpoint) {
-        let next = self.upstreams.len();
-        let i = *self.by_id.entry(endpoint.id).or_insert(next);
-        if i == next {
-            let classes = self.settings.classes.len();
-            self.upstreams.push(Upstream::new(endpoint, classes, now));
-        }
+        let classes = self.settings.classes.len();
+        let new = || Upstream::new(endpoint, classes, now);
+        let index = self.upstreams.index_or_insert(endpoint.id, new);
         // Spread over the balancers: a part of the first send is already earned.
         let credit = if self.is_slow_start_rate_told() {
             ring::slow_start_phase(self.settings.position, endpoint.identity)
         } else {
             self.rng.rand_float()
         };
-        let upstream = &mut self.upstreams[i];
+        let upstream = &mut self.upstreams[index];
         upstream.update(endpoint, credit, now);
         let kinds = self.fleet.concurrency.len().max(upstream.kind as usize + 1);
         self.fleet
@@ -93,31 +92,28 @@
     /// judged by them. Without this, where machines come and go, all there ever were stayed on every walk.
     fn remove_gone_upstreams(&mut self, now: Time) {
         let attempts = self.requests.values().flat_map(|r| &r.attempts);
-        let attempted: FxHashSet<usize> = attempts.map(|attempt| attempt.upstream).collect();
-        let mut new_index = FxHashMap::default();
-        let mut i = 0;
-        self.upstreams.retain(|upstream| {
-            let is_kept = upstream.status != Status::Gone
+        let attempted: FxHashSet<UpstreamIndex> =
+            attempts.map(|attempt| attempt.upstream).collect();
+        let new_index = self.upstreams.retain(|index, upstream| {
+            upstream.status != Status::Gone
                 || now < upstream.close_idle_until
-                || attempted.contains(&i);
-            if is_kept {
-                new_index.insert(i, new_index.len());
-            }
-            i += 1;
-            is_kept
+                || attempted.contains(&index)
         });
         let attempts = self.requests.values_mut().flat_map(|r| &mut r.attempts);
         for attempt in attempts {
             attempt.upstream = new_index[&attempt.upstream];
         }
-        let indexes = self.upstreams.iter().enumerate().map(|(i, u)| (u.id, i));
-        self.by_id = indexes.collect();
     }
 
     /// Closes idle connections to an upstream that drains or is gone, where a rule asks for it: on the notice, after
     /// each outcome there, and once a sweep for as long as the rule allows, since a connection may come free a moment
     /// after the outcome that used it was told.
-    pub(super) fn close_idle(&mut self, now: Time, upstream: usize, actions: &mut Vec<Action>) {
+    pub(super) fn close_idle(
+        &mut self,
+        now: Time,
+        upstream: UpstreamIndex,
+        actions: &mut Vec<Action>,
+    ) {
         let upstream = &mut self.upstreams[upstream];
         let within = self.settings.rules.drain_close_timeout;
         if within.0 <= 0 || upstream.is_live() {
@@ -133,9 +129,9 @@
 
     /// Closes idle connections again, wherever the rule still asks for it.
     pub(super) fn repeat_close_idle(&mut self, now: Time, actions: &mut Vec<Action>) {
-        for i in 0..self.upstreams.len() {
-            if now <= self.upstreams[i].close_idle_until {
-                self.close_idle(now, i, actions);
+        for index in self.upstreams.indexes() {
+            if now <= self.upstreams[index].close_idle_until {
+                self.close_idle(now, index, actions);
             }
         }
     }
--- a/crates/load-balancing/src/policy/mod.rs
+++ b/crates/load-balancing/src/policy/mod.rs
@@ -34,7 +34,7 @@
 use state::membership_poll::MembershipPoll;
 use state::request::{AttemptId, OrderedQueue, PendingRequest};
 use state::tenant_quota::TenantQuota;
-use state::upstream::Upstream;
+use state::upstream_table::{UpstreamIndex, UpstreamTable};
 
 mod admission;
 mod attempts;
@@ -65,11 +65,9 @@
     rng: Rand64,
     /// Whether the first event has come, which starts the timers.
     has_started: bool,
-    /// The upstreams of the list, and those that are gone while a request is judged by them.
-    upstreams: Vec<Upstream>,
-    /// Live upstreams, by index, in the order of cost.
-    by_cost: Vec<usize>,
-    by_id: FxHashMap<ServerId, usize>,
+    upstreams: UpstreamTable,
+    /// Live upstreams in the order of cost.
+    by_cost: Vec<UpstreamIndex>,
     requests: FxHashMap<RequestId, PendingRequest>,
     /// In the order of arrival, retries first. Also holds requests that have left the queue since.
     queue: VecDeque<RequestId>,
@@ -111,9 +109,8 @@
             qos_time,
             rng: Rand64::new(u128::from(seed)),
             has_started: false,
-            upstreams: Vec::new(),
+            upstreams: UpstreamTable::default(),
             by_cost: Vec::new(),
-            by_id: FxHashMap::default(),
             requests: FxHashMap::default(),
             queue: VecDeque::new(),
             ordered_queues: FxHashMap::default(),
@@ -153,7 +150,7 @@
         self.qos_time = settings.qos_time();
         self.capacity = settings.capacity_pools();
         self.fleet.resize_classes(classes);
-        for upstream in &mut self.upstreams {
+        for upstream in self.upstreams.iter_mut() {
             upstream
                 .class_breakers
                 .resize(classes, CircuitBreaker::default());
@@ -191,7 +188,7 @@
     /// What holds for one upstream now: K_i, and N_i within the time `qos_time`; for metrics. `None` where it is
     /// not known.
     pub fn upstream_limits(&self, id: ServerId, qos_time: Span) -> Option<UpstreamLimits> {
-        let upstream = &self.upstreams[*self.by_id.get(&id)?];
+        let upstream = &self.upstreams[self.upstreams.index_of(id)?];
         Some(UpstreamLimits {
             in_flight: upstream.in_flight,
             max_in_flight: self.max_in_flight(upstream, 0),
--- a/crates/load-balancing/src/policy/slow_start.rs
+++ b/crates/load-balancing/src/policy/slow_start.rs
@@ -6,6 +6,7 @@
 
 use super::Balancer;
 use super::state::upstream::Upstream;
+use super::state::upstream_table::UpstreamIndex;
 use super::subset;
 use crate::fleet::send_credit::SendCredit;
 use crate::interface::{Span, Time};
@@ -78,7 +79,7 @@
         rate.max(owner_rate)
     }
 
-    pub(super) fn spend_send_credit(&mut self, now: Time, upstream: usize) {
+    pub(super) fn spend_send_credit(&mut self, now: Time, upstream: UpstreamIndex) {
         let Some(credit) = self.send_credit(now, &self.upstreams[upstream]) else {
             return;
         };
@@ -87,7 +88,7 @@
 
     /// Counts what warm upstreams served, not what they were sent: in a storm of rejections the sends of a fleet
     /// add up to a multiple of what any upstream can do.
-    pub(super) fn count_served(&mut self, now: Time, upstream: usize) {
+    pub(super) fn count_served(&mut self, now: Time, upstream: UpstreamIndex) {
         let upstream = &self.upstreams[upstream];
         if self.slow_start_capacity(now, upstream).is_some() {
             return;
--- a/crates/load-balancing/src/policy/state/mod.rs
+++ b/crates/load-balancing/src/policy/state/mod.rs
@@ -13,3 +13,4 @@
 pub(super) mod settings;
 pub(super) mod tenant_quota;
 pub(super) mod upstream;
+pub(super) mod upstream_table;
--- a/crates/load-balancing/src/policy/state/request.rs
+++ b/crates/load-balancing/src/policy/state/request.rs
@@ -3,6 +3,7 @@
 use std::collections::VecDeque;
 
 use crate::interface::{RequestId, Time};
+use crate::policy::state::upstream_table::UpstreamIndex;
 
 /// Where an attempt stands, as far as it bears on sending the request again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,8 +18,7 @@
 /// One sending of a request to one upstream.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::policy) struct Attempt {
-    /// Index of the upstream in the balancer's table.
-    pub(in crate::policy) upstream: usize,
+    pub(in crate::policy) upstream: UpstreamIndex,
     pub(in crate::policy) sent_at: Time,
     pub(in crate::policy) state: AttemptState,
     /// Unanswered for longer than its class explains.
@@ -30,7 +30,7 @@
 }
 
 impl Attempt {
-    pub(in crate::policy) fn new(upstream: usize, sent_at: Time) -> Self {
+    pub(in crate::policy) fn new(upstream: UpstreamIndex, sent_at: Time) -> Self {
         Self {
             upstream,
             sent_at,
@@ -83,7 +83,7 @@
             .all(|attempt| attempt.state == AttemptState::NotRun)
     }
 
-    pub(in crate::policy) fn has_attempted(&self, upstream: usize) -> bool {
+    pub(in crate::policy) fn has_attempted(&self, upstream: UpstreamIndex) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.upstream == upstream)
--- a/crates/load-balancing/src/policy/subset.rs
+++ b/crates/load-balancing/src/policy/subset.rs
@@ -6,6 +6,7 @@
 
 use super::Balancer;
 use super::state::upstream::Upstream;
+use super::state::upstream_table::UpstreamIndex;
 use crate::fleet::ring;
 
 /// Upstreams within half an even part of the fleet to either side are this balancer's own.
@@ -23,7 +24,7 @@
     pub(super) fn assign_subset(&mut self) {
         let has_zones = self.settings.prices.cross_zone > 0.0;
         let zone = |upstream: &Upstream| if has_zones { upstream.zone } else { 0 };
-        let mut live: Vec<usize> = (0..self.upstreams.len()).collect();
+        let mut live: Vec<UpstreamIndex> = self.upstreams.indexes().collect();
         live.retain(|&i| self.upstreams[i].is_live());
         live.sort_by_key(|&i| (zone(&self.upstreams[i]), self.upstreams[i].identity));
         let own_point = ring::point(self.settings.position);
@@ -33,8 +34,9 @@
             1.0
         };
         let balancers_per_zone = (f64::from(self.settings.balancers) / zones).max(1.0);
-        let is_same_zone =
-            |a: &usize, b: &usize| zone(&self.upstreams[*a]) == zone(&self.upstreams[*b]);
+        let is_same_zone = |a: &UpstreamIndex, b: &UpstreamIndex| {
+            zone(&self.upstreams[*a]) == zone(&self.upstreams[*b])
+        };
         let mut distances = Vec::with_capacity(live.len());
         for ring in live.chunk_by(is_same_zone) {
             let is_own_zone = !has_zones || zone(&self.upstreams[ring[0]]) == self.settings.zone;
@@ -58,7 +60,7 @@
     /// Puts the upstreams in the order of cost: the near and the fast first.
     pub(super) fn sort_by_cost(&mut self) {
         let upstreams = &self.upstreams;
-        let cost = |i: usize| {
+        let cost = |i: UpstreamIndex| {
             let upstream = &upstreams[i];
             let slowness = upstream.estimate.slowness;
             (MIN_DISTANCE + upstream.subset_distance) * slowness * slowness
