--- a/crates/control-plane/tests/golden/commands.rs
+++ b/crates/control-plane/tests/golden/commands.rs
@@ -69,15 +69,15 @@
         EvacuationStep::Begin,
         EvacuationStep::Finish { ends: 4 },
         EvacuationStep::Acknowledge {
-            order: 4,
+            command: 4,
             attempt: ATTEMPT,
         },
         EvacuationStep::Withdraw {
-            order: 4,
+            command: 4,
             attempt: ATTEMPT,
             written: true,
         },
-        EvacuationStep::Confirm { order: 5 },
+        EvacuationStep::Confirm { command: 5 },
         EvacuationStep::Expire { last: 300 },
     ];
     let mut samples = vec![
@@ -85,11 +85,11 @@
         amend(7, 9),
         Command::LegacyEvacuate {
             zone: "a".into(),
-            seen: 3,
+            expected_index: 3,
         },
         Command::LegacyReturn {
             zone: "a".into(),
-            seen: 4,
+            expected_index: 4,
         },
         place(),
     ];
