--- a/crates/control-plane/src/connections/watch_session.rs
+++ b/crates/control-plane/src/connections/watch_session.rs
@@ -111,7 +111,7 @@
                 message = messages.recv() => match message.ok_or(io::ErrorKind::UnexpectedEof)? {
                     SessionMessage::Watch(request) => self.handle_watch_request(request),
                     SessionMessage::KeepAlive => {}
-                    SessionMessage::KeyLoad(counts) => self.server.record_work(counts),
+                    SessionMessage::KeyLoad(counts) => self.server.record_key_load(counts),
                 },
                 () = changes.changed() => {}
                 () = sleep_until(next) => {}
--- a/crates/control-plane/src/key_leases.rs
+++ b/crates/control-plane/src/key_leases.rs
@@ -112,7 +112,7 @@
             return Vec::new();
         };
         let may_call = now_ms < leadership.at_ms + LEADER_STALENESS_MS;
-        let counts = server.take_work_counts();
+        let counts = server.take_key_load();
         let mut calls = Vec::new();
         for (service, plan) in &mut self.plans {
             plan.load.record(counts.loads(service));
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -237,7 +237,6 @@
         dial,
         fatal_errors: fatal,
     };
-    let limits = listener_limits(&settings);
     let (id, stored) = (persistence.id, persistence.stored);
     let server = ControlServer::new(settings, id, stored, channels, Environment::of_machine());
     tracing::info!(
@@ -247,18 +246,7 @@
     );
     spawn_local(connections::dial_peers(server.clone(), dial_requests));
     spawn_tasks(&server, listeners.peers, reloads);
-    let (ending, ended) = watch::channel(false);
-    let mut apis = Vec::new();
-    if let Some(listener) = listeners.operators {
-        let api = OperatorApi {
-            server: server.clone(),
-        };
-        apis.push(serve_api(api, limits, listener, ended.clone()));
-    }
-    if let Some(listener) = listeners.directory {
-        let api = DirectoryApi::new(server.clone());
-        apis.push(serve_api(api, limits, listener, ended.clone()));
-    }
+    let apis = Apis::start(&server, listeners.operators, listeners.directory);
     let disk_failed = server.clone().run_disk_events(persistence.synced);
     tokio::pin!(disk_failed);
     tokio::select! {
@@ -270,12 +258,7 @@
         () = server.shut_down(HAND_OVER_TIMEOUT) => {}
         () = &mut disk_failed => return Err(RuntimeError::DiskFailed),
     }
-    // Without a receiver there is no listener that would have to end.
-    let _ = ending.send(true);
-    for api in apis {
-        // One that panicked has ended too.
-        let _ = api.await;
-    }
+    apis.stop().await;
     Ok(())
 }
 
@@ -313,6 +296,46 @@
     }
 }
 
+/// The HTTP interfaces of a process.
+struct Apis {
+    ending: watch::Sender<bool>,
+    tasks: Vec<JoinHandle<()>>,
+}
+
+impl Apis {
+    /// Serves those that there is a listener for.
+    fn start(
+        server: &Rc<ControlServer>,
+        operators: Option<TcpListener>,
+        directory: Option<TcpListener>,
+    ) -> Self {
+        let limits = listener_limits(&server.settings);
+        let (ending, ended) = watch::channel(false);
+        let mut tasks = Vec::new();
+        if let Some(listener) = operators {
+            let api = OperatorApi {
+                server: server.clone(),
+            };
+            tasks.push(serve_api(api, limits, listener, ended.clone()));
+        }
+        if let Some(listener) = directory {
+            let api = DirectoryApi::new(server.clone());
+            tasks.push(serve_api(api, limits, listener, ended));
+        }
+        Self { ending, tasks }
+    }
+
+    /// Ends them in order: callers whose calls are under way get their answers, for a while.
+    async fn stop(self) {
+        // Without a receiver there is no interface that would have to end.
+        let _ = self.ending.send(true);
+        for task in self.tasks {
+            // One that panicked has ended too.
+            let _ = task.await;
+        }
+    }
+}
+
 /// Serves an interface until `ended` says so.
 fn serve_api<H: RequestHandler>(
     handler: H,
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -52,7 +52,7 @@
 
 use self::clock::Clock;
 use self::state::{
-    KeyWork, PeerRegistry, PendingCommands, QuorumContact, ReadRequests, ReplicatedLog,
+    KeyLoadCounts, PeerRegistry, PendingCommands, QuorumContact, ReadRequests, ReplicatedLog,
     SessionRegistry, State, ZoneCommands, ZoneRegistry,
 };
 use crate::store::DiskRequest;
@@ -190,7 +190,7 @@
             sessions: SessionRegistry::default(),
             zones: ZoneRegistry::default(),
             zone_commands: ZoneCommands::default(),
-            key_work: KeyWork::default(),
+            key_load: KeyLoadCounts::default(),
         };
         let server = Rc::new(Self {
             settings,
--- a/crates/control-plane/src/server/keys.rs
+++ b/crates/control-plane/src/server/keys.rs
@@ -32,13 +32,13 @@
     }
 
     /// Adds requests that balancers counted by key.
-    pub fn record_work(&self, counts: KeyLoadReport) {
-        self.state.borrow_mut().key_work.record(counts);
+    pub fn record_key_load(&self, counts: KeyLoadReport) {
+        self.state.borrow_mut().key_load.record(counts);
     }
 
     /// Takes the counts of requests that were not taken yet.
-    pub fn take_work_counts(&self) -> KeyLoadReport {
-        self.state.borrow_mut().key_work.take()
+    pub fn take_key_load(&self) -> KeyLoadReport {
+        self.state.borrow_mut().key_load.take()
     }
 
     /// Looks at a service's key ranges, as agreed on.
--- a/crates/control-plane/src/server/peers.rs
+++ b/crates/control-plane/src/server/peers.rs
@@ -85,7 +85,7 @@
                 let mut state = self.state.borrow_mut();
                 state.peers.record_leader_hint(from, leader);
             }
-            PeerMessage::KeyLoad(counts) => self.record_work(counts),
+            PeerMessage::KeyLoad(counts) => self.record_key_load(counts),
             PeerMessage::ConfirmLeadership { token } => self.handle_confirm_leadership(from, token),
             PeerMessage::LeadershipConfirmed { token } => {
                 let token = ReadToken::from_raw(token);
@@ -163,7 +163,7 @@
         };
         let all_sessions = self.sessions_message();
         if let Some(leader) = leader.filter(|at| *at != self.control_node.internal_addr) {
-            let counts = self.take_work_counts();
+            let counts = self.take_key_load();
             if !counts.is_empty() {
                 let state = self.state.borrow();
                 state.peers.send(leader, PeerMessage::KeyLoad(counts));
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -11,12 +11,12 @@
 //! | [`SessionRegistry`] | sessions of the data plane with this process | `server::sessions` |
 //! | [`ZoneRegistry`] | each zone's upstreams | `server::zones` |
 //! | [`ZoneCommands`] | evacuations and returns under way | `server::commands`, `server::log_driver` |
-//! | [`KeyWork`] | requests that balancers counted by key | `server::keys` |
+//! | [`KeyLoadCounts`] | requests that balancers counted by key | `server::keys` |
 //!
 //! All of it is in memory. The log's own state is also on disk (`store`); everything else is lost when the process ends
 //! and is learnt anew from peers, balancers and the platform.
 
-mod key_work;
+mod key_load_counts;
 mod peer_registry;
 mod pending_commands;
 mod quorum_contact;
@@ -32,7 +32,7 @@
 use raft::{Entry, Payload, Snapshot};
 use tokio::time::Instant;
 
-pub(super) use self::key_work::KeyWork;
+pub(super) use self::key_load_counts::KeyLoadCounts;
 pub(super) use self::peer_registry::{MessageAdmission, PeerRegistry};
 pub(super) use self::pending_commands::{PendingCommand, PendingCommands};
 pub(super) use self::quorum_contact::QuorumContact;
@@ -64,7 +64,7 @@
     pub(super) sessions: SessionRegistry,
     pub(super) zones: ZoneRegistry,
     pub(super) zone_commands: ZoneCommands,
-    pub(super) key_work: KeyWork,
+    pub(super) key_load: KeyLoadCounts,
 }
 
 impl State {
--- a/crates/control-plane/src/server/state/key_work.rs
+++ b/crates/control-plane/src/server/state/key_load_counts.rs
@@ -9,11 +9,11 @@
 /// Invariant: a count is in one place only; taking them leaves none. Counts saturate. What is here when the process
 /// dies is lost: the leader plans by fewer counts for a moment.
 #[derive(Default)]
-pub(crate) struct KeyWork {
+pub(crate) struct KeyLoadCounts {
     counts: BTreeMap<String, BTreeMap<u16, u16>>,
 }
 
-impl KeyWork {
+impl KeyLoadCounts {
     /// Adds counts of a balancer, or those that a peer passes on.
     pub(crate) fn record(&mut self, counts: KeyLoadReport) {
         for (service, buckets) in counts {
--- a/crates/control-plane/tests/common/balancers.rs
+++ b/crates/control-plane/tests/common/balancers.rs
@@ -1,4 +1,4 @@
-//! Data-plane balancers that keep sessions with the control servers of a [`Net`]: what they were sent, and when.
+//! Data-plane balancers that keep sessions with the control servers of a [`Cluster`]: what they were sent, and when.
 
 use std::cell::{Cell as Plain, RefCell};
 use std::io;
@@ -15,7 +15,7 @@
 use tokio::io::{DuplexStream, duplex};
 use tokio::time::{Instant, sleep};
 
-use super::{DISKLESS, Net, SIZE, settings, spawn};
+use super::{Cluster, DISKLESS, VOTERS, settings, spawn};
 
 /// Until a connection is up.
 const CONNECT_TIME: Duration = Duration::from_millis(30);
@@ -110,12 +110,12 @@
 
 /// The servers that a balancer may dial.
 fn dialable_servers() -> impl Iterator<Item = usize> {
-    (0..SIZE).chain([DISKLESS])
+    (0..VOTERS).chain([DISKLESS])
 }
 
 /// The network as one balancer sees it.
 struct BalancerNetwork {
-    net: Rc<Net>,
+    cluster: Rc<Cluster>,
     balancer: Rc<SimulatedBalancer>,
     /// The servers that it reaches.
     reaches: Vec<usize>,
@@ -129,13 +129,13 @@
             .find(|i| settings(*i).internal_addr() == at)
             .ok_or(io::ErrorKind::NotFound)?;
         self.balancer.dialled.borrow_mut().push(i);
-        let Some(server) = self.net.cell(i).filter(|_| self.reaches.contains(&i)) else {
+        let Some(server) = self.cluster.server(i).filter(|_| self.reaches.contains(&i)) else {
             sleep(CONNECT_TIMEOUT).await;
             return Err(io::ErrorKind::TimedOut.into());
         };
         sleep(CONNECT_TIME).await;
         let (near, far) = duplex(1 << 20);
-        self.net.freezers.borrow()[i].spawn(async move {
+        self.cluster.freezers.borrow()[i].spawn(async move {
             let _ = serve_connection(server, far).await;
         });
         Ok(near)
@@ -144,7 +144,7 @@
 
 /// Starts a balancer that dials `first`, in that order, before any other server, and reaches `reaches`.
 pub(crate) fn balancer(
-    net: &Rc<Net>,
+    cluster: &Rc<Cluster>,
     name: &str,
     first: &[usize],
     reaches: &[usize],
@@ -154,7 +154,7 @@
     let place =
         |node: &str, i: usize| load_balancing::settings::stable_hash(&format!("{}{node}", at(i)));
     let chosen = |node: &String| {
-        let mut order: Vec<usize> = (0..SIZE).collect();
+        let mut order: Vec<usize> = (0..VOTERS).collect();
         order.sort_by_key(|i| place(node, *i));
         order.starts_with(first)
     };
@@ -175,14 +175,14 @@
         http_addr: http,
     };
     let network = BalancerNetwork {
-        net: net.clone(),
+        cluster: cluster.clone(),
         balancer: balancer.clone(),
         reaches: reaches.to_vec(),
     };
     let client = ControlClient::with_network(network, me, balancer.clone());
     client.add_seeds(
         dialable_servers()
-            .filter(|i| *i < SIZE || reaches.contains(i))
+            .filter(|i| *i < VOTERS || reaches.contains(i))
             .map(at),
     );
     (balancer, spawn(client.run()))
--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -25,13 +25,13 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Voters of a cluster made by [`Net::new`].
-pub(crate) const SIZE: usize = 5;
+/// Voters of a cluster made by [`Cluster::new`].
+pub(crate) const VOTERS: usize = 5;
 /// A further control server, without a disk; not started at first.
 pub(crate) const DISKLESS: usize = 20;
 const MAX_SERVERS: usize = DISKLESS + 1;
 /// How long a server may take over a command.
-pub(crate) const ORDER: Duration = Duration::from_millis(950);
+pub(crate) const COMMAND_TIMEOUT: Duration = Duration::from_millis(950);
 /// How long a write takes to be synced.
 const SYNC_TIME: Duration = Duration::from_millis(2);
 /// A link without a message for so long looks whether the connection has to come up anew.
@@ -69,7 +69,7 @@
 type Delay = Box<dyn Fn(usize, usize) -> Duration>;
 
 /// The cluster, its disks and what connects it.
-pub(crate) struct Net {
+pub(crate) struct Cluster {
     pub(crate) size: usize,
     first_id: NodeId,
     delay: Delay,
@@ -80,7 +80,7 @@
     /// Ordered pairs that do not reach each other.
     pub(crate) cut: RefCell<BTreeSet<(usize, usize)>>,
     /// Changes with every healed cut and restart: connections come up anew.
-    pub(crate) round: Plain<u64>,
+    pub(crate) connection_epoch: Plain<u64>,
 }
 
 /// A message on its way, or nothing but a look at the connection.
@@ -100,14 +100,14 @@
     }
 }
 
-impl Net {
+impl Cluster {
     /// A cluster of the usual size in one place.
     pub(crate) fn new() -> Rc<Self> {
-        Self::of(SIZE, 1, Box::new(|_, _| Duration::from_millis(3)))
+        Self::with_delays(VOTERS, 1, Box::new(|_, _| Duration::from_millis(3)))
     }
 
     /// A cluster of so many voters, with ids from `first_id` on, and these delays between them.
-    pub(crate) fn of(size: usize, first_id: NodeId, delay: Delay) -> Rc<Self> {
+    pub(crate) fn with_delays(size: usize, first_id: NodeId, delay: Delay) -> Rc<Self> {
         let address = |i: usize| settings(i).internal_addr().to_string();
         let voters = (0..size)
             .map(|i| (first_id + i as NodeId, address(i)))
@@ -120,7 +120,7 @@
             snapshot,
             ..PersistentState::default()
         };
-        let net = Rc::new(Self {
+        let cluster = Rc::new(Self {
             size,
             first_id,
             delay,
@@ -129,10 +129,10 @@
             tasks: RefCell::new((0..MAX_SERVERS).map(|_| Vec::new()).collect()),
             freezers: RefCell::new((0..MAX_SERVERS).map(|_| Freezer::default()).collect()),
             cut: RefCell::default(),
-            round: Plain::new(0),
+            connection_epoch: Plain::new(0),
         });
-        (0..size).for_each(|i| net.start(i));
-        net
+        (0..size).for_each(|i| cluster.start(i));
+        cluster
     }
 
     /// Starts a server on its disk.
@@ -150,17 +150,17 @@
         let server =
             ControlServer::new(settings(i), id, stored, channels, Environment::of_machine());
         self.servers.borrow_mut()[i] = Some(server.clone());
-        self.round.set(self.round.get() + 1);
+        self.connection_epoch.set(self.connection_epoch.get() + 1);
         let (report_synced, synced) = mpsc::unbounded_channel();
         let (freezer, running) = Freezer::new();
         freezer.spawn(server.clone().run_disk_events(synced));
         freezer.spawn(server.run_clock());
         freezer.spawn(self.clone().run_disk(i, disk_requests, report_synced));
-        let net = self.clone();
+        let cluster = self.clone();
         let dials = spawn(async move {
             let mut links = Vec::new();
             while let Some(request) = dial_requests.recv().await {
-                links.push(spawn(net.clone().send_over_link(i, request)));
+                links.push(spawn(cluster.clone().send_over_link(i, request)));
             }
         });
         self.freezers.borrow_mut()[i] = freezer;
@@ -210,7 +210,7 @@
                 }
             }
         }
-        self.round.set(self.round.get() + 1);
+        self.connection_epoch.set(self.connection_epoch.get() + 1);
     }
 
     /// Ends a server; its disk keeps what was synced.
@@ -220,7 +220,7 @@
     }
 
     /// Server `i`, if it is up.
-    pub(crate) fn cell(&self, i: usize) -> Option<Rc<ControlServer>> {
+    pub(crate) fn server(&self, i: usize) -> Option<Rc<ControlServer>> {
         self.servers.borrow()[i].clone()
     }
 
@@ -246,8 +246,8 @@
         to: usize,
         mut arrivals: mpsc::UnboundedReceiver<InFlight>,
     ) {
-        // The round in which the connection came up; none while it is down.
-        let mut connected_in = None;
+        // When the connection came up; none while it is down.
+        let mut connected_epoch = None;
         while let Some(InFlight {
             arrives_at,
             message,
@@ -256,29 +256,29 @@
             sleep_until(arrives_at).await;
             let freezer = self.freezers.borrow()[to].clone();
             freezer.running().await;
-            let (Some(sender), Some(receiver)) = (self.cell(from), self.cell(to)) else {
+            let (Some(sender), Some(receiver)) = (self.server(from), self.server(to)) else {
                 continue;
             };
             if self.cut.borrow().contains(&(from, to)) {
-                connected_in = None;
+                connected_epoch = None;
                 continue;
             }
             let address = sender.control_node.internal_addr;
-            if connected_in != Some(self.round.get()) {
-                connected_in = Some(self.round.get());
+            if connected_epoch != Some(self.connection_epoch.get()) {
+                connected_epoch = Some(self.connection_epoch.get());
                 receiver.on_peer_connected(sender.id, sender.control_node.clone());
                 for introduction in sender.introduction_messages() {
                     receiver.handle_peer_message(address, introduction);
                 }
             }
             if message.is_some_and(|message| !receiver.handle_peer_message(address, message)) {
-                connected_in = None;
+                connected_epoch = None;
             }
         }
     }
 
     /// Sends an operator's command until there is a definite answer: whether it was acknowledged.
-    pub(crate) async fn order(
+    pub(crate) async fn submit(
         &self,
         side: &[usize],
         command: &Command,
@@ -293,8 +293,8 @@
             };
             let asked = side[next % side.len()];
             next += 1;
-            let answer = match self.cell(asked) {
-                Some(server) => server.submit_command(command, ORDER).await,
+            let answer = match self.server(asked) {
+                Some(server) => server.submit_command(command, COMMAND_TIMEOUT).await,
                 None => Err(Indeterminate::NoMajority),
             };
             match answer {
@@ -320,7 +320,7 @@
 
     /// Who believes that it leads.
     pub(crate) fn leader(&self) -> Option<usize> {
-        (0..self.size).find(|i| self.cell(*i).is_some_and(|server| server.is_leader()))
+        (0..self.size).find(|i| self.server(*i).is_some_and(|server| server.is_leader()))
     }
 }
 
--- a/crates/control-plane/tests/concurrent_changes.rs
+++ b/crates/control-plane/tests/concurrent_changes.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{Net, ORDER, SIZE, change, run_on_paused_time};
+use common::{COMMAND_TIMEOUT, Cluster, VOTERS, change, run_on_paused_time};
 use control_plane::configuration::ReplicatedState;
 use oorandom::Rand64;
 use tokio::time::{Instant, sleep};
@@ -34,18 +34,18 @@
 }
 
 /// Cuts the cluster in two, with the leader on either side; some cuts are one way only.
-fn partition(net: &Net, rng: &mut Rand64) -> Sides {
+fn partition(cluster: &Cluster, rng: &mut Rand64) -> Sides {
     let (mut left, mut right): (Vec<usize>, Vec<usize>) =
-        (0..SIZE).partition(|_| rng.rand_range(0..2) == 0);
+        (0..VOTERS).partition(|_| rng.rand_range(0..2) == 0);
     if left.is_empty() || right.is_empty() {
         (left, right) = (vec![0, 1, 2], vec![3, 4]);
     }
     let is_one_way = rng.rand_range(0..3) == 0;
     for a in &left {
         for b in &right {
-            net.cut.borrow_mut().insert((*a, *b));
+            cluster.cut.borrow_mut().insert((*a, *b));
             if !is_one_way {
-                net.cut.borrow_mut().insert((*b, *a));
+                cluster.cut.borrow_mut().insert((*b, *a));
             }
         }
     }
@@ -53,28 +53,30 @@
 }
 
 /// Kills the leader after a while, if it is to die, and heals the cut.
-async fn run_faults(net: &Rc<Net>, leader_dies_after: Option<Duration>) {
+async fn run_faults(cluster: &Rc<Cluster>, leader_dies_after: Option<Duration>) {
     if let Some(after) = leader_dies_after {
         sleep(after).await;
-        if let Some(leader) = net.leader() {
-            net.kill(leader);
+        if let Some(leader) = cluster.leader() {
+            cluster.kill(leader);
             sleep(Duration::from_millis(300)).await;
-            net.start(leader);
+            cluster.start(leader);
         }
     }
     sleep(Duration::from_millis(3000)).await;
-    net.cut.borrow_mut().clear();
-    net.round.set(net.round.get() + 1);
+    cluster.cut.borrow_mut().clear();
+    cluster
+        .connection_epoch
+        .set(cluster.connection_epoch.get() + 1);
 }
 
 /// The state that a majority confirms: what was acknowledged is in force in it.
-async fn read_confirmed_state(net: &Net) -> ReplicatedState {
+async fn read_confirmed_state(cluster: &Cluster) -> ReplicatedState {
     loop {
         sleep(Duration::from_millis(50)).await;
-        let Some(server) = net.leader().and_then(|leader| net.cell(leader)) else {
+        let Some(server) = cluster.leader().and_then(|leader| cluster.server(leader)) else {
             continue;
         };
-        if server.wait_until_current(ORDER).await {
+        if server.wait_until_current(COMMAND_TIMEOUT).await {
             return server.replicated_state();
         }
     }
@@ -82,13 +84,13 @@
 
 async fn race(seed: u64) -> Tally {
     let mut rng = Rand64::new(u128::from(seed));
-    let net = Net::new();
+    let cluster = Cluster::new();
     let (mut revision, mut tally) = (0, Tally::default());
     for _ in 0..RACES_PER_SEED {
-        while net.leader().is_none() {
+        while cluster.leader().is_none() {
             sleep(Duration::from_millis(50)).await;
         }
-        let Sides { left, right } = partition(&net, &mut rng);
+        let Sides { left, right } = partition(&cluster, &mut rng);
         let leader_dies_after =
             (rng.rand_range(0..2) == 0).then(|| Duration::from_millis(rng.rand_range(0..1500)));
         let wait = Duration::from_millis(rng.rand_range(0..400));
@@ -104,12 +106,12 @@
         );
         let second = async {
             sleep(wait).await;
-            net.order(&right, &other, until).await
+            cluster.submit(&right, &other, until).await
         };
         let (first, second, ()) = tokio::join!(
-            net.order(&left, &one, until),
+            cluster.submit(&left, &one, until),
             second,
-            run_faults(&net, leader_dies_after)
+            run_faults(&cluster, leader_dies_after)
         );
         assert!(
             first != Some(true) || second != Some(true),
@@ -117,7 +119,7 @@
         );
         tally.contested += usize::from(first.is_some() && second.is_some());
         tally.acknowledged += usize::from(first == Some(true) || second == Some(true));
-        let state = read_confirmed_state(&net).await;
+        let state = read_confirmed_state(&cluster).await;
         for (acknowledged, target_ms) in [(first, FIRST_TARGET_MS), (second, SECOND_TARGET_MS)] {
             let is_in_force = state.config.contains(&format!("\"target_ms\":{target_ms}"));
             assert!(
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -7,33 +7,35 @@
 use std::time::Duration;
 
 use common::balancers::{SimulatedBalancer, balancer, until};
-use common::{DISKLESS, Net, ORDER, SIZE, change, run_on_paused_time, settings};
+use common::{COMMAND_TIMEOUT, Cluster, DISKLESS, VOTERS, change, run_on_paused_time, settings};
 use control_plane::configuration::CommandOutcome;
 use control_plane::server::{ControlServer, Indeterminate};
 use tokio::time::{Instant, sleep};
 
-const ALL: [usize; SIZE] = [0, 1, 2, 3, 4];
+const ALL: [usize; VOTERS] = [0, 1, 2, 3, 4];
 const SECOND: Duration = Duration::from_millis(1000);
 /// A new configuration has to be in force within this.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Runs the test twice: with a leader, and with a follower, as the server in trouble.
-fn with_leader_and_follower<T: Future<Output = ()>>(test: impl Fn(Rc<Net>, usize) -> T) {
+fn with_leader_and_follower<T: Future<Output = ()>>(test: impl Fn(Rc<Cluster>, usize) -> T) {
     for leads in [true, false] {
         run_on_paused_time(async {
-            let net = Net::new();
-            accept_revision(&net, &ALL, 0, 1).await;
-            let leader = net.leader().expect("it has agreed");
-            let follower = (leader + 1) % SIZE;
-            test(net, if leads { leader } else { follower }).await;
+            let cluster = Cluster::new();
+            accept_revision(&cluster, &ALL, 0, 1).await;
+            let leader = cluster.leader().expect("it has agreed");
+            let follower = (leader + 1) % VOTERS;
+            test(cluster, if leads { leader } else { follower }).await;
         });
     }
 }
 
 /// Has a configuration of this revision, with a target of its own, acknowledged by one of these servers.
-async fn accept_revision(net: &Rc<Net>, at: &[usize], base: u64, revision: u64) {
+async fn accept_revision(cluster: &Rc<Cluster>, at: &[usize], base: u64, revision: u64) {
     let end = Instant::now() + 6 * SECOND;
-    let answer = net.order(at, &change(base, revision, revision), end).await;
+    let answer = cluster
+        .submit(at, &change(base, revision, revision), end)
+        .await;
     assert_eq!(answer, Some(true), "revision {revision}");
 }
 
@@ -48,11 +50,12 @@
 
 #[test]
 fn partitioned_server_sends_nothing_stale_and_its_balancers_move() {
-    with_leader_and_follower(|net, cut| async move {
-        let (holder, _one) = balancer(&net, "holder", &[cut], &ALL);
-        let (captive, _two) = balancer(&net, "captive", &[cut], &[cut]);
-        let others = ["a", "b", "c"].map(|name| balancer(&net, name, &[(cut + 2) % SIZE], &ALL));
-        let (pair, _five) = balancer(&net, "pair", &[cut], &[cut, (cut + 1) % SIZE]);
+    with_leader_and_follower(|cluster, cut| async move {
+        let (holder, _one) = balancer(&cluster, "holder", &[cut], &ALL);
+        let (captive, _two) = balancer(&cluster, "captive", &[cut], &[cut]);
+        let others =
+            ["a", "b", "c"].map(|name| balancer(&cluster, name, &[(cut + 2) % VOTERS], &ALL));
+        let (pair, _five) = balancer(&cluster, "pair", &[cut], &[cut, (cut + 1) % VOTERS]);
         let all = 3 + others.len() as u32;
         assert!(
             until(2 * SECOND, || holder.has(&target_of(1))
@@ -60,12 +63,12 @@
             .await
         );
         assert!(until(2 * SECOND, || captive.bank.get() == all).await);
-        net.cut_off(cut, true);
+        cluster.cut_off(cut, true);
         sleep(Duration::from_millis(100)).await;
-        accept_revision(&net, &all_but(cut), 1, 2).await;
+        accept_revision(&cluster, &all_but(cut), 1, 2).await;
         let acknowledged = Instant::now();
-        let (starter, _three) = balancer(&net, "starter", &[cut], &ALL);
-        let (lost, _four) = balancer(&net, "lost", &[cut], &[cut]);
+        let (starter, _three) = balancer(&cluster, "starter", &[cut], &ALL);
+        let (lost, _four) = balancer(&cluster, "lost", &[cut], &[cut]);
         assert!(
             until(APPLY_TIMEOUT, || holder.has(&target_of(2))).await,
             "it had two sessions"
@@ -85,8 +88,10 @@
             "and was told nothing old there"
         );
         // All that can have moved away, and had a session somewhere all the time.
-        let leader = net.cell(net.leader().expect("others lead")).expect("up");
-        let server = net.cell(cut).expect("up");
+        let leader = cluster
+            .server(cluster.leader().expect("others lead"))
+            .expect("up");
+        let server = cluster.server(cut).expect("up");
         let stands = |at: &ControlServer, balancer: &SimulatedBalancer| {
             at.all_sessions()
                 .iter()
@@ -115,13 +120,13 @@
             "nor does it take the others for gone: {}",
             captive.bank.get()
         );
-        accept_revision(&net, &all_but(cut), 2, 3).await;
+        accept_revision(&cluster, &all_but(cut), 2, 3).await;
         let soon = Duration::from_millis(200);
         assert!(
             until(soon, || pair.has(&target_of(3))).await,
             "its other session brings the news"
         );
-        net.cut_off(cut, false);
+        cluster.cut_off(cut, false);
         assert!(
             until(2 * APPLY_TIMEOUT, || lost.has(&target_of(3))
                 && captive.has(&target_of(3)))
@@ -133,19 +138,20 @@
 
 #[test]
 fn balancer_with_both_sessions_out_of_contact_moves_one_at_a_time() {
-    with_leader_and_follower(|net, cut| async move {
-        let partner = (cut + 1) % SIZE;
+    with_leader_and_follower(|cluster, cut| async move {
+        let partner = (cut + 1) % VOTERS;
         // All others but one are out of its reach.
-        let reaches = [cut, partner, (cut + 2) % SIZE];
-        let (holder, _one) = balancer(&net, "holder", &[cut, partner], &reaches);
-        let both = || [cut, partner].map(|i| net.cell(i).expect("up").has_session(&holder.node));
+        let reaches = [cut, partner, (cut + 2) % VOTERS];
+        let (holder, _one) = balancer(&cluster, "holder", &[cut, partner], &reaches);
+        let both =
+            || [cut, partner].map(|i| cluster.server(i).expect("up").has_session(&holder.node));
         let stands = || holder.has(&target_of(1)) && both() == [true, true];
         assert!(until(2 * SECOND, stands).await, "both stand on one side");
-        net.split(&[cut, partner], true);
+        cluster.split(&[cut, partner], true);
         let began = Instant::now();
         while began.elapsed() < 20 * SECOND {
             sleep(Duration::from_millis(10)).await;
-            let servers = ALL.into_iter().filter_map(|i| net.cell(i));
+            let servers = ALL.into_iter().filter_map(|i| cluster.server(i));
             let sessions = servers
                 .filter(|server| server.has_session(&holder.node))
                 .count();
@@ -156,7 +162,7 @@
             );
         }
         let majority: Vec<usize> = all_but(cut).into_iter().filter(|i| *i != partner).collect();
-        accept_revision(&net, &majority, 1, 2).await;
+        accept_revision(&cluster, &majority, 1, 2).await;
         assert!(
             until(APPLY_TIMEOUT, || holder.has(&target_of(2))).await,
             "it found the one in contact"
@@ -166,20 +172,21 @@
 
 #[test]
 fn commands_and_reads_in_a_minority_fail_within_the_callers_second() {
-    with_leader_and_follower(|net, cut| async move {
-        let partner = (cut + 1) % SIZE;
-        net.split(&[cut, partner], true);
+    with_leader_and_follower(|cluster, cut| async move {
+        let partner = (cut + 1) % VOTERS;
+        cluster.split(&[cut, partner], true);
         let began = Instant::now();
         let mut n = 0;
         while began.elapsed() < 20 * SECOND {
             n += 1;
             let i = if n % 2 == 0 { cut } else { partner };
-            let server = net.cell(i).expect("up");
+            let server = cluster.server(i).expect("up");
             // On the current revision, or on one that is not there yet: neither may be decided on.
             let command = change(1 + n % 3, 10 + n, 10);
             let asked = Instant::now();
-            let led = [cut, partner].map(|i| net.cell(i).is_some_and(|server| server.is_leader()));
-            match server.submit_command(&command, ORDER).await {
+            let led =
+                [cut, partner].map(|i| cluster.server(i).is_some_and(|server| server.is_leader()));
+            match server.submit_command(&command, COMMAND_TIMEOUT).await {
                 Err(Indeterminate::NoMajority | Indeterminate::NotLeader(None)) => {}
                 Err(Indeterminate::NotLeader(Some(at))) => {
                     let own = [cut, partner].map(|i| settings(i).internal_addr() == at);
@@ -195,7 +202,7 @@
             assert!(asked.elapsed() < SECOND, "{:?}", asked.elapsed());
             let asked = Instant::now();
             assert!(
-                !server.wait_until_current(ORDER).await,
+                !server.wait_until_current(COMMAND_TIMEOUT).await,
                 "nothing is read in a minority"
             );
             assert!(asked.elapsed() < SECOND);
@@ -205,33 +212,35 @@
 
 #[test]
 fn callers_are_not_redirected_to_a_dead_leader() {
-    with_leader_and_follower(|net, _| async move {
-        net.start(DISKLESS);
+    with_leader_and_follower(|cluster, _| async move {
+        cluster.start(DISKLESS);
         sleep(3 * SECOND).await;
-        let old = net.leader().expect("one leads");
+        let old = cluster.leader().expect("one leads");
         let at = |i: usize| Some(settings(i).internal_addr());
-        let named = |i: usize| net.cell(i).expect("up").leader_address();
+        let named = |i: usize| cluster.server(i).expect("up").leader_address();
         for i in all_but(old).into_iter().chain([DISKLESS]) {
             assert_eq!(named(i), at(old), "n{i} knows it");
         }
-        net.kill(old);
+        cluster.kill(old);
         // A command that comes while nobody leads is not rejected if a leader is elected soon.
         let follower =
-            |i: &usize| *i != old && !net.cell(*i).is_some_and(|server| server.is_leader());
+            |i: &usize| *i != old && !cluster.server(*i).is_some_and(|server| server.is_leader());
         let (answer, new) = loop {
-            let waited = net.leader().is_none();
+            let waited = cluster.leader().is_none();
             let asked = ALL
                 .into_iter()
                 .find(follower)
-                .and_then(|i| net.cell(i))
+                .and_then(|i| cluster.server(i))
                 .expect("up");
-            let answer = asked.submit_command(&change(1, 2, 2), ORDER).await;
+            let answer = asked
+                .submit_command(&change(1, 2, 2), COMMAND_TIMEOUT)
+                .await;
             assert_ne!(
                 answer,
                 Err(Indeterminate::NotLeader(at(old))),
                 "sent to one that is gone"
             );
-            if let Some(new) = net
+            if let Some(new) = cluster
                 .leader()
                 .filter(|_| answer != Err(Indeterminate::NotLeader(None)))
             {
@@ -249,7 +258,7 @@
         );
         // It says so at once to one without a disk, which knows it from what is said only.
         assert!(until(Duration::from_millis(20), || named(DISKLESS) == at(new)).await);
-        net.cut_off(DISKLESS, true);
+        cluster.cut_off(DISKLESS, true);
         sleep(Duration::from_millis(1600)).await;
         assert_eq!(named(DISKLESS), None, "it hears nobody");
     });
@@ -257,34 +266,37 @@
 
 #[test]
 fn frozen_server_wakes_out_of_contact() {
-    with_leader_and_follower(|net, frozen| async move {
-        let (holder, _one) = balancer(&net, "holder", &[frozen], &ALL);
+    with_leader_and_follower(|cluster, frozen| async move {
+        let (holder, _one) = balancer(&cluster, "holder", &[frozen], &ALL);
         assert!(until(2 * SECOND, || holder.has(&target_of(1))).await);
-        net.freeze(frozen, true);
-        accept_revision(&net, &all_but(frozen), 1, 2).await;
+        cluster.freeze(frozen, true);
+        accept_revision(&cluster, &all_but(frozen), 1, 2).await;
         assert!(
             until(APPLY_TIMEOUT, || holder.has(&target_of(2))).await,
             "the other session tells it"
         );
         sleep(15 * SECOND).await;
         // Its connection waits until the server wakes.
-        let (starter, _two) = balancer(&net, "starter", &[frozen], &[frozen]);
+        let (starter, _two) = balancer(&cluster, "starter", &[frozen], &[frozen]);
         sleep(Duration::from_millis(100)).await;
         assert_eq!(starter.dialled.borrow()[0], frozen);
-        net.freeze(frozen, false);
-        let server = net.cell(frozen).expect("up");
+        cluster.freeze(frozen, false);
+        let server = cluster.server(frozen).expect("up");
         assert!(!server.has_quorum_contact(), "before it has run at all");
         // On the revision that is in force, of which it has not heard.
         let end = Instant::now() + 3 * SECOND;
         loop {
-            match server.submit_command(&change(2, 3, 3), ORDER).await {
+            match server
+                .submit_command(&change(2, 3, 3), COMMAND_TIMEOUT)
+                .await
+            {
                 Ok(CommandOutcome::Applied) => break,
                 Ok(outcome) => panic!("{outcome:?}: it judged by what it knew before"),
                 Err(Indeterminate::NotLeader(Some(at)))
                     if at != server.control_node.internal_addr =>
                 {
                     let leader = ALL.into_iter().find(|i| settings(*i).internal_addr() == at);
-                    let leader = leader.and_then(|i| net.cell(i)).expect("up");
+                    let leader = leader.and_then(|i| cluster.server(i)).expect("up");
                     assert!(leader.is_leader() || Instant::now() < end, "sent to {at}");
                     if leader.is_leader() {
                         break;
@@ -305,23 +317,23 @@
 
 #[test]
 fn frozen_server_forgets_sessions_and_learns_them_anew() {
-    with_leader_and_follower(|net, frozen| async move {
+    with_leader_and_follower(|cluster, frozen| async move {
         let sessions: Vec<_> = all_but(frozen)
             .into_iter()
             .flat_map(|i| {
                 let (near, any) = (format!("near-{i}"), format!("any-{i}"));
                 [
-                    balancer(&net, &near, &[i], &[i]),
-                    balancer(&net, &any, &[i], &all_but(frozen)),
+                    balancer(&cluster, &near, &[i], &[i]),
+                    balancer(&cluster, &any, &[i], &all_but(frozen)),
                 ]
             })
             .collect();
         sleep(3 * SECOND).await;
-        let server = net.cell(frozen).expect("up");
+        let server = cluster.server(frozen).expect("up");
         assert_eq!(server.all_sessions().len(), sessions.len());
-        net.freeze(frozen, true);
+        cluster.freeze(frozen, true);
         sleep(10 * SECOND).await;
-        net.freeze(frozen, false);
+        cluster.freeze(frozen, false);
         // As the directory does it.
         server.expire_silent_peers();
         assert!(
@@ -337,19 +349,19 @@
 
 #[test]
 fn diskless_server_is_never_in_contact_and_delays_no_update() {
-    with_leader_and_follower(|net, follower| async move {
-        net.start(DISKLESS);
+    with_leader_and_follower(|cluster, follower| async move {
+        cluster.start(DISKLESS);
         sleep(2 * SECOND).await;
-        let diskless = net.cell(DISKLESS).expect("up");
+        let diskless = cluster.server(DISKLESS).expect("up");
         assert!(
             !diskless.wait_until_current(SECOND).await,
             "it holds nothing of what is agreed on"
         );
         assert!(!diskless.has_quorum_contact());
         // It reaches one voter alone, so that it has nobody else for its other session.
-        let (holder, _one) = balancer(&net, "holder", &[follower], &[follower, DISKLESS]);
+        let (holder, _one) = balancer(&cluster, "holder", &[follower], &[follower, DISKLESS]);
         assert!(until(2 * APPLY_TIMEOUT, || holder.has(&target_of(1))).await);
-        accept_revision(&net, &ALL, 1, 2).await;
+        accept_revision(&cluster, &ALL, 1, 2).await;
         let soon = Duration::from_millis(200);
         assert!(
             until(soon, || holder.has(&target_of(2))).await,
--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{DISKLESS, Net, ORDER, change, run_on_paused_time, settings};
+use common::{COMMAND_TIMEOUT, Cluster, DISKLESS, change, run_on_paused_time, settings};
 use control_plane::configuration::CommandOutcome;
 use control_plane::server::Indeterminate;
 use oorandom::Rand64;
@@ -88,7 +88,7 @@
 
 /// A caller that sends a command again, unchanged, until it is acknowledged.
 struct Caller {
-    net: Rc<Net>,
+    cluster: Rc<Cluster>,
     rng: Rand64,
     /// The server that is gone.
     lost: usize,
@@ -99,7 +99,7 @@
     /// The time until the acknowledgement; begins with any server, the lost one too.
     async fn time_to_acknowledgement(&mut self, base: u64) -> Duration {
         let began = Instant::now();
-        let mut untried: Vec<usize> = (0..self.net.size).chain([DISKLESS]).collect();
+        let mut untried: Vec<usize> = (0..self.cluster.size).chain([DISKLESS]).collect();
         let mut at = untried.swap_remove(self.below(untried.len()));
         let mut pause = FIRST_PAUSE;
         while !self.try_server(at, base).await {
@@ -129,9 +129,9 @@
             }
             let call = async {
                 sleep(CALLER_DELAY).await;
-                let server = self.net.cell(at).expect("up");
+                let server = self.cluster.server(at).expect("up");
                 let answer = server
-                    .submit_command(&change(base, base + 1, 10), ORDER)
+                    .submit_command(&change(base, base + 1, 10), COMMAND_TIMEOUT)
                     .await;
                 sleep(CALLER_DELAY).await;
                 answer
@@ -140,7 +140,9 @@
                 Ok(Ok(CommandOutcome::Applied | CommandOutcome::AlreadyApplied)) => return true,
                 Ok(Err(Indeterminate::NotLeader(Some(leader)))) => {
                     let named = |i: &usize| settings(*i).internal_addr() == leader;
-                    (0..self.net.size).find(named).expect("one of the voters")
+                    (0..self.cluster.size)
+                        .find(named)
+                        .expect("one of the voters")
                 }
                 Ok(Ok(outcome)) => panic!("{outcome:?} on top of {base}"),
                 Ok(Err(_)) | Err(_) => return false,
@@ -161,24 +163,24 @@
             site.region_delay_us
         })
     };
-    let net = Net::of(site.size, seed * 100 + 1, Box::new(delay));
-    net.start(DISKLESS);
+    let cluster = Cluster::with_delays(site.size, seed * 100 + 1, Box::new(delay));
+    cluster.start(DISKLESS);
     let mut rng = Rand64::new(u128::from(seed));
     let mut times = Vec::new();
     for base in 0..count {
         // Every member is up again and has caught up.
         sleep(ms(4000 + rng.rand_range(0..1000))).await;
-        let lost = net.leader().expect("one leads");
-        net.kill(lost);
+        let lost = cluster.leader().expect("one leads");
+        cluster.kill(lost);
         let rng = Rand64::new(u128::from(rng.rand_u64()));
         let mut caller = Caller {
-            net: net.clone(),
+            cluster: cluster.clone(),
             rng,
             lost,
             loss,
         };
         times.push(caller.time_to_acknowledgement(base).await);
-        net.start(lost);
+        cluster.start(lost);
     }
     times
 }
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{Net, SIZE};
+use common::{Cluster, VOTERS};
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
@@ -21,49 +21,49 @@
 }
 
 const FULL: Quorum = Quorum {
-    voters: SIZE,
+    voters: VOTERS,
     tolerable_losses: 2,
 };
 
-fn quorum(net: &Net) -> Option<Quorum> {
-    let status = net.cell(net.leader()?)?.log_status();
+fn quorum(cluster: &Cluster) -> Option<Quorum> {
+    let status = cluster.server(cluster.leader()?)?.log_status();
     Some(Quorum {
         voters: status.members.voters.len(),
         tolerable_losses: status.report?.tolerable_losses,
     })
 }
 
-async fn with_net(test: impl AsyncFn(Rc<Net>)) {
+async fn with_cluster(test: impl AsyncFn(Rc<Cluster>)) {
     let run = async {
-        let net = Net::new();
+        let cluster = Cluster::new();
         sleep(SETTLE_TIME).await;
-        assert_eq!(quorum(&net), Some(FULL));
-        test(net).await;
+        assert_eq!(quorum(&cluster), Some(FULL));
+        test(cluster).await;
     };
     LocalSet::new().run_until(run).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn silent_members_are_removed_and_join_again_when_they_return() {
-    with_net(async |net| {
+    with_cluster(async |cluster| {
         // The leader is among them: the next one knows only from then on who is silent.
-        let leader = net.leader().expect("a leader");
-        let lost = [leader, (leader + 1) % SIZE];
-        lost.iter().for_each(|i| net.kill(*i));
+        let leader = cluster.leader().expect("a leader");
+        let lost = [leader, (leader + 1) % VOTERS];
+        lost.iter().for_each(|i| cluster.kill(*i));
         sleep(SETTLE_TIME).await;
         assert_eq!(
-            quorum(&net),
+            quorum(&cluster),
             Some(Quorum {
                 voters: 3,
                 tolerable_losses: 1
             }),
             "one more can be lost"
         );
-        let third = (0..SIZE).find(|i| !lost.contains(i) && net.leader() != Some(*i));
-        net.kill(third.expect("three are up"));
+        let third = (0..VOTERS).find(|i| !lost.contains(i) && cluster.leader() != Some(*i));
+        cluster.kill(third.expect("three are up"));
         sleep(SETTLE_TIME).await;
         assert_eq!(
-            quorum(&net),
+            quorum(&cluster),
             Some(Quorum {
                 voters: 3,
                 tolerable_losses: 0
@@ -71,27 +71,28 @@
             "and is"
         );
         // They return with disks on which they are voters still.
-        lost.iter().for_each(|i| net.start(*i));
+        lost.iter().for_each(|i| cluster.start(*i));
         sleep(SETTLE_TIME).await;
-        let rejoined = quorum(&net).expect("a leader");
+        let rejoined = quorum(&cluster).expect("a leader");
         assert!(
             rejoined.voters >= 4 && rejoined.tolerable_losses >= 1,
             "{rejoined:?}"
         );
-        net.start(third.expect("three were up"));
+        cluster.start(third.expect("three were up"));
         sleep(SETTLE_TIME).await;
-        assert_eq!(quorum(&net), Some(FULL));
+        assert_eq!(quorum(&cluster), Some(FULL));
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn leader_that_shuts_down_hands_over_first() {
-    with_net(async |net| {
-        for _ in 0..SIZE {
-            let leader = net.leader().expect("a leader");
+    with_cluster(async |cluster| {
+        for _ in 0..VOTERS {
+            let leader = cluster.leader().expect("a leader");
             let began = Instant::now();
-            net.cell(leader)
+            cluster
+                .server(leader)
                 .expect("it is up")
                 .shut_down(Duration::from_millis(1000))
                 .await;
@@ -99,12 +100,12 @@
                 began.elapsed() < Duration::from_millis(500),
                 "sooner than by a time-out"
             );
-            net.kill(leader);
-            assert!(net.leader().is_some_and(|next| next != leader));
+            cluster.kill(leader);
+            assert!(cluster.leader().is_some_and(|next| next != leader));
             sleep(Duration::from_millis(500)).await;
-            net.start(leader);
+            cluster.start(leader);
             sleep(SETTLE_TIME).await;
-            assert_eq!(quorum(&net), Some(FULL), "no vote is lost by a restart");
+            assert_eq!(quorum(&cluster), Some(FULL), "no vote is lost by a restart");
         }
     })
     .await;
--- a/crates/control-plane/tests/orders.rs
+++ b/crates/control-plane/tests/orders.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{Net, ORDER, SIZE, change};
+use common::{COMMAND_TIMEOUT, Cluster, VOTERS, change};
 use control_plane::configuration::{Command, CommandOutcome, ReplicatedState};
 use control_plane::server::Indeterminate;
 use oorandom::Rand64;
@@ -32,33 +32,35 @@
 }
 
 /// Partitions (symmetric and one-way) and leaders that die, until `done`.
-async fn inject_faults(net: &Rc<Net>, rng: &RefCell<Rand64>, done: &Cell<bool>) {
+async fn inject_faults(cluster: &Rc<Cluster>, rng: &RefCell<Rand64>, done: &Cell<bool>) {
     while !done.get() {
         sleep(millis(rng, 100..2500)).await;
         if one_in(rng, 2) {
-            let side: Vec<bool> = (0..SIZE).map(|_| one_in(rng, 2)).collect();
+            let side: Vec<bool> = (0..VOTERS).map(|_| one_in(rng, 2)).collect();
             let one_way = one_in(rng, 3);
-            for (a, b) in (0..SIZE).flat_map(|a| (0..SIZE).map(move |b| (a, b))) {
+            for (a, b) in (0..VOTERS).flat_map(|a| (0..VOTERS).map(move |b| (a, b))) {
                 if side[a] != side[b] && (side[a] || !one_way) {
-                    net.cut.borrow_mut().insert((a, b));
+                    cluster.cut.borrow_mut().insert((a, b));
                 }
             }
             sleep(millis(rng, 50..2500)).await;
-            net.cut.borrow_mut().clear();
-        } else if let Some(leader) = net.leader() {
-            net.kill(leader);
+            cluster.cut.borrow_mut().clear();
+        } else if let Some(leader) = cluster.leader() {
+            cluster.kill(leader);
             sleep(millis(rng, 50..600)).await;
-            net.start(leader);
+            cluster.start(leader);
         }
-        net.round.set(net.round.get() + 1);
+        cluster
+            .connection_epoch
+            .set(cluster.connection_epoch.get() + 1);
     }
 }
 
 /// The newest state, as a majority confirms it.
-async fn read_state(net: &Rc<Net>) -> ReplicatedState {
+async fn read_state(cluster: &Rc<Cluster>) -> ReplicatedState {
     loop {
-        if let Some(server) = net.leader().and_then(|leader| net.cell(leader))
-            && server.wait_until_current(ORDER).await
+        if let Some(server) = cluster.leader().and_then(|leader| cluster.server(leader))
+            && server.wait_until_current(COMMAND_TIMEOUT).await
         {
             return server.replicated_state();
         }
@@ -67,9 +69,9 @@
 }
 
 /// The process that an operator calls next: mostly one that believes it leads.
-fn choose_server(net: &Rc<Net>, rng: &RefCell<Rand64>) -> usize {
-    let any = rng.borrow_mut().rand_range(0..SIZE as u64) as usize;
-    net.leader().filter(|_| !one_in(rng, 4)).unwrap_or(any)
+fn choose_server(cluster: &Rc<Cluster>, rng: &RefCell<Rand64>) -> usize {
+    let any = rng.borrow_mut().rand_range(0..VOTERS as u64) as usize;
+    cluster.leader().filter(|_| !one_in(rng, 4)).unwrap_or(any)
 }
 
 // ---------------------------------------------------------------- configurations
@@ -85,20 +87,27 @@
 }
 
 /// Sends a change until its answer is heard; whether it was acknowledged. `None`: no answer in time.
-async fn send_until_heard(net: &Rc<Net>, rng: &RefCell<Rand64>, command: &Command) -> Option<bool> {
+async fn send_until_heard(
+    cluster: &Rc<Cluster>,
+    rng: &RefCell<Rand64>,
+    command: &Command,
+) -> Option<bool> {
     let until = Instant::now() + Duration::from_secs(8);
     while Instant::now() < until {
-        let server = net.cell(choose_server(net, rng));
+        let server = cluster.server(choose_server(cluster, rng));
         // The caller may leave at any point of it.
         let call_timeout = if one_in(rng, 4) {
             millis(rng, 0..30)
         } else {
-            ORDER
+            COMMAND_TIMEOUT
         };
         let answer = match &server {
-            Some(server) => timeout(call_timeout, server.submit_command(command, ORDER))
-                .await
-                .ok(),
+            Some(server) => timeout(
+                call_timeout,
+                server.submit_command(command, COMMAND_TIMEOUT),
+            )
+            .await
+            .ok(),
             None => None,
         };
         let heard = !one_in(rng, 3);
@@ -118,7 +127,7 @@
 }
 
 async fn operator(
-    net: Rc<Net>,
+    cluster: Rc<Cluster>,
     rng: &RefCell<Rand64>,
     history: &RefCell<History>,
     first_target: u64,
@@ -126,7 +135,7 @@
 ) {
     let mut sent_before: Vec<(u64, u64, u64, Option<bool>)> = Vec::new();
     for n in 0..CHANGES as u64 {
-        let current = read_state(&net).await.revision;
+        let current = read_state(&cluster).await.revision;
         // One revision with two contents, two revisions, or the very same; now and then on a guessed base.
         let base = if one_in(rng, 6) { current + 2 } else { current };
         let rev = base + 2 + rng.borrow_mut().rand_range(0..2);
@@ -135,13 +144,13 @@
         } else {
             first_target + n
         };
-        let told = send_until_heard(&net, rng, &change(base, rev, target)).await;
+        let told = send_until_heard(&cluster, rng, &change(base, rev, target)).await;
         sent_before.push((base, rev, target, told));
         record(history, base, target, told, seed);
         // An earlier change comes once more, or a copy of it was long on its way.
         let again = rng.borrow_mut().rand_range(0..sent_before.len() as u64) as usize;
         let (base, rev, target, told) = sent_before[again];
-        let repeated = send_until_heard(&net, rng, &change(base, rev, target)).await;
+        let repeated = send_until_heard(&cluster, rng, &change(base, rev, target)).await;
         if let (Some(told), Some(repeated)) = (told, repeated) {
             assert_eq!(
                 told, repeated,
@@ -172,9 +181,9 @@
 }
 
 /// Records what is in force anywhere, until `done`.
-async fn watch(net: &Rc<Net>, history: &RefCell<History>, done: &Cell<bool>, seed: u64) {
+async fn watch(cluster: &Rc<Cluster>, history: &RefCell<History>, done: &Cell<bool>, seed: u64) {
     while !done.get() {
-        for server in (0..SIZE).filter_map(|i| net.cell(i)) {
+        for server in (0..VOTERS).filter_map(|i| cluster.server(i)) {
             let state = server.replicated_state();
             let config: serde_json::Value = serde_json::from_str(&state.config).unwrap_or_default();
             if let Some(target) = config["routes"][0]["target_ms"].as_u64() {
@@ -196,9 +205,9 @@
 
 async fn run_changes(seed: u64) -> (usize, usize, usize) {
     let rng = RefCell::new(Rand64::new(u128::from(seed)));
-    let (net, history, done) = (Net::new(), RefCell::default(), Cell::new(false));
+    let (cluster, history, done) = (Cluster::new(), RefCell::default(), Cell::new(false));
     let operators = async {
-        let (one, two) = (net.clone(), net.clone());
+        let (one, two) = (cluster.clone(), cluster.clone());
         tokio::join!(
             operator(one, &rng, &history, 1000, seed),
             operator(two, &rng, &history, 2000, seed)
@@ -207,10 +216,10 @@
     };
     tokio::join!(
         operators,
-        inject_faults(&net, &rng, &done),
-        watch(&net, &history, &done, seed)
+        inject_faults(&cluster, &rng, &done),
+        watch(&cluster, &history, &done, seed)
     );
-    let last = read_state(&net).await;
+    let last = read_state(&cluster).await;
     let History {
         acknowledged,
         refused,
@@ -281,7 +290,7 @@
 
 /// Evacuates or returns the zone as operators do: until it is acknowledged, for `ack_ms` at most.
 async fn send_zone_call(
-    net: &Rc<Net>,
+    cluster: &Rc<Cluster>,
     rng: &RefCell<Rand64>,
     begin: bool,
     zone: &Evacuations,
@@ -291,13 +300,17 @@
         if begin {
             zone.begun.set(Some(Instant::now()));
         }
-        if let Some(server) = net.cell(choose_server(net, rng)) {
+        if let Some(server) = cluster.server(choose_server(cluster, rng)) {
             let call_timeout = if one_in(rng, 4) {
                 millis(rng, 0..60)
             } else {
-                ORDER
+                COMMAND_TIMEOUT
             };
-            let taken = timeout(call_timeout, server.submit_zone_command(ZONE, begin, ORDER)).await;
+            let taken = timeout(
+                call_timeout,
+                server.submit_zone_command(ZONE, begin, COMMAND_TIMEOUT),
+            )
+            .await;
             if let Ok(Ok(mut acknowledgement)) = taken {
                 // Not written, lost or heard with a sign of it, lost or heard without; lost with a sign that it was
                 // heard. Of a return the sign is right, and there is one where nothing else goes wrong.
@@ -329,7 +342,7 @@
     false
 }
 
-async fn evacuate_and_return(net: Rc<Net>, rng: &RefCell<Rand64>, zone: &Evacuations) {
+async fn evacuate_and_return(cluster: Rc<Cluster>, rng: &RefCell<Rand64>, zone: &Evacuations) {
     for _ in 0..EVACUATIONS {
         sleep(millis(rng, 0..2000)).await;
         while zone.apart
@@ -340,7 +353,7 @@
         {
             sleep(millis(rng, 1..500)).await;
         }
-        if send_zone_call(&net, rng, true, zone).await {
+        if send_zone_call(&cluster, rng, true, zone).await {
             zone.told.set(zone.told.get() + 1);
             if zone.returning.get() == 0 {
                 zone.undisturbed.set(zone.undisturbed.get() + 1);
@@ -350,18 +363,18 @@
             zone.undisturbed.set(0);
             zone.returns.set(zone.returns.get() + 1);
             zone.returning.set(zone.returning.get() + 1);
-            send_zone_call(&net, rng, false, zone).await;
+            send_zone_call(&cluster, rng, false, zone).await;
             zone.returning.set(zone.returning.get() - 1);
         }
     }
 }
 
 /// Checks that the zone has as many evacuations as were acknowledged, until all is done; the most that were at once.
-async fn watch_evacuations(net: &Rc<Net>, zone: &Evacuations, seed: u64) -> usize {
+async fn watch_evacuations(cluster: &Rc<Cluster>, zone: &Evacuations, seed: u64) -> usize {
     let mut seen = 0;
     while !zone.done.get() {
         let before = (zone.told.get(), zone.undisturbed.get(), zone.returns.get());
-        let state = read_state(net).await;
+        let state = read_state(cluster).await;
         let told = before.0.min(zone.told.get());
         let undisturbed = if before.2 == zone.returns.get() {
             before.1.min(1)
@@ -382,7 +395,7 @@
 
 async fn run_evacuations(seed: u64, apart: bool) -> (usize, usize) {
     let rng = RefCell::new(Rand64::new(u128::from(seed)));
-    let net = Net::new();
+    let cluster = Cluster::new();
     let zone = Evacuations {
         apart,
         begun: Cell::default(),
@@ -393,7 +406,7 @@
         done: Cell::default(),
     };
     let operators = async {
-        let (one, two) = (net.clone(), net.clone());
+        let (one, two) = (cluster.clone(), cluster.clone());
         tokio::join!(
             evacuate_and_return(one, &rng, &zone),
             evacuate_and_return(two, &rng, &zone)
@@ -402,11 +415,11 @@
     };
     let faults = async {
         if !apart {
-            inject_faults(&net, &rng, &zone.done).await;
+            inject_faults(&cluster, &rng, &zone.done).await;
         }
     };
-    let (_, _, seen) = tokio::join!(operators, faults, watch_evacuations(&net, &zone, seed));
-    (read_state(&net).await.evacuation_count(ZONE), seen)
+    let (_, _, seen) = tokio::join!(operators, faults, watch_evacuations(&cluster, &zone, seed));
+    (read_state(&cluster).await.evacuation_count(ZONE), seen)
 }
 
 #[test]
@@ -428,20 +441,21 @@
 fn isolated_leader_answers_indeterminate() {
     // A leader that is cut off in the middle of a command does not confirm, refuse or redirect to itself.
     let cut_off = async {
-        let net = Net::new();
-        read_state(&net).await;
-        let leader = net.leader().expect("it leads");
-        for other in (0..SIZE).filter(|i| *i != leader) {
-            net.cut
+        let cluster = Cluster::new();
+        read_state(&cluster).await;
+        let leader = cluster.leader().expect("it leads");
+        for other in (0..VOTERS).filter(|i| *i != leader) {
+            cluster
+                .cut
                 .borrow_mut()
                 .extend([(leader, other), (other, leader)]);
         }
-        let server = net.cell(leader).expect("it runs");
+        let server = cluster.server(leader).expect("it runs");
         let (order, early) = (change(0, 2, 10), change(7, 9, 10));
         let answers = tokio::join!(
-            server.submit_command(&order, ORDER),
-            server.submit_command(&early, ORDER),
-            server.submit_zone_command(ZONE, true, ORDER)
+            server.submit_command(&order, COMMAND_TIMEOUT),
+            server.submit_command(&early, COMMAND_TIMEOUT),
+            server.submit_zone_command(ZONE, true, COMMAND_TIMEOUT)
         );
         assert_eq!(answers.0, Err(Indeterminate::NoMajority));
         assert_eq!(answers.1, Err(Indeterminate::NoMajority));
@@ -454,10 +468,10 @@
 fn outcome_comes_from_the_commands_own_entry() {
     // The leader is cut off with an order in its log that nobody has; another order takes its place there.
     let test = async {
-        let net = Net::new();
-        read_state(&net).await;
-        let leader = net.leader().expect("it leads");
-        let server = net.cell(leader).expect("it runs");
+        let cluster = Cluster::new();
+        read_state(&cluster).await;
+        let leader = cluster.leader().expect("it leads");
+        let server = cluster.server(leader).expect("it runs");
         let (lost, wins) = (change(0, 2, 10), change(0, 2, 20));
         let mut order = std::pin::pin!(server.submit_command(&lost, Duration::from_secs(30)));
         loop {
@@ -474,21 +488,24 @@
             }
             sleep(Duration::from_millis(100)).await;
         }
-        let others = || (0..SIZE).filter(|i| *i != leader);
-        net.cut
+        let others = || (0..VOTERS).filter(|i| *i != leader);
+        cluster
+            .cut
             .borrow_mut()
             .extend(others().flat_map(|i| [(leader, i), (i, leader)]));
         let side: Vec<usize> = others().collect();
         let until = Instant::now() + Duration::from_secs(10);
         let heals = async {
-            assert_eq!(net.order(&side, &wins, until).await, Some(true));
-            net.cut.borrow_mut().clear();
-            net.round.set(net.round.get() + 1);
+            assert_eq!(cluster.submit(&side, &wins, until).await, Some(true));
+            cluster.cut.borrow_mut().clear();
+            cluster
+                .connection_epoch
+                .set(cluster.connection_epoch.get() + 1);
         };
         let (verdict, ()) = tokio::join!(order, heals);
         assert_eq!(verdict, Err(Indeterminate::NoMajority));
         assert_eq!(
-            read_state(&net).await.check(&lost),
+            read_state(&cluster).await.check(&lost),
             CommandOutcome::RevisionMismatch { current: 2 }
         );
     };
