--- a/crates/control-plane/src/http_api/operator_api.rs
+++ b/crates/control-plane/src/http_api/operator_api.rs
@@ -29,7 +29,7 @@
 
 use bytes::Bytes;
 use data_plane::headers::ClientResponse;
-use data_plane::listener::{DeliveryReceipts, DeliveryStatus, RequestHandler};
+use data_plane::listener::{DeliveryReceipt, DeliveryStatus, RequestHandler};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderName, HeaderValue, LOCATION};
@@ -62,9 +62,9 @@
 }
 
 impl RequestHandler for OperatorApi {
-    const WANTS_RECEIPTS: bool = true;
+    const WANTS_RECEIPT: bool = true;
 
-    async fn answer(
+    async fn handle_request(
         &self,
         request: Request<Incoming>,
         arrived: Instant,
@@ -147,7 +147,7 @@
         begin: bool,
         arrived: Instant,
     ) -> ClientResponse {
-        let receipts = request.extensions().get::<DeliveryReceipts>().cloned();
+        let receipts = request.extensions().get::<DeliveryReceipt>().cloned();
         let submitted = self
             .server
             .submit_zone_command(zone, begin, COMMAND_TIMEOUT)
@@ -310,10 +310,10 @@
 /// one that has not stays until it gives up.
 async fn record_delivery(
     acknowledgement: Acknowledgement,
-    mut receipts: DeliveryReceipts,
+    mut receipt: DeliveryReceipt,
     until: Instant,
 ) {
-    match timeout_at(until, receipts.next()).await {
+    match timeout_at(until, receipt.wait()).await {
         Ok(DeliveryStatus::Delivered) => acknowledgement.confirm().await,
         Ok(DeliveryStatus::Broken) => acknowledgement.mark_connection_broken().await,
         Ok(DeliveryStatus::Unknown) | Err(_) => {}
--- a/crates/control-plane/src/metrics.rs
+++ b/crates/control-plane/src/metrics.rs
@@ -26,7 +26,7 @@
         register_members(&mut registry, report);
     }
     register_upstreams(&mut registry, server);
-    data_plane::metrics::text(&registry)
+    data_plane::metrics::encode_text(&registry)
 }
 
 fn register_gauge(registry: &mut Registry, name: &str, help: &str, value: u64) {
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -33,7 +33,7 @@
 const MAX_HEADER_BYTES: usize = 16 << 10;
 /// Callers of `ctl` and `dir` may take and stay idle for so long.
 const CLIENT_TIMEOUTS: ClientTimeouts = ClientTimeouts {
-    head: Duration::from_secs(3),
+    header: Duration::from_secs(3),
     idle: Duration::from_secs(15),
 };
 /// Calls that are under way when the process ends may take so long.
--- a/crates/data-plane/src/framing.rs
+++ b/crates/data-plane/src/framing.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, Response, StatusCode, Version};
 
 use crate::headers::MAX_HEADER_LINES;
-use crate::tunnel::status_lines;
+use crate::response_desync::find_status_lines;
 
 /// The head of a response may have so many bytes, and so may each line of a chunked body's framing. A choice of
 /// ours; RFC 9112 sets no limit.
@@ -66,7 +66,7 @@
         return Err(MalformedResponse);
     }
     // Behind its own status line, another one shows that two heads run into each other.
-    if status_lines(&bytes[1..length]).next().is_some() {
+    if find_status_lines(&bytes[1..length]).next().is_some() {
         return Err(MalformedResponse);
     }
     let code = parsed
