--- a/crates/control-plane/src/evacuations.rs
+++ b/crates/control-plane/src/evacuations.rs
@@ -15,7 +15,7 @@
 //!
 //! **Promise.** A zone has at least as many evacuations here as operators have heard acknowledged and have not
 //! begun to return, where two evacuations of one zone begin further apart than a call is sent again. Closer ones
-//! are one evacuation. The cases are listed in `docs/design/0010-orders.md`.
+//! are one evacuation. The cases are listed in `docs/design/0010-operator-commands.md`.
 //!
 //! **Steps of one call**, each an entry of the log: `Begin` or `Finish`, then `Acknowledge` before the answer is written
 //! to the caller, then `Withdraw` if it could not be written or its connection broke, and for a return `Confirm` once
--- a/crates/control-plane/src/http_api/operator_api.rs
+++ b/crates/control-plane/src/http_api/operator_api.rs
@@ -130,7 +130,7 @@
         let path = request.uri().path().to_string();
         let command = match read_change(request).await {
             Ok((base, body)) => command(base, body),
-            Err(response) => return response,
+            Err(error) => return error_response(error.status(), &error.to_string()),
         };
         match self.server.submit_command(&command, COMMAND_TIMEOUT).await {
             Ok(outcome) => self.outcome_response(outcome),
@@ -251,36 +251,50 @@
     }
 }
 
-/// The base and the body of a change of the configuration, or the response that refuses it.
-async fn read_change(request: Request<Incoming>) -> Result<(u64, String), ClientResponse> {
-    let refuse = |status, why| Err(error_response(status, why));
+/// Why a change of the configuration can't be read from its request.
+#[derive(Clone, Copy, Debug, thiserror::Error)]
+enum UnreadableChange {
+    #[error("Base-Version: expected a whole number")]
+    InvalidBase,
+    #[error("the configuration is too large")]
+    TooLarge,
+    #[error("the body was cut short")]
+    CutShort,
+    #[error("the body took too long")]
+    TimedOut,
+    #[error("the body is not UTF-8")]
+    NotUtf8,
+}
+
+impl UnreadableChange {
+    fn status(self) -> StatusCode {
+        match self {
+            Self::InvalidBase | Self::CutShort | Self::NotUtf8 => StatusCode::BAD_REQUEST,
+            Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::TimedOut => StatusCode::REQUEST_TIMEOUT,
+        }
+    }
+}
+
+/// The base and the body of a change of the configuration.
+async fn read_change(request: Request<Incoming>) -> Result<(u64, String), UnreadableChange> {
     let base = request
         .headers()
         .get(BASE_VERSION_HEADER)
         .and_then(|value| value.to_str().ok())
-        .and_then(|value| value.trim().parse::<u64>().ok());
-    let Some(base) = base else {
-        return refuse(
-            StatusCode::BAD_REQUEST,
-            "Base-Version: expected a whole number",
-        );
-    };
+        .and_then(|value| value.trim().parse::<u64>().ok())
+        .ok_or(UnreadableChange::InvalidBase)?;
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
     let body = match timeout(BODY_READ_TIMEOUT, body).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-            return refuse(
-                StatusCode::PAYLOAD_TOO_LARGE,
-                "the configuration is too large",
-            );
+            return Err(UnreadableChange::TooLarge);
         }
-        Ok(Err(_)) => return refuse(StatusCode::BAD_REQUEST, "the body was cut short"),
-        Err(_) => return refuse(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
+        Ok(Err(_)) => return Err(UnreadableChange::CutShort),
+        Err(_) => return Err(UnreadableChange::TimedOut),
     };
-    match String::from_utf8(body.into()) {
-        Ok(body) => Ok((base, body)),
-        Err(_) => refuse(StatusCode::BAD_REQUEST, "the body is not UTF-8"),
-    }
+    let body = String::from_utf8(body.into()).map_err(|_| UnreadableChange::NotUtf8)?;
+    Ok((base, body))
 }
 
 fn session_status(session: &Session) -> Value {
--- a/crates/control-plane/src/replicated_state/tests.rs
+++ b/crates/control-plane/src/replicated_state/tests.rs
@@ -9,7 +9,7 @@
         "deadline_ms": 100, "target_ms": 10, "svc": service, "tries": 2, "of_later": [1]})
 }
 
-fn configuration(rev: u64, routes: Vec<Value>) -> Value {
+fn configuration(rev: u64, routes: &[Value]) -> Value {
     json!({"rev": rev, "routes": routes, "services": [{"name": "s"}, {"name": "t"}]})
 }
 
@@ -22,7 +22,7 @@
 
 fn state_at_revision_5() -> ReplicatedState {
     let mut state = ReplicatedState::default();
-    let body = configuration(5, vec![route("a", "s")]);
+    let body = configuration(5, &[route("a", "s")]);
     assert_eq!(state.apply(1, &replace(0, &body)), CommandOutcome::Applied);
     state
 }
@@ -30,12 +30,12 @@
 #[test]
 fn resent_replace_is_applied_once() {
     let mut state = state_at_revision_5();
-    let body = configuration(5, vec![route("a", "s")]);
+    let body = configuration(5, &[route("a", "s")]);
     assert_eq!(
         state.apply(2, &replace(0, &body)),
         CommandOutcome::AlreadyApplied
     );
-    let next = configuration(9, vec![route("a", "t")]);
+    let next = configuration(9, &[route("a", "t")]);
     assert_eq!(state.apply(3, &replace(5, &next)), CommandOutcome::Applied);
     assert_eq!((state.revision, state.config_index), (9, 3));
     // The first one, sent again late, was accepted; it does not come back into force.
@@ -54,8 +54,8 @@
 fn concurrent_changes_on_one_base_conflict() {
     let mut state = state_at_revision_5();
     let (one, other) = (
-        configuration(7, vec![route("a", "t")]),
-        configuration(7, vec![route("b", "t")]),
+        configuration(7, &[route("a", "t")]),
+        configuration(7, &[route("b", "t")]),
     );
     assert_eq!(state.apply(2, &replace(5, &one)), CommandOutcome::Applied);
     assert_eq!(
@@ -105,7 +105,7 @@
 #[test]
 fn invalid_configuration_changes_nothing() {
     let with = |change: &dyn Fn(&mut Value)| {
-        let mut body = configuration(7, vec![route("a", "s"), route("b", "s")]);
+        let mut body = configuration(7, &[route("a", "s"), route("b", "s")]);
         change(&mut body);
         body.to_string()
     };
@@ -231,7 +231,7 @@
 #[test]
 fn early_rejection_is_permanent() {
     let mut state = state_at_revision_5();
-    let early = replace(7, &configuration(9, vec![route("a", "t")]));
+    let early = replace(7, &configuration(9, &[route("a", "t")]));
     let outcome = state.check(&early);
     assert_eq!(outcome, CommandOutcome::RevisionMismatch { current: 5 });
     assert!(
@@ -241,7 +241,7 @@
     assert_eq!(state.apply(2, &early), outcome);
     assert!(state.is_final(&early, &outcome));
     assert_eq!(
-        state.apply(3, &replace(5, &configuration(7, vec![]))),
+        state.apply(3, &replace(5, &configuration(7, &[]))),
         CommandOutcome::Applied
     );
     assert_eq!(
@@ -249,7 +249,7 @@
         CommandOutcome::RevisionMismatch { current: 7 },
         "a copy of it, late"
     );
-    let another = replace(7, &configuration(10, vec![route("a", "t")]));
+    let another = replace(7, &configuration(10, &[route("a", "t")]));
     assert_eq!(state.apply(5, &another), CommandOutcome::Applied);
     assert!(state.rejected_commands.is_empty(), "stale by now");
 }
--- a/crates/control-plane/src/store/tests.rs
+++ b/crates/control-plane/src/store/tests.rs
@@ -26,6 +26,15 @@
     }
 }
 
+fn snapshot(index: u64, term: u64, data: Vec<u8>) -> Snapshot {
+    Snapshot {
+        index,
+        term,
+        members: Members::default(),
+        data,
+    }
+}
+
 fn persist_request(sequence: u64, term: u64, entries: Vec<Entry>) -> DiskRequest {
     DiskRequest::Persist(PersistRequest {
         sequence,
@@ -58,17 +67,12 @@
         [1, 1, 1, 2],
         "the later entry replaced what followed it"
     );
-    let snapshot = Snapshot {
-        index: 3,
-        term: 1,
-        members: Members::default(),
-        data: vec![9],
-    };
+    let compacted = snapshot(3, 1, vec![9]);
     store
-        .write(&[DiskRequest::Compact(snapshot.clone())])
+        .write(&[DiskRequest::Compact(compacted.clone())])
         .expect("written");
     let stored = store.load().expect("readable");
-    assert_eq!(stored.snapshot, Some(snapshot));
+    assert_eq!(stored.snapshot, Some(compacted));
     assert_eq!(stored.entries.len(), 1);
     // One that was received takes the place of the whole log, of what follows it too.
     store
@@ -78,18 +82,12 @@
             (5..=8).map(|i| entry(2, i)).collect(),
         )])
         .expect("written");
-    let snapshot = Some(Snapshot {
-        index: 6,
-        term: 3,
-        members: Members::default(),
-        data: vec![8],
-    });
     let received = PersistRequest {
         sequence: 4,
         term: 3,
         voted_for: None,
         entries: Vec::new(),
-        snapshot,
+        snapshot: Some(snapshot(6, 3, vec![8])),
     };
     store
         .write(&[DiskRequest::Persist(received.clone())])
@@ -222,13 +220,7 @@
             entries_kept += batch as usize;
             if kept > COMPACT_AFTER_BYTES || entries_kept > COMPACT_AFTER_ENTRIES {
                 (kept, entries_kept) = (0, 0);
-                let members = Members::default();
-                let snapshot = Snapshot {
-                    index,
-                    term: 1,
-                    members,
-                    data: vec![7; state],
-                };
+                let snapshot = snapshot(index, 1, vec![7; state]);
                 let request = if sequence % 4 == 3 {
                     let (snapshot, entries) = (Some(snapshot), Vec::new());
                     DiskRequest::Persist(PersistRequest {
@@ -492,13 +484,7 @@
                 (1..=20).map(|i| entry(1, i)).collect(),
             )])
             .expect("written");
-        let members = Members::default();
-        let snapshot = Snapshot {
-            index: 9,
-            term: 1,
-            members,
-            data: vec![9; 9000],
-        };
+        let snapshot = snapshot(9, 1, vec![9; 9000]);
         store
             .write(&[DiskRequest::Compact(snapshot.clone())])
             .expect("written");
@@ -547,12 +533,7 @@
     let at = folder("forged");
     let store = Store::open_with(&at, open_database).expect("a file");
     store.initialize(7, &Members::default()).expect("written");
-    let snapshot = Snapshot {
-        index: 3,
-        term: 1,
-        members: Members::default(),
-        data: vec![9; 100],
-    };
+    let snapshot = snapshot(3, 1, vec![9; 100]);
     store
         .write(&[
             persist_request(1, 1, vec![entry(1, 1)]),
--- a/crates/control-plane/tests/configuration_messages.rs
+++ b/crates/control-plane/tests/configuration_messages.rs
@@ -53,12 +53,10 @@
     whole
 }
 
-#[test]
-fn texts_on_invalid_configurations_are_unchanged() {
-    let both = json!([{"svc": "s", "weight": 1}]);
-    let mut weightless = configuration_without("/routes/1/svc");
-    weightless["routes"][1]["split"] = json!([{"svc": "s", "weight": 0}]);
-    let cases = [
+type Case = (&'static str, Value);
+
+fn malformed_and_services() -> Vec<Case> {
+    vec![
         ("no rev", configuration_without("/rev")),
         ("no routes", configuration_without("/routes")),
         ("no services", configuration_without("/services")),
@@ -86,6 +84,14 @@
             "a negative pace of warm-up",
             configuration_with("/services", json!([{"name": "s", "warmup_per_s": -1.0}])),
         ),
+    ]
+}
+
+fn routes() -> Vec<Case> {
+    let both = json!([{"svc": "s", "weight": 1}]);
+    let mut weightless = configuration_without("/routes/1/svc");
+    weightless["routes"][1]["split"] = json!([{"svc": "s", "weight": 0}]);
+    vec![
         (
             "a route that stands twice",
             configuration_with("/routes/1/name", json!("a")),
@@ -124,9 +130,13 @@
             "an unknown service",
             configuration_with("/routes/1/svc", json!("unknown")),
         ),
-    ];
+    ]
+}
+
+#[test]
+fn texts_on_invalid_configurations_are_unchanged() {
     let mut text = String::new();
-    for (case, whole) in cases {
+    for (case, whole) in malformed_and_services().into_iter().chain(routes()) {
         let why = validate(&whole).expect_err(case);
         let _ = writeln!(text, "{case}: {why}");
     }
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -47,6 +47,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one partition, from its beginning to its end"
+)]
 fn partitioned_server_sends_nothing_stale_and_its_balancers_move() {
     with_leader_and_follower(|net, cut| async move {
         let (holder, _one) = balancer(&net, "holder", &[cut], &ALL);
--- a/crates/control-plane/tests/drains.rs
+++ b/crates/control-plane/tests/evacuations.rs
@@ -286,9 +286,9 @@
             let settles = async {
                 sleep(Duration::from_millis(200)).await;
                 if read {
-                    first.confirm().await
+                    first.confirm().await;
                 } else {
-                    first.mark_connection_broken().await
+                    first.mark_connection_broken().await;
                 }
             };
             let (_, holds) = tokio::join!(settles, call(&server, false, Read));
--- a/crates/control-plane/tests/golden/commands.rs
+++ b/crates/control-plane/tests/golden/commands.rs
@@ -19,19 +19,19 @@
     )
 }
 
-pub fn replace(base: u64, rev: u64) -> Command {
+pub(crate) fn replace(base: u64, rev: u64) -> Command {
     Command::Replace {
         base,
         body: configuration(rev),
     }
 }
 
-pub fn amend(base: u64, rev: u64) -> Command {
+pub(crate) fn amend(base: u64, rev: u64) -> Command {
     let body = format!(r#"{{"rev": {rev}, "upsert": {{"services": [{{"name": "t"}}]}}}}"#);
     Command::Amend { base, body }
 }
 
-pub fn evacuation(step: EvacuationStep) -> Command {
+pub(crate) fn evacuation(step: EvacuationStep) -> Command {
     Command::ZoneStep {
         zone: "a".into(),
         step,
--- a/crates/control-plane/tests/golden/fixture.rs
+++ b/crates/control-plane/tests/golden/fixture.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-pub fn path(name: &str) -> PathBuf {
+pub(crate) fn path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
         .join(name)
@@ -19,7 +19,7 @@
 }
 
 /// The bytes of a fixture; in a write run, `sample` becomes the fixture where there is none yet.
-pub fn bytes(name: &str, sample: &[u8]) -> Vec<u8> {
+pub(crate) fn bytes(name: &str, sample: &[u8]) -> Vec<u8> {
     let path = path(name);
     if is_write_run() && !path.exists() {
         std::fs::write(&path, sample).unwrap_or_else(|e| panic!("{name}: {e}"));
@@ -27,14 +27,14 @@
     std::fs::read(&path).unwrap_or_else(|e| panic!("fixture {name}: {e}"))
 }
 
-pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
+pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
     ciborium::into_writer(value, &mut bytes).expect("encoded");
     bytes
 }
 
 /// The sample is encoded as the fixture, which is decoded as the sample and encoded again to the same bytes.
-pub fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, sample: &T) {
+pub(crate) fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, sample: &T) {
     let sample_bytes = encode(sample);
     let fixture = bytes(name, &sample_bytes);
     assert_eq!(sample_bytes, fixture, "{name}: encoded");
--- a/crates/control-plane/tests/golden/log.rs
+++ b/crates/control-plane/tests/golden/log.rs
@@ -6,14 +6,14 @@
 
 use crate::fixture::{check, encode};
 
-pub fn members() -> Members {
+pub(crate) fn members() -> Members {
     Members {
         voters: BTreeMap::from([(1, "10.0.0.1:70".into()), (u64::MAX, "10.0.0.2:70".into())]),
         learners: BTreeMap::from([(300, "10.0.0.3:70".into())]),
     }
 }
 
-pub fn entries() -> Vec<Entry> {
+pub(crate) fn entries() -> Vec<Entry> {
     let data = encode(&crate::commands::replace(5, 7));
     let payloads = [
         Payload::Empty,
--- a/crates/control-plane/tests/golden/messages.rs
+++ b/crates/control-plane/tests/golden/messages.rs
@@ -28,6 +28,7 @@
     })
 }
 
+#[expect(clippy::too_many_lines, reason = "a sample of each message")]
 fn samples() -> Vec<MessageBody> {
     vec![
         MessageBody::RequestVote(RequestVote {
--- a/crates/control-plane/tests/golden/store.rs
+++ b/crates/control-plane/tests/golden/store.rs
@@ -70,7 +70,7 @@
 }
 
 /// A folder of a test, which is removed when it ends.
-pub struct Folder(pub PathBuf);
+pub(crate) struct Folder(pub PathBuf);
 
 impl Drop for Folder {
     fn drop(&mut self) {
@@ -87,7 +87,7 @@
 }
 
 /// A folder with a copy of the stored file.
-pub fn copy(name: &str) -> Folder {
+pub(crate) fn copy(name: &str) -> Folder {
     let folder = empty_folder(name);
     std::fs::copy(fixture::path(FILE), folder.0.join(FILE)).expect("copied");
     folder
