--- a/crates/control-plane/src/connections/dialer.rs
+++ b/crates/control-plane/src/connections/dialer.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::rc::Rc;
 
-use data_plane::control_client::dial;
+use data_plane::control_client::connect;
 use protocol::wire::{self, Handshake, PROTOCOL_VERSION, PeerMessage};
 use socket2::SockRef;
 use tokio::io::BufWriter;
@@ -32,7 +32,7 @@
     loop {
         // The peer's own connection shows that it is there: no use in waiting for an old try of ours.
         let dialled = tokio::select! {
-            dialled = dial(request.address) => dialled,
+            dialled = connect(request.address) => dialled,
             () = request.connected.notified() => continue,
         };
         let ended = match dialled {
--- a/crates/control-plane/src/http_api/directory_api.rs
+++ b/crates/control-plane/src/http_api/directory_api.rs
@@ -95,7 +95,12 @@
 }
 
 impl RequestHandler for DirectoryApi {
-    async fn answer(&self, request: Request<Incoming>, _: Instant, _: bool) -> ClientResponse {
+    async fn handle_request(
+        &self,
+        request: Request<Incoming>,
+        _: Instant,
+        _: bool,
+    ) -> ClientResponse {
         if request.method() != Method::GET || request.uri().path() != "/-/resolve" {
             return empty_response(StatusCode::NOT_FOUND);
         }
--- a/crates/control-plane/tests/common/balancers.rs
+++ b/crates/control-plane/tests/common/balancers.rs
@@ -57,7 +57,7 @@
 }
 
 impl UpdateHandler for SimulatedBalancer {
-    fn ask(&self) -> WatchRequest {
+    fn watch_request(&self) -> WatchRequest {
         let bank = Some(FleetView {
             balancers: self.bank.get(),
             position: 0,
@@ -71,7 +71,7 @@
         }
     }
 
-    fn take(&self, news: &WatchUpdate) -> bool {
+    fn handle_update(&self, news: &WatchUpdate) -> bool {
         if let Some(Indexed {
             index,
             value: config,
@@ -85,25 +85,25 @@
                     index: *index,
                     text: format!("\"target_ms\":{target},"),
                 });
-                self.wake();
+                self.wake_sessions();
             }
         }
         false
     }
 
-    fn work(&self) -> KeyLoadReport {
+    fn take_key_load(&self) -> KeyLoadReport {
         KeyLoadReport::new()
     }
 
-    fn bank(&self, bank: FleetView) {
+    fn handle_fleet_view(&self, bank: FleetView) {
         self.bank.set(bank.balancers);
     }
 
-    fn changes(&self) -> ChangeWatcher {
+    fn watch_changes(&self) -> ChangeWatcher {
         self.changes.watch()
     }
 
-    fn wake(&self) {
+    fn wake_sessions(&self) {
         self.changes.notify();
     }
 }
@@ -124,7 +124,7 @@
 impl Network for BalancerNetwork {
     type Stream = DuplexStream;
 
-    async fn dial(&self, at: SocketAddr) -> io::Result<DuplexStream> {
+    async fn connect(&self, at: SocketAddr) -> io::Result<DuplexStream> {
         let i = dialable_servers()
             .find(|i| settings(*i).internal_addr() == at)
             .ok_or(io::ErrorKind::NotFound)?;
--- a/crates/standalone-proxy/src/config/limits.rs
+++ b/crates/standalone-proxy/src/config/limits.rs
@@ -48,7 +48,7 @@
             idle_eviction_threshold: self.max_sockets / 4,
             max_header_bytes: MAX_HEADER_BYTES,
             timeouts: ClientTimeouts {
-                head: HEAD_TIMEOUT,
+                header: HEAD_TIMEOUT,
                 idle: IDLE_TIMEOUT,
             },
             accept_grace: ACCEPT_GRACE,
