--- a/crates/control-plane/src/key_leases.rs
+++ b/crates/control-plane/src/key_leases.rs
@@ -11,7 +11,9 @@
 use http_body_util::Full;
 use hyper::header::CONTENT_TYPE;
 use hyper::{Request, StatusCode};
-use placement::{Candidate, KeyLoad, LeaseCall, LeaseCallOutcome, LeaseRequest, Planner, Timing};
+use placement::{
+    Candidate, KeyLoad, LeaseCall, LeaseCallOutcome, LeaseRequest, Plan, Planner, Timing,
+};
 use serde_json::json;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
@@ -124,7 +126,10 @@
         } else {
             0
         };
-        let (changes, out) = cell.with_key_ranges(service, |slices| {
+        let Plan {
+            changes,
+            calls: out,
+        } = cell.with_key_ranges(service, |slices| {
             planner.plan(now, room, slices, &listed, work)
         });
         if !changes.is_empty() {
--- a/crates/placement/src/key_load.rs
+++ b/crates/placement/src/key_load.rs
@@ -1,125 +1,109 @@
-//! How much work the keys bring, as balancers counted it lately: how many requests an upstream has at a time for
-//! them, on the average. What is slow, or waits, at the one that holds a key weighs more.
+//! How much load the keys of a service bring, as balancers reported it lately.
+//!
+//! **State.** A rate for each bucket of keys: the number of requests that upstreams run for it at a time, on average.
+//! Requests that are slow, or wait at the upstream that owns the key, weigh more.
+//!
+//! **May be lost.** All of it: a new leader begins with equal loads and learns the others within seconds.
 
 use protocol::key_load::{BucketLoad, KEYS_PER_BUCKET, LOAD_UNIT_MS};
 
-const RUNS: usize = (1 << 16) / KEYS_PER_BUCKET as usize;
-/// What was counted so many milliseconds ago weighs a third as much as what is counted now.
-const MEMORY: f64 = 5000.0;
-/// All keys together weigh at least this share more than what was counted: what nobody asked for lately may be
-/// asked for, and before the first request all weigh alike.
-const UNSEEN: f64 = 0.1;
+const BUCKETS: usize = (1 << 16) / KEYS_PER_BUCKET as usize;
+/// Time constant of the decay: what was reported this long ago weighs 1/e as much as what is reported now.
+const DECAY_TIME_MS: f64 = 5000.0;
+/// All keys together weigh at least this share more than what was reported: keys that had no requests lately may get
+/// some, and before the first report all weigh the same.
+const BASELINE_SHARE: f64 = 0.1;
 
-/// The work of a service's keys.
+/// Load of a service's keys.
 #[derive(Clone, Debug)]
 pub struct KeyLoad {
-    /// Requests that are there at a time for each run, and as of when.
+    /// Requests at a time for each bucket, as of `refreshed_at`.
     rates: Vec<f64>,
-    at: u64,
-    /// The sums up to each run, with what is not seen.
-    sums: Vec<f64>,
+    refreshed_at: u64,
+    /// Sums of the rates, baseline included, of all buckets before each; one more than buckets.
+    cumulative: Vec<f64>,
 }
 
 impl Default for KeyLoad {
     fn default() -> Self {
-        let mut work = Self {
-            rates: vec![0.0; RUNS],
-            at: 0,
-            sums: Vec::new(),
+        let mut load = Self {
+            rates: vec![0.0; BUCKETS],
+            refreshed_at: 0,
+            cumulative: Vec::new(),
         };
-        work.sum();
-        work
+        load.accumulate();
+        load
     }
 }
 
 impl KeyLoad {
-    /// Work that was done: the run and how much.
+    /// Adds reported loads. They count from the next [`refresh`](Self::refresh) on.
     pub fn record(&mut self, loads: &[BucketLoad]) {
         for BucketLoad { bucket, units } in loads {
             if let Some(rate) = self.rates.get_mut(usize::from(*bucket)) {
-                *rate += f64::from(*units) * LOAD_UNIT_MS as f64 / MEMORY;
+                *rate += f64::from(*units) * LOAD_UNIT_MS as f64 / DECAY_TIME_MS;
             }
         }
     }
 
-    /// As of now.
+    /// Lets earlier loads decay up to `now`, in milliseconds of the host's clock.
     pub fn refresh(&mut self, now: u64) {
-        let fade = (-(now.saturating_sub(self.at) as f64) / MEMORY).exp();
-        self.rates.iter_mut().for_each(|r| *r *= fade);
-        self.at = now;
-        self.sum();
+        let elapsed_ms = now.saturating_sub(self.refreshed_at) as f64;
+        let decay = (-elapsed_ms / DECAY_TIME_MS).exp();
+        for rate in &mut self.rates {
+            *rate *= decay;
+        }
+        self.refreshed_at = now;
+        self.accumulate();
     }
 
-    fn sum(&mut self) {
+    fn accumulate(&mut self) {
         let total: f64 = self.rates.iter().sum();
-        let unseen = if total > 0.0 { total * UNSEEN } else { 1.0 } / RUNS as f64;
-        self.sums.clear();
-        self.sums.push(0.0);
+        let all_baselines = if total > 0.0 {
+            total * BASELINE_SHARE
+        } else {
+            1.0
+        };
+        let baseline = all_baselines / BUCKETS as f64;
+        self.cumulative.clear();
+        self.cumulative.push(0.0);
         let mut sum = 0.0;
         for rate in &self.rates {
-            sum += rate + unseen;
-            self.sums.push(sum);
+            sum += rate + baseline;
+            self.cumulative.push(sum);
         }
     }
 
-    /// That of all keys before this one.
-    fn before(&self, key: u32) -> f64 {
-        let run = (key / u32::from(KEYS_PER_BUCKET)) as usize;
-        let part = f64::from(key % u32::from(KEYS_PER_BUCKET)) / f64::from(KEYS_PER_BUCKET);
-        let next = self.sums.get(run + 1).copied().unwrap_or(self.sums[run]);
-        self.sums[run] + (next - self.sums[run]) * part
+    /// Load of all keys before this one; within a bucket the keys weigh the same.
+    fn load_before(&self, key: u32) -> f64 {
+        let keys_per_bucket = u32::from(KEYS_PER_BUCKET);
+        let bucket = (key / keys_per_bucket) as usize;
+        let part = f64::from(key % keys_per_bucket) / f64::from(KEYS_PER_BUCKET);
+        let start = self.cumulative[bucket];
+        let end = self.cumulative.get(bucket + 1).copied().unwrap_or(start);
+        start + (end - start) * part
     }
 
-    /// That of the keys from `since` to `to`.
-    pub fn of_range(&self, since: u16, to: u16) -> f64 {
-        self.before(u32::from(to) + 1) - self.before(u32::from(since))
+    /// Load of the keys from `first` to `last`, both included.
+    pub fn range_load(&self, first: u16, last: u16) -> f64 {
+        self.load_before(u32::from(last) + 1) - self.load_before(u32::from(first))
     }
 
-    /// Where to cut these keys so that those from there on bring about so much; nothing if that leaves none.
-    pub fn split_point(&self, since: u16, to: u16, wanted: f64) -> Option<u16> {
-        let (mut low, mut high) = (since, to);
+    /// Where to split a range so that the part from the returned key to `last` has at most the load `wanted`; `None`
+    /// if no keys would be left before it.
+    pub fn split_point(&self, first: u16, last: u16, wanted: f64) -> Option<u16> {
+        let (mut low, mut high) = (first, last);
         while low < high {
-            let mid = low + (high - low) / 2;
-            if self.of_range(mid, to) > wanted {
-                low = mid + 1
+            let middle = low + (high - low) / 2;
+            if self.range_load(middle, last) > wanted {
+                low = middle + 1;
             } else {
-                high = mid
+                high = middle;
             }
         }
-        (low > since).then_some(low)
+        (low > first).then_some(low)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn load(key: u16, units: u16) -> BucketLoad {
-        BucketLoad {
-            bucket: key / KEYS_PER_BUCKET,
-            units,
-        }
-    }
-
-    #[test]
-    fn busy_keys_weigh_more_and_what_is_past_fades() {
-        let mut work = KeyLoad::default();
-        let all = work.of_range(0, u16::MAX);
-        assert!(
-            (work.of_range(0, 32767) / all - 0.5).abs() < 1e-9,
-            "all alike"
-        );
-        work.record(&[load(100, 50), load(40_000, 50)]);
-        work.refresh(1000);
-        let all = work.of_range(0, u16::MAX);
-        let busy = work.of_range(96, 111) / all;
-        assert!((0.4..0.5).contains(&busy), "{busy}");
-        let cut = work.split_point(0, u16::MAX, all / 2.0).expect("a cut");
-        assert!((200..40_000).contains(&cut), "{cut}");
-        assert_eq!(work.split_point(7, 7, 0.0), None, "one key can't be cut");
-        work.refresh(100_000);
-        work.record(&[load(5000, 10)]);
-        work.refresh(100_100);
-        assert!(work.of_range(96, 111) / work.of_range(0, u16::MAX) < 0.01);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/placement/src/planner.rs
@@ -0,0 +1,377 @@
+//! The planner: what becomes of each range of a service's keys, and which calls it needs.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use protocol::key_ranges::{KeyRange, KeyRangeChange, KeyRangeMap, LeaseHolder, Ownership};
+
+use crate::candidates::{Candidate, CandidatePool};
+use crate::key_load::KeyLoad;
+use crate::lease::{LeaseCall, LeaseCallOutcome, LeaseRequest, LeaseState, Release};
+use crate::timing::{
+    INITIAL_RANGES_PER_UPSTREAM, KEY_COUNT, PROPOSAL_TIMEOUT_MS, RANGES_PER_MOVE, Timing,
+};
+
+/// Plans the placement of one service's keys, for as long as one process leads. Times are in milliseconds of that
+/// process's clock.
+#[derive(Debug)]
+pub struct Planner {
+    timing: Timing,
+    leading_since: u64,
+    /// Leases by the first key of their range.
+    leases: BTreeMap<u16, LeaseState>,
+    /// Changes that were proposed and are not in the log yet, by the first key of their range.
+    pub(crate) proposals: BTreeMap<u16, Proposal>,
+    /// Ids of the upstreams that are listed.
+    listed_ids: BTreeSet<String>,
+    /// Ids of owners that were listed under this leader and are no longer, or whose address another upstream has:
+    /// they are gone for certain.
+    gone_ids: BTreeSet<String>,
+    /// Ids of upstreams that did not answer, with the time until which they get no keys.
+    backoff_until: BTreeMap<String, u64>,
+    candidate_count: CandidateCount,
+}
+
+/// A change that is on its way to the log.
+#[derive(Debug)]
+pub(crate) struct Proposal {
+    /// Token of the range that it was decided on; it is done, or void, once the range has another one.
+    pub(crate) expected_token: u64,
+    pub(crate) proposed_at: u64,
+}
+
+/// How many upstreams could get keys, and since when.
+#[derive(Debug)]
+struct CandidateCount {
+    count: usize,
+    since: u64,
+}
+
+/// What the host is to do after a planning run.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Plan {
+    /// To be proposed to the log, all in one entry.
+    pub changes: Vec<KeyRangeChange>,
+    /// To be called. Each call's outcome goes to [`Planner::on_call_completed`].
+    pub calls: Vec<LeaseCall>,
+}
+
+/// What a planning run is given.
+struct PlanInput<'a> {
+    now: u64,
+    candidates: BTreeMap<&'a str, &'a Candidate>,
+    key_load: &'a KeyLoad,
+}
+
+impl Planner {
+    /// The host came to lead at `now`.
+    pub fn new(now: u64, timing: Timing) -> Self {
+        Self {
+            timing,
+            leading_since: now,
+            leases: BTreeMap::new(),
+            proposals: BTreeMap::new(),
+            listed_ids: BTreeSet::new(),
+            gone_ids: BTreeSet::new(),
+            backoff_until: BTreeMap::new(),
+            candidate_count: CandidateCount {
+                count: 0,
+                since: now,
+            },
+        }
+    }
+
+    /// Plans what is to be done at `now`. The host passes the replicated ranges, all listed upstreams, and at most
+    /// how many calls it makes: 0 unless its leadership was confirmed less than [`Timing::leader_staleness_ms`] ago.
+    pub fn plan(
+        &mut self,
+        now: u64,
+        max_calls: usize,
+        ranges: &KeyRangeMap,
+        candidates: &[Candidate],
+        key_load: &KeyLoad,
+    ) -> Plan {
+        let by_id = candidates.iter().map(|c| (c.holder.id.as_str(), c));
+        let input = PlanInput {
+            now,
+            candidates: by_id.collect(),
+            key_load,
+        };
+        self.update_listed(&input, ranges);
+        self.backoff_until.retain(|_, until| now < *until);
+        self.proposals.retain(|first, proposal| {
+            now < proposal.proposed_at + PROPOSAL_TIMEOUT_MS
+                && ranges.get(*first).map_or(0, |r| r.fencing_token) == proposal.expected_token
+        });
+        let can_get_keys =
+            |c: &&Candidate| c.accepts_keys && !self.backoff_until.contains_key(&c.holder.id);
+        let mut pool = CandidatePool::new(candidates.iter().filter(can_get_keys));
+        if ranges.is_empty() {
+            return Plan {
+                changes: self.divide_keys(now, &mut pool),
+                calls: Vec::new(),
+            };
+        }
+        pool.set_loads(ranges, key_load);
+        let mut plan = Plan::default();
+        for (first, range) in ranges.iter() {
+            let is_proposed = self.proposals.contains_key(&first);
+            let ownership = self.next_ownership(&input, first, range, &mut pool);
+            if let Some(ownership) = ownership {
+                plan.changes.push(self.propose(
+                    now,
+                    first,
+                    range.last,
+                    range.fencing_token,
+                    ownership,
+                ));
+            } else if plan.calls.len() < max_calls && !is_proposed {
+                plan.calls.extend(self.next_call(now, first, range));
+            }
+        }
+        if plan.changes.is_empty() {
+            let is_releasing = |r: &KeyRange| matches!(r.ownership, Ownership::Releasing(_));
+            let releasing = ranges.iter().filter(|(_, r)| is_releasing(r)).count();
+            let max_moves = (ranges.iter().count() / RANGES_PER_MOVE + 1).saturating_sub(releasing);
+            plan.changes = self.rebalance(now, ranges, &mut pool, key_load, max_moves);
+        }
+        self.leases.retain(|first, _| ranges.get(*first).is_some());
+        plan
+    }
+
+    /// Learns which upstreams are listed, and which owners are no longer.
+    fn update_listed(&mut self, input: &PlanInput<'_>, ranges: &KeyRangeMap) {
+        for id in input.candidates.keys() {
+            if !self.listed_ids.contains(*id) {
+                self.listed_ids.insert(id.to_string());
+            }
+        }
+        let is_gone = |id: &String| !input.candidates.contains_key(id.as_str());
+        self.gone_ids
+            .extend(self.listed_ids.extract_if(.., is_gone));
+        let is_holder = |id: &String| {
+            ranges
+                .iter()
+                .any(|(_, r)| r.ownership.holder().is_some_and(|h| h.id == *id))
+        };
+        self.gone_ids.retain(is_holder);
+    }
+
+    /// The first division of the keys, once the number of candidates has settled: nor is it made over those alone
+    /// that are listed so far. All of it is one plan, since half of one division and half of another would leave
+    /// keys out.
+    fn divide_keys(&mut self, now: u64, pool: &mut CandidatePool<'_>) -> Vec<KeyRangeChange> {
+        if self.candidate_count.count != pool.len() {
+            self.candidate_count = CandidateCount {
+                count: pool.len(),
+                since: now,
+            };
+        }
+        let settled_at = self.candidate_count.since + self.timing.stabilization_ms;
+        if !self.proposals.is_empty() || now < settled_at {
+            return Vec::new();
+        }
+        let n = (pool.len() * INITIAL_RANGES_PER_UPSTREAM) as u64;
+        let first_key = |i: u64| i * KEY_COUNT / n;
+        let mut changes = Vec::new();
+        for i in 0..n {
+            let (first, last) = (first_key(i) as u16, (first_key(i + 1) - 1) as u16);
+            if let Some(ownership) = pool.assign(first, 1.0, None) {
+                changes.push(self.propose(now, first, last, 0, ownership));
+            }
+        }
+        changes
+    }
+
+    /// Remembers a change as proposed.
+    pub(crate) fn propose(
+        &mut self,
+        now: u64,
+        first: u16,
+        last: u16,
+        expected_token: u64,
+        ownership: Ownership,
+    ) -> KeyRangeChange {
+        let proposal = Proposal {
+            expected_token,
+            proposed_at: now,
+        };
+        self.proposals.insert(first, proposal);
+        KeyRangeChange {
+            first,
+            last,
+            expected_token,
+            ownership,
+        }
+    }
+
+    /// Who is to own a range next; `None` if it stays as it is, or a change of it is on its way.
+    fn next_ownership(
+        &mut self,
+        input: &PlanInput<'_>,
+        first: u16,
+        range: &KeyRange,
+        pool: &mut CandidatePool<'_>,
+    ) -> Option<Ownership> {
+        let is_proposed = self.proposals.contains_key(&first);
+        if let Some(holder) = range.ownership.holder() {
+            self.track_lease(input.now, first, holder);
+        }
+        if is_proposed {
+            return None;
+        }
+        let load = input.key_load.range_load(first, range.last);
+        match &range.ownership {
+            Ownership::Unowned => pool.assign(first, load, None),
+            Ownership::Assigned(holder, _) => {
+                let is_draining = input
+                    .candidates
+                    .get(holder.id.as_str())
+                    .is_some_and(|c| c.draining);
+                self.next_of_assigned(input.now, first, holder, is_draining && !pool.is_empty())
+            }
+            Ownership::Releasing(holder) => {
+                let release = self.release_if_free(input.now, first, holder)?;
+                pool.assign(first, load, release.handoff)
+            }
+        }
+    }
+
+    /// Makes sure that there is a lease state for this holder.
+    fn track_lease(&mut self, now: u64, first: u16, holder: &LeaseHolder) {
+        if self
+            .leases
+            .get(&first)
+            .is_some_and(|l| l.holder_id == holder.id)
+        {
+            return;
+        }
+        // The range may have been split off one whose owner was granted a lease a moment ago.
+        let granted_now = now + self.timing.call_timeout_ms + self.timing.max_lease_ms();
+        let expires_at = self.inherited_leases_expire_at().max(granted_now);
+        let lease = LeaseState::new(&holder.id, expires_at, now);
+        self.leases.insert(first, lease);
+    }
+
+    /// When all that predecessors may have granted has run out.
+    fn inherited_leases_expire_at(&self) -> u64 {
+        self.leading_since
+            + self.timing.leader_staleness_ms
+            + self.timing.call_timeout_ms
+            + self.timing.max_lease_ms()
+    }
+
+    /// An owner has to release its range if it is gone, does not answer, or drains. If it is fenced the range gets a
+    /// higher token.
+    fn next_of_assigned(
+        &mut self,
+        now: u64,
+        first: u16,
+        holder: &LeaseHolder,
+        has_to_release: bool,
+    ) -> Option<Ownership> {
+        let is_gone = self.gone_ids.contains(&holder.id);
+        let lease = self.leases.get_mut(&first)?;
+        if lease.release.take().is_some() {
+            lease.next_grant_at = now;
+        }
+        let is_unresponsive = lease.is_unresponsive();
+        if is_gone || is_unresponsive || has_to_release {
+            if is_unresponsive {
+                let until = now + self.timing.backoff_ms();
+                self.backoff_until.insert(holder.id.clone(), until);
+            }
+            lease.unanswered_calls = 0;
+            return Some(Ownership::Releasing(holder.clone()));
+        }
+        let is_fenced = std::mem::take(&mut lease.is_fenced);
+        is_fenced.then(|| Ownership::Assigned(holder.clone(), None))
+    }
+
+    /// The release of a range by its last owner, once that has let go of it: it answered, it is gone for certain, or
+    /// all its leases have run out.
+    fn release_if_free(&self, now: u64, first: u16, holder: &LeaseHolder) -> Option<Release> {
+        let is_gone = self.gone_ids.contains(&holder.id);
+        let lease = self.leases.get(&first)?;
+        match &lease.release {
+            Some(release) => Some(release.clone()),
+            None if is_gone || now >= lease.expires_at => Some(Release { handoff: None }),
+            None => None,
+        }
+    }
+
+    /// The call that a range needs at `now`: a release, or a grant that is due.
+    fn next_call(&mut self, now: u64, first: u16, range: &KeyRange) -> Option<LeaseCall> {
+        let timing = self.timing;
+        let lease = self.leases.get_mut(&first)?;
+        let is_waiting = lease.token_in_flight.is_some() || now < lease.next_call_at;
+        if is_waiting || lease.release.is_some() {
+            return None;
+        }
+        let (holder, request) = match &range.ownership {
+            Ownership::Assigned(holder, handoff) if now >= lease.next_grant_at => {
+                lease.expires_at_before_grant = lease.expires_at;
+                let expires_at = now + timing.call_timeout_ms + timing.max_lease_ms();
+                lease.expires_at = lease.expires_at.max(expires_at);
+                let grant = LeaseRequest::Grant {
+                    lease_ms: timing.lease_ms,
+                    handoff: handoff.clone(),
+                };
+                (holder, grant)
+            }
+            Ownership::Releasing(holder) => (holder, LeaseRequest::Release),
+            Ownership::Assigned(..) | Ownership::Unowned => return None,
+        };
+        lease.token_in_flight = Some(range.fencing_token);
+        Some(LeaseCall {
+            holder: holder.clone(),
+            first,
+            last: range.last,
+            fencing_token: range.fencing_token,
+            request,
+        })
+    }
+
+    /// A call has ended with this outcome. Each call has to end: its range gets no other one before.
+    pub fn on_call_completed(&mut self, now: u64, call: &LeaseCall, outcome: LeaseCallOutcome) {
+        let timing = self.timing;
+        let inherited_expire_at = self.inherited_leases_expire_at();
+        // A call to an earlier owner, or to this one under an earlier token, says nothing of the present lease.
+        let is_current = |lease: &&mut LeaseState| {
+            lease.holder_id == call.holder.id && lease.token_in_flight == Some(call.fencing_token)
+        };
+        let Some(lease) = self.leases.get_mut(&call.first).filter(is_current) else {
+            return;
+        };
+        lease.token_in_flight = None;
+        lease.unanswered_calls = match outcome {
+            LeaseCallOutcome::NoResponse | LeaseCallOutcome::NotSent => lease.unanswered_calls + 1,
+            _ => 0,
+        };
+        let is_grant = matches!(call.request, LeaseRequest::Grant { .. });
+        match outcome {
+            LeaseCallOutcome::Completed(_) if is_grant => {
+                // It arrived by now, and so did all before it.
+                lease.expires_at = inherited_expire_at.max(now + timing.max_lease_ms());
+                lease.next_grant_at = now + timing.renewal_interval_ms(call.first);
+            }
+            LeaseCallOutcome::Completed(handoff) => lease.release = Some(Release { handoff }),
+            LeaseCallOutcome::AddressReused => {
+                let id = &call.holder.id;
+                self.gone_ids.insert(id.clone());
+                self.backoff_until
+                    .insert(id.clone(), now + timing.backoff_ms());
+            }
+            LeaseCallOutcome::Fenced if is_grant => {
+                lease.is_fenced = true;
+                lease.next_grant_at = now;
+            }
+            LeaseCallOutcome::NotSent if is_grant => {
+                lease.expires_at = lease.expires_at_before_grant;
+                lease.next_call_at = now + timing.retry_interval_ms;
+            }
+            LeaseCallOutcome::NotSent | LeaseCallOutcome::NoResponse | LeaseCallOutcome::Fenced => {
+                lease.next_call_at = now + timing.retry_interval_ms;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/placement/src/rebalance.rs
@@ -0,0 +1,142 @@
+//! Moves ranges from upstreams with much load to those with little, a few at a time.
+//!
+//! A move is a release: the range gets its next owner, the one with the least load, once the last one has let go.
+
+use std::collections::BTreeMap;
+
+use protocol::key_ranges::{KeyRangeChange, KeyRangeMap, Ownership};
+
+use crate::Planner;
+use crate::candidates::CandidatePool;
+use crate::key_load::KeyLoad;
+use crate::timing::{
+    MAX_RANGES_PER_UPSTREAM, OVERLOAD_FACTOR, REBALANCE_MIN_LOAD_PER_SLOT, UNDERLOAD_FACTOR,
+};
+
+/// A range, or a part of one, that may be moved.
+struct MovableRange {
+    first: u16,
+    last: u16,
+    fencing_token: u64,
+}
+
+impl MovableRange {
+    fn load(&self, key_load: &KeyLoad) -> f64 {
+        key_load.range_load(self.first, self.last)
+    }
+}
+
+/// Movable ranges by the id of their owner.
+type MovableRanges<'a> = BTreeMap<&'a str, Vec<MovableRange>>;
+
+impl Planner {
+    /// Releases of ranges, `max_moves` at most, from upstreams that have too much load, or most where others have too
+    /// little. Each upstream gives up one range in a run, whole or a part split off.
+    pub(crate) fn rebalance(
+        &mut self,
+        now: u64,
+        ranges: &KeyRangeMap,
+        pool: &mut CandidatePool<'_>,
+        key_load: &KeyLoad,
+        max_moves: usize,
+    ) -> Vec<KeyRangeChange> {
+        let mut movable = self.movable_ranges(ranges, pool, key_load);
+        let mean = pool.mean_load_per_slot();
+        let can_split = ranges.iter().count() < pool.len() * MAX_RANGES_PER_UPSTREAM;
+        let mut changes = Vec::new();
+        while changes.len() < max_moves {
+            let has_movable = |holder: &_| has_ranges(&movable, holder);
+            let most = pool.most_loaded(has_movable);
+            let Some((least, most)) = pool.least_loaded(0).zip(most) else {
+                break;
+            };
+            let (low, high) = (pool.load_per_slot(least), pool.load_per_slot(most));
+            let is_even = high <= mean * OVERLOAD_FACTOR && low >= mean * UNDERLOAD_FACTOR;
+            if is_even || high <= low || high < REBALANCE_MIN_LOAD_PER_SLOT {
+                break;
+            }
+            let slots = pool.slots(most);
+            let wanted = (high - low) / 2.0 * slots;
+            let holder = pool.holder(most).clone();
+            let Some(owned) = movable.remove(holder.id.as_str()) else {
+                break;
+            };
+            let Some(part) = select_part(owned, wanted, mean * slots, can_split, key_load) else {
+                continue;
+            };
+            let load = part.load(key_load);
+            if load > 2.0 * wanted {
+                // One key alone may be more than any upstream should have; it has to be somewhere.
+                continue;
+            }
+            pool.move_load(most, least, load);
+            let releasing = Ownership::Releasing(holder);
+            changes.push(self.propose(now, part.first, part.last, part.fencing_token, releasing));
+        }
+        changes
+    }
+
+    /// The ranges that may be moved. Those that are being released are counted for the candidates that will get
+    /// them.
+    fn movable_ranges<'a>(
+        &self,
+        ranges: &'a KeyRangeMap,
+        pool: &mut CandidatePool<'_>,
+        key_load: &KeyLoad,
+    ) -> MovableRanges<'a> {
+        let mut movable = MovableRanges::new();
+        for (first, range) in ranges.iter() {
+            match &range.ownership {
+                Ownership::Assigned(holder, _) if !self.proposals.contains_key(&first) => {
+                    movable
+                        .entry(holder.id.as_str())
+                        .or_default()
+                        .push(MovableRange {
+                            first,
+                            last: range.last,
+                            fencing_token: range.fencing_token,
+                        });
+                }
+                Ownership::Releasing(_) => {
+                    // Only its load counts here.
+                    drop(pool.assign(first, key_load.range_load(first, range.last), None));
+                }
+                Ownership::Assigned(..) | Ownership::Unowned => {}
+            }
+        }
+        movable
+    }
+}
+
+fn has_ranges(movable: &MovableRanges<'_>, holder: &protocol::key_ranges::LeaseHolder) -> bool {
+    movable.contains_key(holder.id.as_str())
+}
+
+/// Of an upstream's ranges the one with the largest load up to `wanted`, if that is at least half of it; else a part of
+/// the largest one with about that load, where ranges may be split. `fair_load` is what the upstream should have: a
+/// range with more is split however many ranges there are, since it can't stay in one piece.
+fn select_part(
+    mut owned: Vec<MovableRange>,
+    wanted: f64,
+    fair_load: f64,
+    can_split: bool,
+    key_load: &KeyLoad,
+) -> Option<MovableRange> {
+    let load = |range: &MovableRange| range.load(key_load);
+    owned.sort_by(|a, b| load(a).total_cmp(&load(b)));
+    let can_split = can_split || owned.last().is_some_and(|range| load(range) > fair_load);
+    let is_enough = |&i: &usize| load(&owned[i]) >= wanted / 2.0 || i + 1 == owned.len();
+    let whole = owned
+        .iter()
+        .rposition(|range| load(range) <= wanted)
+        .filter(|i| is_enough(i) || !can_split);
+    if let Some(i) = whole {
+        return Some(owned.remove(i));
+    }
+    let largest = owned.pop().filter(|_| can_split)?;
+    let split = key_load.split_point(largest.first, largest.last, wanted)?;
+    Some(MovableRange {
+        first: split,
+        ..largest
+    })
+}
