--- a/crates/placement/src/candidates.rs
+++ b/crates/placement/src/candidates.rs
@@ -1,5 +1,7 @@
 //! Upstreams that may own keys, with the load that each has.
 
+use std::collections::BTreeMap;
+
 use protocol::key_ranges::{KeyRangeMap, LeaseHolder, Ownership};
 
 use crate::key_load::KeyLoad;
@@ -38,7 +40,7 @@
 
     /// Sets each candidate's load to that of the ranges assigned to it.
     pub(crate) fn set_loads(&mut self, ranges: &KeyRangeMap, key_load: &KeyLoad) {
-        let mut loads = std::collections::BTreeMap::<&str, f64>::new();
+        let mut loads = BTreeMap::<&str, f64>::new();
         for (first, range) in ranges.iter() {
             if let Ownership::Assigned(holder, _) = &range.ownership {
                 *loads.entry(holder.id.as_str()).or_default() +=
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -7,9 +7,7 @@
 use crate::candidates::{Candidate, CandidatePool};
 use crate::key_load::KeyLoad;
 use crate::lease::{LeaseCall, LeaseCallOutcome, LeaseRequest, LeaseState, Release};
-use crate::timing::{
-    INITIAL_RANGES_PER_UPSTREAM, KEY_COUNT, PROPOSAL_TIMEOUT_MS, RANGES_PER_MOVE, Timing,
-};
+use crate::timing::{INITIAL_RANGES_PER_UPSTREAM, KEY_COUNT, PROPOSAL_TIMEOUT_MS, Timing};
 
 /// Plans the placement of one service's keys, for as long as one process leads. Times are in milliseconds of that
 /// process's clock.
@@ -97,11 +95,7 @@
             key_load,
         };
         self.update_listed(&input, ranges);
-        self.backoff_until.retain(|_, until| now < *until);
-        self.proposals.retain(|first, proposal| {
-            now < proposal.proposed_at + PROPOSAL_TIMEOUT_MS
-                && ranges.get(*first).map_or(0, |r| r.fencing_token) == proposal.expected_token
-        });
+        self.remove_expired(now, ranges);
         let can_get_keys =
             |c: &&Candidate| c.accepts_keys && !self.backoff_until.contains_key(&c.holder.id);
         let mut pool = CandidatePool::new(candidates.iter().filter(can_get_keys));
@@ -129,15 +123,21 @@
             }
         }
         if plan.changes.is_empty() {
-            let is_releasing = |r: &KeyRange| matches!(r.ownership, Ownership::Releasing(_));
-            let releasing = ranges.iter().filter(|(_, r)| is_releasing(r)).count();
-            let max_moves = (ranges.iter().count() / RANGES_PER_MOVE + 1).saturating_sub(releasing);
-            plan.changes = self.rebalance(now, ranges, &mut pool, key_load, max_moves);
+            plan.changes = self.rebalance(now, ranges, &mut pool, key_load);
         }
         self.leases.retain(|first, _| ranges.get(*first).is_some());
         plan
     }
 
+    /// Ends backoffs, and forgets proposals that are done, void or lost.
+    fn remove_expired(&mut self, now: u64, ranges: &KeyRangeMap) {
+        self.backoff_until.retain(|_, until| now < *until);
+        self.proposals.retain(|first, proposal| {
+            now < proposal.proposed_at + PROPOSAL_TIMEOUT_MS
+                && ranges.get(*first).map_or(0, |r| r.fencing_token) == proposal.expected_token
+        });
+    }
+
     /// Learns which upstreams are listed, and which owners are no longer.
     fn update_listed(&mut self, input: &PlanInput<'_>, ranges: &KeyRangeMap) {
         for id in input.candidates.keys() {
--- a/crates/placement/src/rebalance.rs
+++ b/crates/placement/src/rebalance.rs
@@ -4,13 +4,14 @@
 
 use std::collections::BTreeMap;
 
-use protocol::key_ranges::{KeyRangeChange, KeyRangeMap, Ownership};
+use protocol::key_ranges::{KeyRange, KeyRangeChange, KeyRangeMap, Ownership};
 
 use crate::Planner;
 use crate::candidates::CandidatePool;
 use crate::key_load::KeyLoad;
 use crate::timing::{
-    MAX_RANGES_PER_UPSTREAM, OVERLOAD_FACTOR, REBALANCE_MIN_LOAD_PER_SLOT, UNDERLOAD_FACTOR,
+    MAX_RANGES_PER_UPSTREAM, OVERLOAD_FACTOR, RANGES_PER_MOVE, REBALANCE_MIN_LOAD_PER_SLOT,
+    UNDERLOAD_FACTOR,
 };
 
 /// A range, or a part of one, that may be moved.
@@ -30,7 +31,7 @@
 type MovableRanges<'a> = BTreeMap<&'a str, Vec<MovableRange>>;
 
 impl Planner {
-    /// Releases of ranges, `max_moves` at most, from upstreams that have too much load, or most where others have too
+    /// Releases of ranges, a few at most, from upstreams that have too much load, or most where others have too
     /// little. Each upstream gives up one range in a run, whole or a part split off.
     pub(crate) fn rebalance(
         &mut self,
@@ -38,15 +39,14 @@
         ranges: &KeyRangeMap,
         pool: &mut CandidatePool<'_>,
         key_load: &KeyLoad,
-        max_moves: usize,
     ) -> Vec<KeyRangeChange> {
+        let max_moves = max_moves(ranges);
         let mut movable = self.movable_ranges(ranges, pool, key_load);
         let mean = pool.mean_load_per_slot();
         let can_split = ranges.iter().count() < pool.len() * MAX_RANGES_PER_UPSTREAM;
         let mut changes = Vec::new();
         while changes.len() < max_moves {
-            let has_movable = |holder: &_| has_ranges(&movable, holder);
-            let most = pool.most_loaded(has_movable);
+            let most = pool.most_loaded(|holder| movable.contains_key(holder.id.as_str()));
             let Some((least, most)) = pool.least_loaded(0).zip(most) else {
                 break;
             };
@@ -108,8 +108,11 @@
     }
 }
 
-fn has_ranges(movable: &MovableRanges<'_>, holder: &protocol::key_ranges::LeaseHolder) -> bool {
-    movable.contains_key(holder.id.as_str())
+/// How many ranges may be moved now, beside those that are being released.
+fn max_moves(ranges: &KeyRangeMap) -> usize {
+    let is_releasing = |range: &KeyRange| matches!(range.ownership, Ownership::Releasing(_));
+    let releasing = ranges.iter().filter(|(_, r)| is_releasing(r)).count();
+    (ranges.iter().count() / RANGES_PER_MOVE + 1).saturating_sub(releasing)
 }
 
 /// Of an upstream's ranges the one with the largest load up to `wanted`, if that is at least half of it; else a part of
