--- a/crates/control-plane/tests/golden/commands.rs
+++ b/crates/control-plane/tests/golden/commands.rs
@@ -19,19 +19,19 @@
     )
 }
 
-pub fn replace(base: u64, rev: u64) -> Command {
+pub(crate) fn replace(base: u64, rev: u64) -> Command {
     Command::Replace {
         base,
         body: configuration(rev),
     }
 }
 
-pub fn amend(base: u64, rev: u64) -> Command {
+pub(crate) fn amend(base: u64, rev: u64) -> Command {
     let body = format!(r#"{{"rev": {rev}, "upsert": {{"services": [{{"name": "t"}}]}}}}"#);
     Command::Amend { base, body }
 }
 
-pub fn evacuation(step: EvacuationStep) -> Command {
+pub(crate) fn evacuation(step: EvacuationStep) -> Command {
     Command::ZoneStep {
         zone: "a".into(),
         step,
@@ -69,15 +69,15 @@
         EvacuationStep::Begin,
         EvacuationStep::Finish { ends: 4 },
         EvacuationStep::Acknowledge {
-            order: 4,
+            command: 4,
             attempt: ATTEMPT,
         },
         EvacuationStep::Withdraw {
-            order: 4,
+            command: 4,
             attempt: ATTEMPT,
             written: true,
         },
-        EvacuationStep::Confirm { order: 5 },
+        EvacuationStep::Confirm { command: 5 },
         EvacuationStep::Expire { last: 300 },
     ];
     let mut samples = vec![
@@ -85,11 +85,11 @@
         amend(7, 9),
         Command::LegacyEvacuate {
             zone: "a".into(),
-            seen: 3,
+            expected_index: 3,
         },
         Command::LegacyReturn {
             zone: "a".into(),
-            seen: 4,
+            expected_index: 4,
         },
         place(),
     ];
--- a/crates/data-plane/src/upstream_connection.rs
+++ b/crates/data-plane/src/upstream_connection.rs
@@ -44,7 +44,7 @@
 pub use self::request::{OutgoingRequest, SendProgress};
 use crate::body::{BodyBudget, BodyBuffer};
 use crate::framing::{Framing, MAX_HEAD_BYTES, closes_connection, parse_head};
-use crate::tunnel::status_lines;
+use crate::response_desync::find_status_lines;
 
 /// The largest body of a response, in bytes. The deployments' pages say 64 KiB at most, but in service some
 /// responses have 400 KB; when those were taken for malformed, each cost its request and its connection.
@@ -218,7 +218,7 @@
         let Some(echoed) = awaited.echoed_id else {
             return false;
         };
-        status_lines(body).any(|start| {
+        find_status_lines(body).any(|start| {
             let mut text = BytesMut::from(&body[start..body.len().min(start + MAX_HEAD_BYTES)]);
             text.extend_from_slice(&self.unread[..self.unread.len().min(MAX_HEAD_BYTES)]);
             match parse_head(&text) {
