--- a/crates/control-plane/src/store/tests.rs
+++ b/crates/control-plane/src/store/tests.rs
@@ -1,17 +1,20 @@
 //! Tests of the file, and of the thread that writes it, on disks that refuse, stall and lose power.
 
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::Duration;
 
 use raft::Payload;
-use redb::StorageBackend;
 use tokio::sync::mpsc::UnboundedReceiver;
 
+use self::faulty_disk::{Faults, FaultyDisk};
+use self::volatile_disk::VolatileDisk;
 use super::*;
 use crate::server::{COMPACT_AFTER_BYTES, COMPACT_AFTER_ENTRIES};
 
+mod faulty_disk;
+mod volatile_disk;
+
 pub(crate) fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("shorefront-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -153,18 +156,18 @@
     drop(store);
     let file = at.join(FILE_NAME);
     let whole = std::fs::read(&file).expect("readable");
-    let mut luck = oorandom::Rand32::new(20);
+    let mut rng = oorandom::Rand32::new(20);
     let (mut unread, mut read) = (0, 0);
     for round in 0..200 {
         let mut bytes = whole.clone();
         if round % 4 == 0 {
-            bytes.truncate(luck.rand_range(0..whole.len() as u32) as usize);
+            bytes.truncate(rng.rand_range(0..whole.len() as u32) as usize);
         } else {
-            let first = luck.rand_range(0..whole.len() as u32) as usize;
-            let end = (first + 1 + luck.rand_range(0..2048) as usize).min(whole.len());
+            let first = rng.rand_range(0..whole.len() as u32) as usize;
+            let end = (first + 1 + rng.rand_range(0..2048) as usize).min(whole.len());
             bytes[first..end]
                 .iter_mut()
-                .for_each(|b| *b = luck.rand_u32() as u8);
+                .for_each(|b| *b = rng.rand_u32() as u8);
         }
         std::fs::write(&file, bytes).expect("written");
         match Store::open(&at) {
@@ -244,72 +247,6 @@
     }
 }
 
-/// A file on a disk that may refuse, or stall.
-#[derive(Debug)]
-struct Faulty {
-    file: redb::backends::FileBackend,
-    faults: &'static Faults,
-}
-
-#[derive(Debug)]
-struct Faults {
-    refuses: AtomicBool,
-    stalls: AtomicBool,
-}
-
-impl Faults {
-    const fn none() -> Self {
-        Self {
-            refuses: AtomicBool::new(false),
-            stalls: AtomicBool::new(false),
-        }
-    }
-}
-
-impl Faulty {
-    fn may(&self) -> std::io::Result<()> {
-        while self.faults.stalls.load(Ordering::SeqCst) {
-            thread::sleep(Duration::from_millis(5));
-        }
-        let refuses = self.faults.refuses.load(Ordering::SeqCst);
-        if refuses {
-            Err(std::io::ErrorKind::StorageFull.into())
-        } else {
-            Ok(())
-        }
-    }
-
-    fn opened(path: &Path, faults: &'static Faults) -> Result<Database, redb::DatabaseError> {
-        let file = std::fs::File::options()
-            .read(true)
-            .write(true)
-            .create(true)
-            .truncate(false)
-            .open(path)
-            .map_err(redb::StorageError::Io)?;
-        let file = redb::backends::FileBackend::new(file)?;
-        Database::builder().create_with_backend(Faulty { file, faults })
-    }
-}
-
-impl StorageBackend for Faulty {
-    fn len(&self) -> std::io::Result<u64> {
-        self.file.len()
-    }
-    fn read(&self, offset: u64, out: &mut [u8]) -> std::io::Result<()> {
-        self.file.read(offset, out)
-    }
-    fn set_len(&self, len: u64) -> std::io::Result<()> {
-        self.may().and_then(|()| self.file.set_len(len))
-    }
-    fn sync_data(&self) -> std::io::Result<()> {
-        self.may().and_then(|()| self.file.sync_data())
-    }
-    fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
-        self.may().and_then(|()| self.file.write(offset, data))
-    }
-}
-
 fn wait_until_synced(synced: &mut UnboundedReceiver<u64>, wanted: u64) {
     while synced.blocking_recv().expect("the thread goes on") < wanted {}
 }
@@ -317,7 +254,7 @@
 #[test]
 fn refused_writes_are_retried() {
     static FAULTS: Faults = Faults::none();
-    let opener: Opener = |path| Faulty::opened(path, &FAULTS);
+    let opener: Opener = |path| FaultyDisk::open(path, &FAULTS);
     let at = folder("refuses");
     let store = Store::open_with(&at, opener).expect("a file");
     store.initialize(7, &Members::default()).expect("written");
@@ -363,7 +300,7 @@
 fn stalled_disk_gets_all_requests_at_once() {
     static FAULTS: Faults = Faults::none();
     let at = folder("stalls");
-    let store = Store::open_with(&at, |path| Faulty::opened(path, &FAULTS)).expect("a file");
+    let store = Store::open_with(&at, |path| FaultyDisk::open(path, &FAULTS)).expect("a file");
     store.initialize(7, &Members::default()).expect("written");
     let (requests, mut synced) = store.spawn_writer().expect("a thread");
     FAULTS.stalls.store(true, Ordering::SeqCst);
@@ -386,88 +323,16 @@
     let _ = std::fs::remove_dir_all(&at);
 }
 
-/// A disk that keeps what is synced, and of the rest any part, when power is lost.
-#[derive(Debug, Clone, Default)]
-struct Volatile(Arc<Mutex<Contents>>);
-
-#[derive(Debug, Default)]
-struct Contents {
-    synced: Vec<u8>,
-    now: Vec<u8>,
-    /// Power is lost after so many more operations; what there was then.
-    left: Option<u32>,
-    lost: Option<(Vec<u8>, Vec<u8>)>,
-}
-
-/// What reaches a disk reaches it in such parts.
-const SECTOR: usize = 512;
-
-impl Volatile {
-    /// What is on the disk after a loss of power.
-    fn after_power_loss(&self, luck: &mut oorandom::Rand32) -> Vec<u8> {
-        let contents = self.0.lock().expect("no panic");
-        let (synced, now) = match &contents.lost {
-            Some((synced, now)) => (synced, now),
-            None => (&contents.synced, &contents.now),
-        };
-        let length = if luck.rand_range(0..2) == 0 {
-            now.len()
-        } else {
-            synced.len()
-        };
-        let mut left = synced.clone();
-        left.resize(length, 0);
-        for (old, new) in left.chunks_mut(SECTOR).zip(now.chunks(SECTOR)) {
-            if luck.rand_range(0..2) == 0 {
-                let both = old.len().min(new.len());
-                old[..both].copy_from_slice(&new[..both]);
-            }
-        }
-        left
-    }
-
-    fn with<T>(&self, act: impl FnOnce(&mut Contents) -> T) -> std::io::Result<T> {
-        let mut contents = self.0.lock().expect("no panic");
-        contents.left = contents.left.and_then(|left| left.checked_sub(1));
-        if contents.left == Some(0) {
-            contents.lost = Some((contents.synced.clone(), contents.now.clone()));
-        }
-        Ok(act(&mut contents))
-    }
-}
-
-impl StorageBackend for Volatile {
-    fn len(&self) -> std::io::Result<u64> {
-        Ok(self.0.lock().expect("no panic").now.len() as u64)
-    }
-    fn read(&self, offset: u64, out: &mut [u8]) -> std::io::Result<()> {
-        let from = offset as usize;
-        let contents = self.0.lock().expect("no panic");
-        out.copy_from_slice(&contents.now[from..from + out.len()]);
-        Ok(())
-    }
-    fn set_len(&self, len: u64) -> std::io::Result<()> {
-        self.with(|contents| contents.now.resize(len as usize, 0))
-    }
-    fn sync_data(&self) -> std::io::Result<()> {
-        self.with(|contents| contents.synced = contents.now.clone())
-    }
-    fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
-        let from = offset as usize;
-        self.with(|contents| contents.now[from..from + data.len()].copy_from_slice(data))
-    }
-}
-
 /// Whatever part of an unfinished write a loss of power leaves: what was synced before is there, and the
 /// file is not taken for damaged.
 #[test]
 fn power_loss_keeps_synced_state() {
-    let mut luck = oorandom::Rand32::new(7);
+    let mut rng = oorandom::Rand32::new(7);
     let at = folder("power");
     std::fs::create_dir_all(&at).expect("a folder");
     let (mut before, mut after) = (0, 0);
     for round in 0..60u64 {
-        let disk = Volatile::default();
+        let disk = VolatileDisk::default();
         let file = Database::builder()
             .create_with_backend(disk.clone())
             .expect("a file");
@@ -489,15 +354,15 @@
             .write(&[DiskRequest::Compact(snapshot.clone())])
             .expect("written");
         // Power is lost after any of the steps of the next write.
-        disk.0.lock().expect("no panic").left = Some(1 + luck.rand_range(0..30));
+        disk.lose_power_after(1 + rng.rand_range(0..30));
         let requests = [persist_request(
             2,
             2,
             (15..=15 + round).map(|i| entry(2, i)).collect(),
         )];
         store.write(&requests).expect("written");
-        let finished = disk.0.lock().expect("no panic").lost.is_none();
-        let left = disk.after_power_loss(&mut luck);
+        let finished = !disk.has_lost_power();
+        let left = disk.contents_after_power_loss(&mut rng);
         drop(store);
         std::fs::write(at.join(FILE_NAME), left).expect("written");
         let (_, stored) = Store::open(&at).expect("not damaged");
