--- a/crates/control-plane/src/key_leases.rs
+++ b/crates/control-plane/src/key_leases.rs
@@ -16,7 +16,9 @@
 use http_body_util::Full;
 use hyper::header::CONTENT_TYPE;
 use hyper::{Request, Response, StatusCode};
-use placement::{Candidate, KeyLoad, LeaseCall, LeaseCallOutcome, LeaseRequest, Planner, Timing};
+use placement::{
+    Candidate, KeyLoad, LeaseCall, LeaseCallOutcome, LeaseRequest, Plan, Planner, Timing,
+};
 use protocol::key_ranges::LeaseHolder;
 use serde_json::json;
 use tokio::sync::Notify;
@@ -198,7 +200,7 @@
             .filter(|known| known.upstream.service == service)
             .map(candidate)
             .collect();
-        let (changes, calls) = server.with_key_ranges(service, |ranges| {
+        let Plan { changes, calls } = server.with_key_ranges(service, |ranges| {
             self.planner
                 .plan(now_ms, free_calls, ranges, &candidates, &self.load)
         });
