--- a/crates/load-balancing/src/policy/subset.rs
+++ b/crates/load-balancing/src/policy/subset.rs
@@ -38,15 +38,15 @@
             zone(&self.upstreams[*a]) == zone(&self.upstreams[*b])
         };
         let mut distances = Vec::with_capacity(live.len());
-        for ring in live.chunk_by(is_same_zone) {
-            let is_own_zone = !has_zones || zone(&self.upstreams[ring[0]]) == self.settings.zone;
+        for on_ring in live.chunk_by(is_same_zone) {
+            let is_own_zone = !has_zones || zone(&self.upstreams[on_ring[0]]) == self.settings.zone;
             let zone_distance = if is_own_zone {
                 0.0
             } else {
                 OTHER_ZONE_DISTANCE
             };
-            for place in 0..ring.len() {
-                let point = (place as f64 + 0.5) / ring.len() as f64;
+            for place in 0..on_ring.len() {
+                let point = (place as f64 + 0.5) / on_ring.len() as f64;
                 let apart = (point - own_point).abs();
                 distances.push(apart.min(1.0 - apart) * balancers_per_zone + zone_distance);
             }
