--- a/crates/control-plane/tests/common/balancers.rs
+++ b/crates/control-plane/tests/common/balancers.rs
@@ -32,7 +32,7 @@
 pub(crate) struct SimulatedBalancer {
     pub(crate) node: String,
     pub(crate) received: RefCell<Vec<ReceivedConfig>>,
-    pub(crate) bank: Plain<u32>,
+    pub(crate) fleet_size: Plain<u32>,
     /// The servers that it dialled, in order.
     pub(crate) dialled: RefCell<Vec<usize>>,
     changes: ChangeNotifier,
@@ -59,7 +59,7 @@
 impl UpdateHandler for SimulatedBalancer {
     fn watch_request(&self) -> WatchRequest {
         let bank = Some(FleetView {
-            balancers: self.bank.get(),
+            balancers: self.fleet_size.get(),
             position: 0,
         });
         let bank = bank.filter(|bank| bank.balancers > 0);
@@ -96,7 +96,7 @@
     }
 
     fn handle_fleet_view(&self, bank: FleetView) {
-        self.bank.set(bank.balancers);
+        self.fleet_size.set(bank.balancers);
     }
 
     fn watch_changes(&self) -> ChangeWatcher {
@@ -163,7 +163,7 @@
     let balancer = Rc::new(SimulatedBalancer {
         node: node.clone(),
         received: RefCell::default(),
-        bank: Plain::new(0),
+        fleet_size: Plain::new(0),
         dialled: RefCell::default(),
         changes: ChangeNotifier::default(),
     });
@@ -189,7 +189,7 @@
 }
 
 /// Waits until `holds`, for `within` at most. Returns whether it came to that.
-pub(crate) async fn until(within: Duration, holds: impl Fn() -> bool) -> bool {
+pub(crate) async fn wait_until(within: Duration, holds: impl Fn() -> bool) -> bool {
     let end = Instant::now() + within;
     while Instant::now() < end {
         if holds() {
--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -78,7 +78,7 @@
     tasks: RefCell<Vec<Vec<AbortOnDrop>>>,
     freezers: RefCell<Vec<Freezer>>,
     /// Ordered pairs that do not reach each other.
-    pub(crate) cut: RefCell<BTreeSet<(usize, usize)>>,
+    pub(crate) blocked_links: RefCell<BTreeSet<(usize, usize)>>,
     /// Changes with every healed cut and restart: connections come up anew.
     pub(crate) connection_epoch: Plain<u64>,
 }
@@ -128,7 +128,7 @@
             stored: RefCell::new(vec![stored; size]),
             tasks: RefCell::new((0..MAX_SERVERS).map(|_| Vec::new()).collect()),
             freezers: RefCell::new((0..MAX_SERVERS).map(|_| Freezer::default()).collect()),
-            cut: RefCell::default(),
+            blocked_links: RefCell::default(),
             connection_epoch: Plain::new(0),
         });
         (0..size).for_each(|i| cluster.start(i));
@@ -195,7 +195,7 @@
     }
 
     /// Cuts a server off from all others, or joins it again.
-    pub(crate) fn cut_off(&self, i: usize, cut: bool) {
+    pub(crate) fn isolate(&self, i: usize, cut: bool) {
         self.split(&[i], cut);
     }
 
@@ -204,9 +204,9 @@
         for other in (0..MAX_SERVERS).filter(|i| !side.contains(i)) {
             for pair in side.iter().flat_map(|i| [(*i, other), (other, *i)]) {
                 if cut {
-                    self.cut.borrow_mut().insert(pair);
+                    self.blocked_links.borrow_mut().insert(pair);
                 } else {
-                    self.cut.borrow_mut().remove(&pair);
+                    self.blocked_links.borrow_mut().remove(&pair);
                 }
             }
         }
@@ -259,7 +259,7 @@
             let (Some(sender), Some(receiver)) = (self.server(from), self.server(to)) else {
                 continue;
             };
-            if self.cut.borrow().contains(&(from, to)) {
+            if self.blocked_links.borrow().contains(&(from, to)) {
                 connected_epoch = None;
                 continue;
             }
@@ -286,7 +286,7 @@
     ) -> Option<bool> {
         let (mut next, all) = (0, (0..self.size).collect::<Vec<_>>());
         while Instant::now() < until {
-            let side = if self.cut.borrow().is_empty() {
+            let side = if self.blocked_links.borrow().is_empty() {
                 &all
             } else {
                 side
--- a/crates/control-plane/tests/concurrent_changes.rs
+++ b/crates/control-plane/tests/concurrent_changes.rs
@@ -43,9 +43,9 @@
     let is_one_way = rng.rand_range(0..3) == 0;
     for a in &left {
         for b in &right {
-            cluster.cut.borrow_mut().insert((*a, *b));
+            cluster.blocked_links.borrow_mut().insert((*a, *b));
             if !is_one_way {
-                cluster.cut.borrow_mut().insert((*b, *a));
+                cluster.blocked_links.borrow_mut().insert((*b, *a));
             }
         }
     }
@@ -63,7 +63,7 @@
         }
     }
     sleep(Duration::from_millis(3000)).await;
-    cluster.cut.borrow_mut().clear();
+    cluster.blocked_links.borrow_mut().clear();
     cluster
         .connection_epoch
         .set(cluster.connection_epoch.get() + 1);
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::balancers::{SimulatedBalancer, balancer, until};
+use common::balancers::{SimulatedBalancer, balancer, wait_until};
 use common::{COMMAND_TIMEOUT, Cluster, DISKLESS, VOTERS, change, run_on_paused_time, settings};
 use control_plane::configuration::CommandOutcome;
 use control_plane::server::{ControlServer, Indeterminate};
@@ -58,23 +58,23 @@
         let (pair, _five) = balancer(&cluster, "pair", &[cut], &[cut, (cut + 1) % VOTERS]);
         let all = 3 + others.len() as u32;
         assert!(
-            until(2 * SECOND, || holder.has(&target_of(1))
+            wait_until(2 * SECOND, || holder.has(&target_of(1))
                 && captive.has(&target_of(1)))
             .await
         );
-        assert!(until(2 * SECOND, || captive.bank.get() == all).await);
-        cluster.cut_off(cut, true);
+        assert!(wait_until(2 * SECOND, || captive.fleet_size.get() == all).await);
+        cluster.isolate(cut, true);
         sleep(Duration::from_millis(100)).await;
         accept_revision(&cluster, &all_but(cut), 1, 2).await;
         let acknowledged = Instant::now();
         let (starter, _three) = balancer(&cluster, "starter", &[cut], &ALL);
         let (lost, _four) = balancer(&cluster, "lost", &[cut], &[cut]);
         assert!(
-            until(APPLY_TIMEOUT, || holder.has(&target_of(2))).await,
+            wait_until(APPLY_TIMEOUT, || holder.has(&target_of(2))).await,
             "it had two sessions"
         );
         assert!(
-            until(APPLY_TIMEOUT, || starter.has(&target_of(2))).await,
+            wait_until(APPLY_TIMEOUT, || starter.has(&target_of(2))).await,
             "it begins elsewhere"
         );
         assert_eq!(
@@ -116,19 +116,19 @@
             "one that holds something keeps it"
         );
         assert!(
-            captive.bank.get() >= all,
+            captive.fleet_size.get() >= all,
             "nor does it take the others for gone: {}",
-            captive.bank.get()
+            captive.fleet_size.get()
         );
         accept_revision(&cluster, &all_but(cut), 2, 3).await;
         let soon = Duration::from_millis(200);
         assert!(
-            until(soon, || pair.has(&target_of(3))).await,
+            wait_until(soon, || pair.has(&target_of(3))).await,
             "its other session brings the news"
         );
-        cluster.cut_off(cut, false);
+        cluster.isolate(cut, false);
         assert!(
-            until(2 * APPLY_TIMEOUT, || lost.has(&target_of(3))
+            wait_until(2 * APPLY_TIMEOUT, || lost.has(&target_of(3))
                 && captive.has(&target_of(3)))
             .await
         );
@@ -146,7 +146,10 @@
         let both =
             || [cut, partner].map(|i| cluster.server(i).expect("up").has_session(&holder.node));
         let stands = || holder.has(&target_of(1)) && both() == [true, true];
-        assert!(until(2 * SECOND, stands).await, "both stand on one side");
+        assert!(
+            wait_until(2 * SECOND, stands).await,
+            "both stand on one side"
+        );
         cluster.split(&[cut, partner], true);
         let began = Instant::now();
         while began.elapsed() < 20 * SECOND {
@@ -164,7 +167,7 @@
         let majority: Vec<usize> = all_but(cut).into_iter().filter(|i| *i != partner).collect();
         accept_revision(&cluster, &majority, 1, 2).await;
         assert!(
-            until(APPLY_TIMEOUT, || holder.has(&target_of(2))).await,
+            wait_until(APPLY_TIMEOUT, || holder.has(&target_of(2))).await,
             "it found the one in contact"
         );
     });
@@ -257,8 +260,8 @@
                 || answer == Err(Indeterminate::NotLeader(at(new)))
         );
         // It says so at once to one without a disk, which knows it from what is said only.
-        assert!(until(Duration::from_millis(20), || named(DISKLESS) == at(new)).await);
-        cluster.cut_off(DISKLESS, true);
+        assert!(wait_until(Duration::from_millis(20), || named(DISKLESS) == at(new)).await);
+        cluster.isolate(DISKLESS, true);
         sleep(Duration::from_millis(1600)).await;
         assert_eq!(named(DISKLESS), None, "it hears nobody");
     });
@@ -268,11 +271,11 @@
 fn frozen_server_wakes_out_of_contact() {
     with_leader_and_follower(|cluster, frozen| async move {
         let (holder, _one) = balancer(&cluster, "holder", &[frozen], &ALL);
-        assert!(until(2 * SECOND, || holder.has(&target_of(1))).await);
+        assert!(wait_until(2 * SECOND, || holder.has(&target_of(1))).await);
         cluster.freeze(frozen, true);
         accept_revision(&cluster, &all_but(frozen), 1, 2).await;
         assert!(
-            until(APPLY_TIMEOUT, || holder.has(&target_of(2))).await,
+            wait_until(APPLY_TIMEOUT, || holder.has(&target_of(2))).await,
             "the other session tells it"
         );
         sleep(15 * SECOND).await;
@@ -306,7 +309,7 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        assert!(until(APPLY_TIMEOUT, || starter.config() > 0).await);
+        assert!(wait_until(APPLY_TIMEOUT, || starter.config() > 0).await);
         let received = starter.received.borrow();
         assert!(
             !received[0].text.contains(&target_of(1)),
@@ -341,7 +344,7 @@
             "nobody was heard of for ten seconds"
         );
         assert!(
-            until(2 * SECOND, || server.all_sessions().len() == sessions.len()).await,
+            wait_until(2 * SECOND, || server.all_sessions().len() == sessions.len()).await,
             "all are told"
         );
     });
@@ -360,11 +363,11 @@
         assert!(!diskless.has_quorum_contact());
         // It reaches one voter alone, so that it has nobody else for its other session.
         let (holder, _one) = balancer(&cluster, "holder", &[follower], &[follower, DISKLESS]);
-        assert!(until(2 * APPLY_TIMEOUT, || holder.has(&target_of(1))).await);
+        assert!(wait_until(2 * APPLY_TIMEOUT, || holder.has(&target_of(1))).await);
         accept_revision(&cluster, &ALL, 1, 2).await;
         let soon = Duration::from_millis(200);
         assert!(
-            until(soon, || holder.has(&target_of(2))).await,
+            wait_until(soon, || holder.has(&target_of(2))).await,
             "told by who has it, not a moment later"
         );
     });
--- a/crates/control-plane/tests/orders.rs
+++ b/crates/control-plane/tests/orders.rs
@@ -40,11 +40,11 @@
             let one_way = one_in(rng, 3);
             for (a, b) in (0..VOTERS).flat_map(|a| (0..VOTERS).map(move |b| (a, b))) {
                 if side[a] != side[b] && (side[a] || !one_way) {
-                    cluster.cut.borrow_mut().insert((a, b));
+                    cluster.blocked_links.borrow_mut().insert((a, b));
                 }
             }
             sleep(millis(rng, 50..2500)).await;
-            cluster.cut.borrow_mut().clear();
+            cluster.blocked_links.borrow_mut().clear();
         } else if let Some(leader) = cluster.leader() {
             cluster.kill(leader);
             sleep(millis(rng, 50..600)).await;
@@ -446,7 +446,7 @@
         let leader = cluster.leader().expect("it leads");
         for other in (0..VOTERS).filter(|i| *i != leader) {
             cluster
-                .cut
+                .blocked_links
                 .borrow_mut()
                 .extend([(leader, other), (other, leader)]);
         }
@@ -490,14 +490,14 @@
         }
         let others = || (0..VOTERS).filter(|i| *i != leader);
         cluster
-            .cut
+            .blocked_links
             .borrow_mut()
             .extend(others().flat_map(|i| [(leader, i), (i, leader)]));
         let side: Vec<usize> = others().collect();
         let until = Instant::now() + Duration::from_secs(10);
         let heals = async {
             assert_eq!(cluster.submit(&side, &wins, until).await, Some(true));
-            cluster.cut.borrow_mut().clear();
+            cluster.blocked_links.borrow_mut().clear();
             cluster
                 .connection_epoch
                 .set(cluster.connection_epoch.get() + 1);
