--- a/crates/mutation-testing/src/fault.rs
+++ b/crates/mutation-testing/src/fault.rs
@@ -1,64 +1,64 @@
-//! A deliberate fault: a patch with a header.
+//! A deliberate fault: a patch under a header.
 
 use std::path::{Path, PathBuf};
 
 use crate::Error;
 
-pub struct Fault {
-    /// The file's name without its ending.
-    pub name: String,
-    pub path: PathBuf,
+pub(crate) struct Fault {
+    /// The file's name without its extension.
+    pub(crate) name: String,
+    pub(crate) path: PathBuf,
     /// What is wrong with the patched sources.
-    pub text: String,
-    /// The commands that are to catch it.
-    pub tests: Vec<String>,
+    pub(crate) description: String,
+    /// The commands that have to catch it, in the order in which they are run.
+    pub(crate) tests: Vec<String>,
 }
 
 impl Fault {
-    /// Those of a directory, by name.
-    pub fn all(directory: &Path) -> Result<Vec<Self>, Error> {
-        let failed = |cause| Error::File {
+    /// Reads the patches of a directory, sorted by name.
+    ///
+    /// # Errors
+    ///
+    /// The directory or one of its patches can't be read, or a header lacks a line.
+    pub(crate) fn read_all(directory: &Path) -> Result<Vec<Self>, Error> {
+        let file_error = |source| Error::File {
             path: directory.to_path_buf(),
-            cause,
+            source,
         };
         let mut paths = Vec::new();
-        for entry in std::fs::read_dir(directory).map_err(failed)? {
-            paths.push(entry.map_err(failed)?.path());
+        for entry in std::fs::read_dir(directory).map_err(file_error)? {
+            paths.push(entry.map_err(file_error)?.path());
         }
-        paths.retain(|path| path.extension().is_some_and(|ending| ending == "patch"));
+        paths.retain(|path| {
+            path.extension()
+                .is_some_and(|extension| extension == "patch")
+        });
         paths.sort();
         paths.into_iter().map(Self::read).collect()
     }
 
     fn read(path: PathBuf) -> Result<Self, Error> {
-        let content = std::fs::read_to_string(&path).map_err(|cause| Error::File {
+        let content = std::fs::read_to_string(&path).map_err(|source| Error::File {
             path: path.clone(),
-            cause,
+            source,
         })?;
         let header = || content.lines().take_while(|line| !line.starts_with("--- "));
         let values = |key: &'static str| header().filter_map(move |line| line.strip_prefix(key));
-        let missing = |line| Error::Header {
+        let missing = |line| Error::MissingHeader {
             path: path.clone(),
             line,
         };
-        let text = values("Fault: ")
-            .next()
-            .ok_or_else(|| missing("Fault:"))?
-            .to_string();
+        let description = values("Fault: ").next().ok_or_else(|| missing("Fault:"))?;
         let tests: Vec<String> = values("Test: ").map(str::to_string).collect();
         if tests.is_empty() {
             return Err(missing("Test:"));
         }
-        let name = path
-            .file_stem()
-            .unwrap_or_default()
-            .to_string_lossy()
-            .into_owned();
+        let name = path.file_stem().unwrap_or_default();
         Ok(Self {
-            name,
-            path,
-            text,
+            name: name.to_string_lossy().into_owned(),
+            description: description.to_string(),
             tests,
+            path,
         })
     }
 }
--- a/crates/mutation-testing/src/main.rs
+++ b/crates/mutation-testing/src/main.rs
@@ -1,39 +1,51 @@
-//! Mutation testing by hand-picked faults: `cargo run -p mutation-testing -- AREA [FAULT...]`.
+//! Mutation testing with hand-picked faults: `cargo run -p mutation-testing -- AREA [FAULT...]`.
 //!
-//! Each `tests/faults/AREA/*.patch` is a unified diff under a header that names the fault and the commands that
-//! must catch it, the first that fails ends the search:
+//! Each `tests/faults/AREA/FAULT.patch` is a unified diff under a header that says what is wrong with the patched
+//! sources, and names the commands that have to catch it. They are run in turn until one fails:
 //!
 //! ```text
 //! Fault: compare no id
 //! Test: cargo test -p data-plane --test model
 //! ```
 //!
-//! The sources are copied to a temporary directory, where every command must first pass. Then each fault is
-//! applied, built, tested and taken back. The table goes to `docs/mutations.md`, unless only some of the faults
-//! were asked for. The exit status is 1 if any fault is not caught.
+//! The sources are copied to a temporary directory, where every command has to pass at first. Then each patch is
+//! applied, built, tested and reverted. The table goes to `docs/mutation-testing.md`, unless only some of the faults
+//! were asked for. The exit status is 1 if a fault was not caught. The working tree itself is not changed.
 
 mod fault;
 mod report;
-mod scratch;
+mod source_copy;
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use fault::Fault;
-use scratch::{Scratch, TestRun};
+use source_copy::{SourceCopy, TestResult};
+
+/// Directory of the patches, from the root of the repository.
+const FAULTS_DIRECTORY: &str = "tests/faults";
+/// The page with the tables of all areas, from the root of the repository.
+const PAGE: &str = "docs/mutation-testing.md";
 
 #[derive(Debug, thiserror::Error)]
-pub enum Error {
-    #[error("{path}: {cause}")]
+enum Error {
+    #[error("{path}: {source}")]
     File {
         path: PathBuf,
-        cause: std::io::Error,
+        source: std::io::Error,
     },
     #[error("{path}: no `{line}` line in its header")]
-    Header { path: PathBuf, line: &'static str },
-    #[error("{command}: {cause}")]
-    Command { command: String, cause: String },
+    MissingHeader { path: PathBuf, line: &'static str },
+    /// A command could not be started.
+    #[error("{command}: {source}")]
+    Start {
+        command: String,
+        source: std::io::Error,
+    },
+    /// A command that has to succeed has failed.
+    #[error("{command}: {stderr}")]
+    Failed { command: String, stderr: String },
     #[error("`{0}` fails without any fault")]
     FailsUnchanged(String),
     #[error("usage: mutation-testing AREA [FAULT...], where AREA is a directory of tests/faults")]
@@ -41,77 +53,82 @@
 }
 
 /// What became of a fault.
-pub enum Verdict {
-    CaughtBy {
+enum Verdict {
+    Caught {
+        /// The command that failed.
         command: String,
+        /// The tests that failed in it.
         tests: Vec<String>,
     },
     Missed,
     /// The sources have changed: the patch has to be made anew.
-    NotApplicable,
-    /// The compiler objects: it is no fault that a test could miss.
-    NotBuilt,
+    DoesNotApply,
+    /// The compiler rejects it: it is no fault that a test could miss.
+    DoesNotBuild,
+}
+
+fn main() -> ExitCode {
+    match run() {
+        Ok(true) => ExitCode::SUCCESS,
+        Ok(false) => ExitCode::FAILURE,
+        Err(error) => {
+            eprintln!("{error}");
+            ExitCode::FAILURE
+        }
+    }
 }
 
+/// Tests the faults that the command line names. Returns whether all of them are caught.
 fn run() -> Result<bool, Error> {
     let mut arguments = std::env::args().skip(1);
     let area = arguments.next().ok_or(Error::Usage)?;
     let names: Vec<String> = arguments.collect();
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let mut faults = Fault::all(&root.join("tests/faults").join(&area))?;
+    let mut faults = Fault::read_all(&root.join(FAULTS_DIRECTORY).join(&area))?;
     faults.retain(|f| names.is_empty() || names.contains(&f.name));
-    let scratch = Scratch::copy_of(&root)?;
+    let sources = SourceCopy::new(&root)?;
+    check_unchanged_sources(&sources, &faults)?;
+    let mut verdicts = Vec::new();
+    for fault in faults {
+        let verdict = test_fault(&sources, &fault)?;
+        eprintln!("{}: {}", fault.name, verdict.text());
+        verdicts.push((fault, verdict));
+    }
+    if names.is_empty() {
+        report::update_page(&root.join(PAGE), &area, &verdicts)?;
+    }
+    print!("{}", report::table(&verdicts));
+    Ok(verdicts.iter().all(|(_, verdict)| verdict.is_caught()))
+}
+
+/// Runs every test command once without any fault: a test that fails anyway catches nothing.
+fn check_unchanged_sources(sources: &SourceCopy, faults: &[Fault]) -> Result<(), Error> {
     let commands: BTreeSet<&String> = faults.iter().flat_map(|f| &f.tests).collect();
     for command in commands {
         eprintln!("unchanged: {command}");
-        if !matches!(scratch.test(command)?, TestRun::Passed) {
+        if !matches!(sources.test(command)?, TestResult::Passed) {
             return Err(Error::FailsUnchanged(command.clone()));
         }
     }
-    let mut judged = Vec::new();
-    for fault in faults {
-        let verdict = judge(&fault, &scratch)?;
-        eprintln!("{}: {}", fault.name, report::in_short(&verdict));
-        judged.push((fault, verdict));
-    }
-    if names.is_empty() {
-        report::write(&root.join("docs/mutations.md"), &area, &judged)?;
-    }
-    print!("{}", report::table(&judged));
-    Ok(judged
-        .iter()
-        .all(|(_, verdict)| matches!(verdict, Verdict::CaughtBy { .. })))
+    Ok(())
 }
 
-fn judge(fault: &Fault, scratch: &Scratch) -> Result<Verdict, Error> {
-    if !scratch.apply(fault)? {
-        return Ok(Verdict::NotApplicable);
+fn test_fault(sources: &SourceCopy, fault: &Fault) -> Result<Verdict, Error> {
+    if !sources.apply(fault)? {
+        return Ok(Verdict::DoesNotApply);
     }
     let mut verdict = Verdict::Missed;
     for command in &fault.tests {
-        match scratch.test(command)? {
-            TestRun::Passed => continue,
-            TestRun::NotBuilt => verdict = Verdict::NotBuilt,
-            TestRun::Failed(tests) => {
-                verdict = Verdict::CaughtBy {
-                    command: command.clone(),
-                    tests,
-                };
+        match sources.test(command)? {
+            TestResult::Passed => continue,
+            TestResult::DoesNotBuild => verdict = Verdict::DoesNotBuild,
+            TestResult::Failed(tests) => {
+                let command = command.clone();
+                verdict = Verdict::Caught { command, tests };
             }
         }
         break;
     }
-    scratch.take_back(fault)?;
+    sources.revert(fault)?;
     Ok(verdict)
 }
-
-fn main() -> ExitCode {
-    match run() {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::FAILURE,
-        Err(error) => {
-            eprintln!("{error}");
-            ExitCode::FAILURE
-        }
-    }
-}
--- a/crates/mutation-testing/src/report.rs
+++ b/crates/mutation-testing/src/report.rs
@@ -1,57 +1,75 @@
 //! The table of faults, and its place in the page that keeps the tables of all areas.
 
-use std::fmt::Write;
 use std::fs;
 use std::path::Path;
 
 use crate::fault::Fault;
 use crate::{Error, Verdict};
 
-const INTRODUCTION: &str = "# Deliberate faults
+/// The head of a new page.
+const INTRODUCTION: &str = "# Mutation testing
 
 Each fault is a patch in `tests/faults/AREA`, put into a copy of the sources and held against the tests that its
 header names. A section is made anew by the command under its title; the exit status is 1 if a fault is not caught.
 ";
 
-pub fn in_short(verdict: &Verdict) -> &'static str {
-    match verdict {
-        Verdict::CaughtBy { .. } => "caught",
-        Verdict::Missed => "not caught",
-        Verdict::NotApplicable => "does not apply",
-        Verdict::NotBuilt => "does not build",
+impl Verdict {
+    pub(crate) fn is_caught(&self) -> bool {
+        matches!(self, Self::Caught { .. })
+    }
+
+    /// The verdict as the table shows it.
+    pub(crate) fn text(&self) -> &'static str {
+        match self {
+            Self::Caught { .. } => "caught",
+            Self::Missed => "not caught",
+            Self::DoesNotApply => "does not apply",
+            Self::DoesNotBuild => "does not build",
+        }
     }
-}
 
-/// The table of one area in Markdown.
-pub fn table(judged: &[(Fault, Verdict)]) -> String {
-    let mut text = String::from("| fault | verdict | by |\n| --- | --- | --- |\n");
-    for (fault, verdict) in judged {
-        let by = match verdict {
-            Verdict::CaughtBy { command, tests } if tests.is_empty() => format!("`{command}`"),
-            Verdict::CaughtBy { tests, .. } => tests
-                .iter()
-                .map(|t| format!("`{t}`"))
-                .collect::<Vec<_>>()
-                .join(", "),
-            _ => String::new(),
-        };
-        let _ = writeln!(text, "| {} | {} | {by} |", fault.text, in_short(verdict));
+    /// The tests that caught the fault; their command where it ended without naming any.
+    fn caught_by(&self) -> String {
+        let quoted = |text: &String| format!("`{text}`");
+        match self {
+            Self::Caught { command, tests } if tests.is_empty() => quoted(command),
+            Self::Caught { tests, .. } => tests.iter().map(quoted).collect::<Vec<_>>().join(", "),
+            Self::Missed | Self::DoesNotApply | Self::DoesNotBuild => String::new(),
+        }
     }
-    text
 }
 
-/// Replaces the section of an area in the page, or adds it.
-pub fn write(page: &Path, area: &str, judged: &[(Fault, Verdict)]) -> Result<(), Error> {
-    let old = fs::read_to_string(page).unwrap_or_else(|_| INTRODUCTION.to_string());
+/// The table of one area, in Markdown.
+pub(crate) fn table(verdicts: &[(Fault, Verdict)]) -> String {
+    let row = |(fault, verdict): &(Fault, Verdict)| {
+        let (text, caught_by) = (verdict.text(), verdict.caught_by());
+        format!("| {} | {text} | {caught_by} |\n", fault.description)
+    };
+    let rows: String = verdicts.iter().map(row).collect();
+    format!("| fault | verdict | by |\n| --- | --- | --- |\n{rows}")
+}
+
+/// Replaces the section of an area in the page, or adds it. A page that is missing is begun.
+///
+/// # Errors
+///
+/// The page can't be read or written.
+pub(crate) fn update_page(
+    page: &Path,
+    area: &str,
+    verdicts: &[(Fault, Verdict)],
+) -> Result<(), Error> {
+    let file_error = |source| Error::File {
+        path: page.to_path_buf(),
+        source,
+    };
+    let old = match fs::read_to_string(page) {
+        Ok(old) => old,
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound => INTRODUCTION.to_string(),
+        Err(error) => return Err(file_error(error)),
+    };
     let title = format!("## {area}\n");
-    let caught = judged
-        .iter()
-        .filter(|(_, v)| matches!(v, Verdict::CaughtBy { .. }))
-        .count();
-    let (all, rows) = (judged.len(), table(judged));
-    let section = format!(
-        "{title}\n```sh\ncargo run -p mutation-testing -- {area}\n```\n\n{caught} of {all} are caught.\n\n{rows}"
-    );
+    let section = section(&title, area, verdicts);
     let mut sections: Vec<String> = Vec::new();
     for line in old.split_inclusive('\n') {
         match sections.last_mut() {
@@ -64,8 +82,13 @@
         None => sections.push(section),
     }
     let text: Vec<&str> = sections.iter().map(|s| s.trim_end()).collect();
-    fs::write(page, text.join("\n\n") + "\n").map_err(|cause| Error::File {
-        path: page.to_path_buf(),
-        cause,
-    })
+    fs::write(page, text.join("\n\n") + "\n").map_err(file_error)
+}
+
+fn section(title: &str, area: &str, verdicts: &[(Fault, Verdict)]) -> String {
+    let caught = verdicts.iter().filter(|(_, v)| v.is_caught()).count();
+    let (all, table) = (verdicts.len(), table(verdicts));
+    format!(
+        "{title}\n```sh\ncargo run -p mutation-testing -- {area}\n```\n\n{caught} of {all} are caught.\n\n{table}"
+    )
 }
