--- /dev/null
+++ b/crates/shorefront/src/commands/status.rs
@@ -0,0 +1,198 @@
+//! `shorefront status`: the state of the system, as the control balancers that were called and their leader report it.
+//!
+//! The first table has a row for each control balancer that answered. The members of the log are shown as the leader
+//! reports them, since only the leader knows how far each has got. All else is shown as the first that answered sees it.
+
+use std::net::SocketAddr;
+
+use control_plane::operator_client::{OperatorClient, OperatorRequest};
+use serde_json::Value;
+
+use super::error::CommandError;
+use super::table::{cell_text, table};
+use super::target::{OutputFormat, Target, call};
+
+/// Runs the command, and returns what it prints.
+pub(crate) async fn run(target: &Target) -> Result<String, CommandError> {
+    let report = StatusReport::collect(&target.client()?).await;
+    let Some(first) = report.answers.first() else {
+        let errors: Vec<String> = report.unanswered.iter().map(Unanswered::text).collect();
+        return Err(CommandError::AllUnanswered(errors.join("; ")));
+    };
+    match target.output {
+        OutputFormat::Json => Ok(Value::Array(report.answers).to_string()),
+        OutputFormat::Table => Ok(report.format(first)),
+    }
+}
+
+/// A control balancer that was called and has not answered.
+struct Unanswered {
+    address: SocketAddr,
+    error: CommandError,
+}
+
+impl Unanswered {
+    fn text(&self) -> String {
+        format!("{}: {}", self.address, self.error)
+    }
+}
+
+/// What came of the calls.
+struct StatusReport {
+    answers: Vec<Value>,
+    unanswered: Vec<Unanswered>,
+}
+
+impl StatusReport {
+    /// Calls each control balancer, and the leader that they name if it is not among them.
+    async fn collect(client: &OperatorClient) -> Self {
+        let (mut answers, mut unanswered) = (Vec::new(), Vec::new());
+        for &address in &client.addresses {
+            match read_status(client, address).await {
+                Ok(status) => answers.push(status),
+                Err(error) => unanswered.push(Unanswered { address, error }),
+            }
+        }
+        if let Some(leader) = uncalled_leader(&answers, &client.addresses)
+            && let Ok(status) = read_status(client, leader).await
+        {
+            answers.push(status);
+        }
+        Self {
+            answers,
+            unanswered,
+        }
+    }
+
+    /// The report for people; `first` is the first answer.
+    fn format(&self, first: &Value) -> String {
+        let mut text = format_control_balancers(&self.answers);
+        for unanswered in &self.unanswered {
+            text += &format!("{}\n", unanswered.text());
+        }
+        let leader = self.answers.iter().find(|s| has_member_details(s));
+        text += &format_members(leader.unwrap_or(first));
+        text += &format_evacuations(first);
+        text += &format_key_ranges(first);
+        text + "\n" + &format_balancers(first)
+    }
+}
+
+async fn read_status(client: &OperatorClient, at: SocketAddr) -> Result<Value, CommandError> {
+    let client = OperatorClient {
+        addresses: vec![at],
+        timeout: client.timeout,
+    };
+    call(&client, &OperatorRequest::get("/-/Status")).await
+}
+
+/// Only the leader reports how each member stands.
+fn has_member_details(status: &Value) -> bool {
+    !status["members"].is_null()
+}
+
+/// The `ctl` address of the leader that is named, where no leader has answered. Ports are alike on all machines.
+fn uncalled_leader(answers: &[Value], called: &[SocketAddr]) -> Option<SocketAddr> {
+    if answers.iter().any(has_member_details) {
+        return None;
+    }
+    let leader = answers
+        .iter()
+        .find_map(|s| s["leader"].as_str()?.parse::<SocketAddr>().ok())?;
+    Some(SocketAddr::new(leader.ip(), called.first()?.port()))
+}
+
+fn header<const N: usize>(titles: [&str; N]) -> [String; N] {
+    titles.map(String::from)
+}
+
+fn format_control_balancers(answers: &[Value]) -> String {
+    let commit_index = |s: &Value| s["commit"].as_u64();
+    let newest = answers.iter().filter_map(commit_index).max().unwrap_or(0);
+    let mut rows = vec![header([
+        "CONTROL", "ROLE", "TERM", "COMMIT", "BEHIND", "REV",
+    ])];
+    rows.extend(answers.iter().map(|s| {
+        let behind = newest - commit_index(s).unwrap_or(0);
+        [
+            cell_text(&s["node"]),
+            cell_text(&s["role"]),
+            cell_text(&s["term"]),
+            cell_text(&s["commit"]),
+            behind.to_string(),
+            cell_text(&s["rev"]),
+        ]
+    }));
+    table(&rows)
+}
+
+/// The members of the log: how each stands if the leader reports it, else only their addresses.
+fn format_members(status: &Value) -> String {
+    let leader = cell_text(&status["leader"]);
+    let Some(members) = status["members"].as_array() else {
+        let list = |members: &Value| {
+            let members = members.as_array().into_iter().flatten();
+            members.map(cell_text).collect::<Vec<_>>().join(" ")
+        };
+        let (voters, learners) = (list(&status["voters"]), list(&status["learners"]));
+        return format!(
+            "leader {leader}; voters {voters}; learners {learners}; the leader was not asked: how they stand is not known\n"
+        );
+    };
+    let mut rows = vec![header(["MEMBER", "KIND", "CONTACT", "SILENT MS", "BEHIND"])];
+    rows.extend(members.iter().map(|member| {
+        let is_voter = member["voter"] == true;
+        let is_in_contact = member["in_contact"] == true;
+        [
+            cell_text(&member["address"]),
+            if is_voter { "voter" } else { "learner" }.into(),
+            if is_in_contact { "yes" } else { "NO" }.into(),
+            cell_text(&member["silence_ms"]),
+            cell_text(&member["behind"]),
+        ]
+    }));
+    let tolerable_losses = cell_text(&status["losses_borne"]);
+    format!("leader {leader}; {tolerable_losses} more voters can be lost\n") + &table(&rows)
+}
+
+fn format_evacuations(status: &Value) -> String {
+    let zones = status["evacuated"].as_object().into_iter().flatten();
+    zones
+        .map(|(zone, count)| format!("zone {zone} is evacuated ({count} times)\n"))
+        .collect()
+}
+
+fn format_key_ranges(status: &Value) -> String {
+    let services = status["keys"].as_object().into_iter().flatten();
+    services
+        .map(|(service, keys)| {
+            let owners = keys["held"].as_object().map_or(0, serde_json::Map::len);
+            let (ranges, moving) = (&keys["slices"], &keys["leaving"]);
+            format!(
+                "keys of {service}: {ranges} slices at {owners} upstreams, {moving} on their way\n"
+            )
+        })
+        .collect()
+}
+
+fn format_balancers(status: &Value) -> String {
+    let mut rows = vec![header(["BALANCER", "ZONE", "HTTP", "STATE"])];
+    let balancers = status["balancers"].as_array().into_iter().flatten();
+    rows.extend(balancers.map(|balancer| {
+        let state = match (balancer["leaving"].as_bool(), balancer["ready"].as_bool()) {
+            (Some(true), _) => "leaving",
+            (_, Some(true)) => "ready",
+            _ => "not ready",
+        };
+        [
+            cell_text(&balancer["node"]),
+            cell_text(&balancer["zone"]),
+            cell_text(&balancer["http"]),
+            state.into(),
+        ]
+    }));
+    table(&rows)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/shorefront/src/main.rs
+++ b/crates/shorefront/src/main.rs
@@ -1,19 +1,25 @@
-//! A global load balancer: one program, a role for each plane.
-#![forbid(unsafe_code)]
+//! The program `shorefront`: a role for each plane, and the operator's commands.
+//!
+//! `shorefront data-plane` and `shorefront control` run until they are told to end or can't go on; what they own is
+//! described in `data_plane::runtime` and `control_plane::runtime`. Each runs on one thread. All other commands end by
+//! themselves. Standard output carries what was asked for, standard error log lines and errors. The exit status is 0
+//! for success, 1 for a failure, 2 for a command line that can't be understood, 78 for unusable settings, and 3 or 4
+//! for an operator's command that was rejected or has no definite outcome.
 
-mod operate;
-mod reload;
+mod commands;
+mod logging;
+mod settings_watcher;
 
+use std::path::PathBuf;
 use std::process::ExitCode;
 
-use clap::{Parser, Subcommand, ValueEnum};
+use clap::{Parser, Subcommand};
 use protocol::settings::{Settings, SettingsError};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
-use tracing_subscriber::filter::Targets;
-use tracing_subscriber::layer::SubscriberExt;
-use tracing_subscriber::util::SubscriberInitExt;
+
+use logging::LogFormat;
 
 /// A global load balancer.
 #[derive(Parser)]
@@ -22,14 +28,8 @@
     #[command(subcommand)]
     command: Command,
     /// How log lines are written; their levels by SHOREFRONT_LOG (`info`, `warn,control_plane=debug`).
-    #[arg(long, global = true, value_enum, default_value_t = LogForm::Text)]
-    log: LogForm,
-}
-
-#[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-enum LogForm {
-    Text,
-    Json,
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
+    log: LogFormat,
 }
 
 #[derive(Subcommand)]
@@ -39,10 +39,10 @@
     /// Checks a settings file and says what is wrong with it.
     Check {
         /// The file; the one named by SHOREFRONT_SETTINGS if left out.
-        file: Option<std::path::PathBuf>,
+        file: Option<PathBuf>,
     },
     #[command(flatten)]
-    Operation(operate::Operation),
+    Operator(commands::OperatorCommand),
 }
 
 #[derive(Subcommand)]
@@ -53,88 +53,96 @@
     Control,
 }
 
-/// Exit statuses beside 0: the program failed; its settings can't be used.
-const FAILED: u8 = 1;
-const UNUSABLE: u8 = 78;
+/// Exit status of a program that failed.
+const EXIT_FAILURE: u8 = 1;
+/// Exit status where settings or log levels can't be used: `EX_CONFIG` of sysexits.h.
+const EXIT_UNUSABLE_SETTINGS: u8 = 78;
 
-/// Names the levels of log lines, as `target=level` or a level for all; `info` if it is not set.
-const LEVELS: &str = "SHOREFRONT_LOG";
+/// Why the program ends without success.
+#[derive(Debug, thiserror::Error)]
+enum Error {
+    #[error(transparent)]
+    LogLevels(#[from] logging::InvalidLogLevels),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error("runtime: {0}")]
+    Runtime(std::io::Error),
+    #[error("{name}: {source}")]
+    SignalHandler {
+        name: &'static str,
+        source: std::io::Error,
+    },
+    #[error("{0}")]
+    Role(Box<dyn std::error::Error>),
+}
 
-/// Log lines go to standard error.
-fn log(form: LogForm) -> Result<(), String> {
-    let levels = std::env::var(LEVELS).unwrap_or_else(|_| "info".into());
-    let levels: Targets = levels
-        .parse()
-        .map_err(|e| format!("{LEVELS}={levels}: {e}"))?;
-    let lines = tracing_subscriber::fmt::layer()
-        .with_writer(std::io::stderr)
-        .with_ansi(false);
-    let all = tracing_subscriber::registry().with(levels);
-    match form {
-        LogForm::Text => all.with(lines).init(),
-        LogForm::Json => all.with(lines.json().flatten_event(true)).init(),
+impl Error {
+    fn exit_code(&self) -> ExitCode {
+        ExitCode::from(match self {
+            Self::LogLevels(_) | Self::Settings(_) => EXIT_UNUSABLE_SETTINGS,
+            Self::Runtime(_) | Self::SignalHandler { .. } | Self::Role(_) => EXIT_FAILURE,
+        })
     }
-    Ok(())
 }
 
 fn main() -> ExitCode {
-    let cli = Cli::parse();
-    let fail = |status: u8, message: &dyn std::fmt::Display| {
-        eprintln!("shorefront: {message}");
-        ExitCode::from(status)
-    };
-    if let Err(cause) = log(cli.log) {
-        return fail(UNUSABLE, &cause);
-    }
-    let role = match &cli.command {
-        Command::Role(role) => role,
-        Command::Check { file } => {
-            let checked = file.clone().map_or_else(Settings::path, Ok);
-            return match checked.and_then(|path| Settings::read(&path)) {
-                Ok(settings) => {
-                    println!("{}: good", settings.node);
-                    ExitCode::SUCCESS
-                }
-                Err(cause) => fail(UNUSABLE, &cause),
-            };
+    run(&Cli::parse()).unwrap_or_else(|error| {
+        eprintln!("shorefront: {error}");
+        error.exit_code()
+    })
+}
+
+fn run(cli: &Cli) -> Result<ExitCode, Error> {
+    logging::init(cli.log)?;
+    match &cli.command {
+        Command::Role(role) => {
+            let path = Settings::path()?;
+            let settings = Settings::read(&path)?;
+            block_on(run_role(role, path, settings))??;
+            Ok(ExitCode::SUCCESS)
         }
-        Command::Operation(operation) => {
-            return match on_this_thread(operate::run(operation)) {
-                Ok(status) => status,
-                Err(cause) => fail(FAILED, &cause),
-            };
+        Command::Check { file } => {
+            let path = file.clone().map_or_else(Settings::path, Ok)?;
+            let settings = Settings::read(&path)?;
+            println!("{}: good", settings.node);
+            Ok(ExitCode::SUCCESS)
         }
-    };
-    let settings = match Settings::path().and_then(|path| Settings::read(&path)) {
-        Ok(settings) => settings,
-        Err(cause) => return fail(UNUSABLE, &cause),
-    };
-    match on_this_thread(run(role, settings)).and_then(|ended| ended) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(message) => fail(FAILED, &message),
+        Command::Operator(command) => block_on(commands::run(command)),
     }
 }
 
-fn on_this_thread<T>(work: impl Future<Output = T>) -> Result<T, String> {
+/// Runs a task, and those that it spawns, on this thread. They end with it.
+fn block_on<T>(task: impl Future<Output = T>) -> Result<T, Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build();
-    let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    Ok(LocalSet::new().block_on(&runtime, work))
+        .build()
+        .map_err(Error::Runtime)?;
+    Ok(LocalSet::new().block_on(&runtime, task))
 }
 
-async fn run(role: &Role, settings: Settings) -> Result<(), String> {
+async fn run_role(role: &Role, path: PathBuf, settings: Settings) -> Result<(), Error> {
     // Before all else: until there is a handler, the signal ends the process.
-    let hangup = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
-    let mut term = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
-    let (reload, reloads) = mpsc::unbounded_channel();
-    let path = Settings::path().map_err(|e: SettingsError| e.to_string())?;
-    tokio::task::spawn_local(reload::follow(path, settings.clone(), hangup, reload));
+    let hangup = signal(SignalKind::hangup()).map_err(|source| Error::SignalHandler {
+        name: "SIGHUP",
+        source,
+    })?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(|source| Error::SignalHandler {
+        name: "SIGTERM",
+        source,
+    })?;
+    let (reloads_sender, reloads) = mpsc::unbounded_channel();
+    tokio::task::spawn_local(settings_watcher::run(
+        path,
+        settings.clone(),
+        hangup,
+        reloads_sender,
+    ));
     let stop = async move {
-        term.recv().await;
+        terminate.recv().await;
     };
-    match role {
+    let ended = match role {
         Role::DataPlane => data_plane::runtime::run(settings, reloads, stop).await,
         Role::Control => control_plane::runtime::run(settings, reloads, stop).await,
-    }
+    };
+    ended.map_err(|error| Error::Role(error.into()))
 }
--- /dev/null
+++ b/crates/shorefront/tests/answers/upstream.rs
@@ -0,0 +1,219 @@
+//! A stand-in for upstreams that misbehave. Each request says in its header `Plan` how it is to be answered; what ran,
+//! and what was answered to it, is recorded by the request's id.
+
+use std::collections::HashMap;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::Duration;
+
+/// What one run of a request was answered with.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct Run {
+    pub(crate) status: u16,
+    pub(crate) body: String,
+    /// All of it was sent, as far as the upstream knows.
+    pub(crate) is_complete: bool,
+}
+
+/// All runs, by the id of their request.
+#[derive(Clone, Default)]
+pub(crate) struct Runs(Arc<Mutex<HashMap<String, Vec<Run>>>>);
+
+impl Runs {
+    /// The runs of a request.
+    pub(crate) fn of(&self, id: &str) -> Vec<Run> {
+        self.0
+            .lock()
+            .expect("whole")
+            .get(id)
+            .cloned()
+            .unwrap_or_default()
+    }
+
+    fn add(&self, id: &str, run: Run) {
+        self.0
+            .lock()
+            .expect("whole")
+            .entry(id.to_string())
+            .or_default()
+            .push(run);
+    }
+}
+
+/// What a request says.
+struct Request {
+    id: String,
+    /// How it is to be answered.
+    plan: String,
+    /// Length of the answer's body.
+    body_bytes: usize,
+}
+
+fn read_request(reader: &mut BufReader<TcpStream>) -> Option<Request> {
+    let mut head = String::new();
+    while !head.ends_with("\r\n\r\n") {
+        if reader.read_line(&mut head).ok()? == 0 {
+            return None;
+        }
+    }
+    let find = |name: &str| {
+        let value = |line: &str| {
+            Some(
+                line.split_once(": ")
+                    .filter(|l| l.0.eq_ignore_ascii_case(name))?
+                    .1
+                    .to_string(),
+            )
+        };
+        head.lines().find_map(value)
+    };
+    let number = |name: &str| find(name).and_then(|v| v.parse().ok()).unwrap_or(0);
+    let mut body = vec![0; number("content-length")];
+    reader.read_exact(&mut body).ok()?;
+    Some(Request {
+        id: find("attempt-id")?,
+        plan: find("plan").unwrap_or_default(),
+        body_bytes: number("size"),
+    })
+}
+
+/// The body of the answer to a run: unlike that of any other.
+fn answer_body(id: &str, run: usize, size: usize) -> String {
+    let name = format!("{id}/{run};");
+    let mut body = name.repeat(size / name.len() + 1);
+    body.truncate(size.max(name.len()));
+    body
+}
+
+fn answer_text(status: u16, id: Option<&str>, body: &str, is_chunked: bool) -> String {
+    let echo = id
+        .map(|id| format!("Attempt-Id: {id}\r\n"))
+        .unwrap_or_default();
+    let head = format!("HTTP/1.1 {status} Said\r\n{echo}Upstream-Seal: seal-{status}\r\n");
+    let length = body.len();
+    if is_chunked {
+        return format!(
+            "{head}Transfer-Encoding: chunked\r\n\r\n{length:x}\r\n{body}\r\n0\r\n\r\n"
+        );
+    }
+    format!("{head}Content-Length: {length}\r\n\r\n{body}")
+}
+
+/// Answers the requests of one connection until it ends.
+fn serve(stream: TcpStream, runs: &Runs) -> Option<()> {
+    stream.set_nodelay(true).ok()?;
+    let mut reader = BufReader::new(stream.try_clone().ok()?);
+    // An answer that comes late does not come within another.
+    let connection = Connection(Arc::new(Mutex::new(stream)));
+    loop {
+        let request = read_request(&mut reader)?;
+        let id = request.id.as_str();
+        if request.plan == "turned-away" {
+            connection.send(&format!(
+                "HTTP/1.1 503 No\r\nAttempt-Id: {id}\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
+            ))?;
+            continue;
+        }
+        let status = match request.plan.as_str() {
+            "error" => 500,
+            "unpromised" => 503,
+            _ => 200,
+        };
+        let number = runs.of(id).len();
+        let body = answer_body(id, number, request.body_bytes);
+        let is_complete = !["cut", "silent"].contains(&request.plan.as_str());
+        let run = Run {
+            status,
+            body,
+            is_complete,
+        };
+        runs.add(id, run.clone());
+        connection.answer(&request, run)?;
+    }
+}
+
+/// The side of a connection on which answers are sent.
+#[derive(Clone)]
+struct Connection(Arc<Mutex<TcpStream>>);
+
+impl Connection {
+    fn send(&self, text: &str) -> Option<()> {
+        let mut stream = self.0.lock().expect("whole");
+        stream.write_all(text.as_bytes()).ok()
+    }
+
+    /// Ends the connection. Returns `None`: no further request is read from it.
+    fn shut_down(&self) -> Option<()> {
+        let stream = self.0.lock().expect("whole");
+        // The balancer may have ended it before.
+        let _ = stream.shutdown(Shutdown::Both);
+        None
+    }
+
+    /// Answers a request as it says. `None` if the connection has ended.
+    fn answer(&self, request: &Request, run: Run) -> Option<()> {
+        let (id, body) = (request.id.as_str(), run.body);
+        let is_chunked = request.body_bytes % 2 == 1;
+        let own = answer_text(run.status, Some(id), &body, is_chunked);
+        let surplus = |status, echo| answer_text(status, echo, &format!("surplus of {id}"), false);
+        match request.plan.as_str() {
+            "cut" | "silent" => {
+                if request.plan == "cut" {
+                    self.send(&own[..own.len() - body.len() / 2 - 1])?;
+                }
+                // Also for an answer to an earlier request that would come late: nothing could tell it from
+                // the rest of this one.
+                self.shut_down()
+            }
+            "nameless" => {
+                // On a connection that had other exchanges a balancer waits for an answer with the request's id.
+                self.send(&answer_text(200, None, &body, false))?;
+                self.shut_down()
+            }
+            "slow" => {
+                thread::sleep(Duration::from_millis(20));
+                self.send(&own)
+            }
+            "twice" => self.send(&(own + &surplus(200, Some(id)))),
+            "twice-error" => self.send(&(own + &surplus(500, Some(id)))),
+            "twice-nameless" => self.send(&(own + &surplus(200, None))),
+            "noise" => self.send(&(own + "\x16\x03 no answer\r\n\r\n")),
+            late if late.starts_with("late") => {
+                self.send(&own)?;
+                let late = match late {
+                    "late-error" => surplus(500, Some(id)),
+                    "late-nameless" => surplus(200, None),
+                    _ => surplus(200, Some(id)),
+                };
+                let (connection, pause_ms) = (self.clone(), request.body_bytes as u64 % 40);
+                thread::spawn(move || {
+                    thread::sleep(Duration::from_millis(pause_ms));
+                    // The balancer may have ended the connection.
+                    let _ = connection.send(&late);
+                });
+                Some(())
+            }
+            raw if raw.starts_with("raw ") => {
+                let text = raw[4..].replace('|', "\r\n").replace("{id}", id);
+                self.send(&text.replace("{body}", &body))
+            }
+            _ => self.send(&own),
+        }
+    }
+}
+
+/// Serves on a port of its own until the test ends.
+pub(crate) fn start_upstream(runs: &Runs) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    let runs = runs.clone();
+    thread::spawn(move || {
+        for stream in listener.incoming().flatten() {
+            let runs = runs.clone();
+            thread::spawn(move || serve(stream, &runs));
+        }
+    });
+    address
+}
--- a/crates/shorefront/tests/outside_view.rs
+++ b/crates/shorefront/tests/outside_view.rs
@@ -16,18 +16,23 @@
 use std::thread;
 use std::time::Duration;
 
-use common::{PROGRAM, Process, connect, folder, free_port, get, post, stand_in, start, wait};
+use common::http_client::{connect, get, replace_config};
+use common::stand_in::start_stand_in;
+use common::{
+    PROGRAM, Process, SettingsTemplate, free_address, free_port, instance, instance_list, start,
+    status_and_output, temporary_folder, wait_for, wait_until_ready,
+};
 use serde_json::{Value, json};
 
-/// Set to `1`, it has the files written instead of compared.
-const WRITE: &str = "SHOREFRONT_WRITE_FIXTURES";
+/// Set to `1`, it has the files written before they are compared.
+const WRITE_FIXTURES_ENV_VAR: &str = "SHOREFRONT_WRITE_FIXTURES";
 
 /// Compares a text with the one in its file.
 fn assert_golden(name: &str, text: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
         .join(name);
-    if std::env::var(WRITE).is_ok_and(|value| value == "1") {
+    if std::env::var(WRITE_FIXTURES_ENV_VAR).is_ok_and(|value| value == "1") {
         std::fs::write(&path, text).expect("written");
     }
     let golden = std::fs::read_to_string(&path);
@@ -35,7 +40,7 @@
     assert_eq!(text, golden, "{name}");
 }
 
-/// Runs the program in a folder: its exit status, and what it wrote to both outputs.
+/// Runs the program in a folder. Returns its exit status, and what it wrote to both outputs.
 fn run(folder: &Path, arguments: &[&str], settings: Option<&str>) -> (Option<i32>, String) {
     let mut command = Command::new(PROGRAM);
     command.current_dir(folder).args(arguments);
@@ -45,12 +50,7 @@
     if let Some(file) = settings {
         command.env("SHOREFRONT_SETTINGS", file);
     }
-    let output = command.output().expect("run");
-    let written = [output.stdout, output.stderr].concat();
-    (
-        output.status.code(),
-        String::from_utf8_lossy(&written).into_owned(),
-    )
+    status_and_output(&command.output().expect("run"))
 }
 
 fn usable_settings() -> Value {
@@ -97,7 +97,7 @@
 
 #[test]
 fn unusable_settings_end_with_78_and_name_file_and_field() {
-    let folder = folder("outside-settings");
+    let folder = temporary_folder("outside-settings");
     let file = folder.join("boot.json");
     let mut without_ip = usable_settings();
     without_ip.as_object_mut().expect("an object").remove("ip");
@@ -144,25 +144,21 @@
 
 #[test]
 fn exit_statuses_tell_success_failure_and_misuse() {
-    let folder = folder("outside-statuses");
+    let folder = temporary_folder("outside-statuses");
     std::fs::write(folder.join("good.json"), usable_settings().to_string()).expect("written");
     let good = (Some(0), "edge-1: good\n".to_string());
     assert_eq!(run(&folder, &["check", "good.json"], None), good);
     assert_eq!(run(&folder, &["check"], Some("good.json")), good);
 
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let taken = taken
-        .local_addr()
-        .map(|address| (address, taken))
-        .expect("an address");
-    let ports = json!([taken.0.port(), taken.0.port()]);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let in_use = listener.local_addr().expect("an address");
     let mut settings = usable_settings();
-    settings["port_range"] = ports;
-    settings["listen"] = json!({"http": taken.0, "readiness": taken.0, "ctl": taken.0});
+    settings["port_range"] = json!([in_use.port(), in_use.port()]);
+    settings["listen"] = json!({"http": in_use, "readiness": in_use, "ctl": in_use});
     settings["data_dir"] = json!(folder.join("data"));
-    std::fs::write(folder.join("taken.json"), settings.to_string()).expect("written");
+    std::fs::write(folder.join("in-use.json"), settings.to_string()).expect("written");
     for role in ["data-plane", "control"] {
-        let (status, error) = run(&folder, &[role], Some("taken.json"));
+        let (status, error) = run(&folder, &[role], Some("in-use.json"));
         assert_eq!(status, Some(1), "{role}: {error}");
         assert!(error.contains("shorefront: "), "{role}: {error}");
     }
@@ -170,14 +166,9 @@
     let (status, error) = run(&folder, &["config", "check", "missing.json"], None);
     assert_eq!(status, Some(1), "{error}");
     assert_eq!(run(&folder, &["no-such-command"], None).0, Some(2));
-    let nobody = [
-        "status",
-        "--patience",
-        "0.1",
-        "--at",
-        &format!("127.0.0.1:{}", free_port()),
-    ];
-    assert_eq!(run(&folder, &nobody, None).0, Some(4));
+    let unreachable = free_address().to_string();
+    let arguments = ["status", "--patience", "0.1", "--at", &unreachable];
+    assert_eq!(run(&folder, &arguments, None).0, Some(4));
     let _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -207,7 +198,7 @@
 
 #[test]
 fn status_shows_fixed_answers_unchanged() {
-    let serve = |status: Value| stand_in(move |_, _| status.to_string()).to_string();
+    let serve = |status: Value| start_stand_in(move |_, _| status.to_string()).to_string();
     let (leader, follower) = (serve(leader_status()), serve(follower_status()));
     let cases: [(&str, Vec<&str>); 4] = [
         ("a leader", vec!["--at", &leader]),
@@ -242,28 +233,24 @@
 
 impl System {
     fn start(name: &str) -> Self {
-        let folder = folder(name);
-        let upstream = stand_in(|first, _| {
-            if first.contains("/slow") {
+        let folder = temporary_folder(name);
+        let upstream = start_stand_in(|request_line, _| {
+            if request_line.contains("/slow") {
                 thread::sleep(Duration::from_millis(300));
             }
             "answered".into()
         });
-        let instance = json!({"id": "i-1", "svc": "one", "addr": upstream, "zone": "a", "slots": 8,
-            "state": "ready", "warm_left_ms": 0});
-        let list = json!({"instances": [instance], "next_token": null}).to_string();
-        let platform = stand_in(move |_, _| list.clone());
-        let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-        let (ctl, http, readiness) = (at(free_port()), at(free_port()), at(free_port()));
-        let inner = free_port();
-        let settings = |listen: Value| {
-            json!({"node": "edge-1", "ip": "127.0.0.1", "zone": "a", "region": "r",
-                "zone_map": {"a": "r"}, "listen": listen, "port_range": [inner, inner], "seeds": [ctl],
-                "bootstrap": true, "data_dir": folder.join("data"), "cloud_api": {"addr": platform}})
+        let list = instance_list(&[instance("i-1", "one", upstream, 8)]);
+        let (ctl, http, readiness) = (free_address(), free_address(), free_address());
+        let template = SettingsTemplate {
+            ctl,
+            internal_port: free_port(),
+            platform: start_stand_in(move |_, _| list.clone()),
         };
-        let control = start(&folder, "control", &settings(json!({"ctl": ctl})));
+        let settings = |listen: &Value| template.settings("edge-1", &folder, true, listen);
+        let control = start(&folder, "control", &settings(&json!({"ctl": ctl})));
         let listen = json!({"http": http, "readiness": readiness});
-        let data_plane = start(&folder, "data-plane", &settings(listen));
+        let data_plane = start(&folder, "data-plane", &settings(&listen));
         let system = Self {
             folder,
             ctl,
@@ -282,19 +269,18 @@
         };
         let config = json!({"rev": 5, "services": [{"name": "one"}],
             "routes": [route("repeated", "idempotent"), route("once", "mutating")]});
-        let taken = || post(self.ctl, "/-/Config.Replace", 0, &config).filter(|a| a.0 == 200);
-        wait("the configuration", taken);
-        wait("readiness", || {
-            get(self.readiness, "r", "/-/ready").filter(|a| a.0 == 200)
+        wait_for("the configuration", || {
+            replace_config(self.ctl, 0, &config).filter(|status| *status == 200)
         });
+        wait_until_ready(self.readiness);
     }
 
-    /// Sends a request whose client leaves before its answer.
-    fn abandon(&self, path: &str) {
-        let head = "Host: h\r\nAttempt-Id: 7\r\nDeadline-Ms: 4000\r\n\r\n";
+    /// Sends a request, and closes the connection before its answer.
+    fn abandon_request(&self, path: &str) {
+        let headers = "Host: h\r\nAttempt-Id: 7\r\nDeadline-Ms: 4000\r\n\r\n";
         let mut client = connect(self.http).expect("reachable");
         client
-            .write_all(format!("GET {path} HTTP/1.1\r\n{head}").as_bytes())
+            .write_all(format!("GET {path} HTTP/1.1\r\n{headers}").as_bytes())
             .expect("sent");
         thread::sleep(Duration::from_millis(100));
     }
@@ -353,30 +339,30 @@
 #[test]
 fn names_of_metrics_and_of_status_fields_are_unchanged() {
     let system = System::start("outside-names");
-    assert_eq!(get(system.http, "h", "/once/x").map(|a| a.0), Some(200));
-    let metrics = |at: SocketAddr| get(at, "r", "/-/metrics").map(|answer| answer.1);
+    let answer = get(system.http, "h", "/once/x");
+    assert_eq!(answer.map(|a| a.status), Some(200));
+    let metrics = |at: SocketAddr| get(at, "r", "/-/metrics").map(|answer| answer.body);
     // Both ways in which an attempt ends whose client has left.
     let ends = [
         r#"seconds_count{end="Cancelled"}"#,
         r#"seconds_count{end="Finished"}"#,
     ];
-    let data_plane = wait("abandoned attempts", || {
-        system.abandon("/repeated/slow");
-        system.abandon("/once/slow");
-        let counted = metrics(system.readiness)?;
-        ends.iter()
-            .all(|end| counted.contains(end))
-            .then_some(counted)
+    let data_plane = wait_for("abandoned attempts", || {
+        system.abandon_request("/repeated/slow");
+        system.abandon_request("/once/slow");
+        let metrics = metrics(system.readiness)?;
+        let has_all = ends.iter().all(|end| metrics.contains(end));
+        has_all.then_some(metrics)
     });
     assert_golden("data-plane-metrics.txt", &metric_names(&data_plane));
 
     let control = metrics(system.ctl).expect("metrics");
     assert_golden("control-plane-metrics.txt", &metric_names(&control));
 
-    let (_, status) = wait("status", || {
-        get(system.ctl, "c", "/-/Status").filter(|a| a.0 == 200)
+    let status = wait_for("status", || {
+        get(system.ctl, "c", "/-/Status").filter(|a| a.status == 200)
     });
-    let status: Value = serde_json::from_str(&status).expect("JSON");
+    let status: Value = serde_json::from_str(&status.body).expect("JSON");
     assert_eq!(status["role"], "leader");
     let mut names = BTreeSet::new();
     field_names(&status, "", &mut names);
--- /dev/null
+++ b/crates/shorefront/tests/whole_path/main.rs
@@ -0,0 +1,11 @@
+//! The whole path as processes on loopback: a control balancer, a data-plane balancer, and stand-ins for the platform
+//! and an upstream. The tests wait for events, with a limit wide enough for a busy machine.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod configuration;
+mod hostile_requests;
+mod key_owners;
+mod operator_commands;
+mod settings_file;
+mod system;
--- /dev/null
+++ b/crates/shorefront/tests/whole_path/system.rs
@@ -0,0 +1,107 @@
+//! A control balancer and a data-plane balancer, with what they need around them.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::sync::{Arc, Mutex};
+
+use serde_json::{Value, json};
+
+use crate::common::http_client::replace_config;
+use crate::common::stand_in::start_stand_in;
+use crate::common::{
+    Process, SettingsTemplate, free_address, free_port, instance, instance_list, start,
+    temporary_folder, wait_for, wait_until_ready,
+};
+
+pub(crate) struct System {
+    pub(crate) folder: PathBuf,
+    pub(crate) ctl: SocketAddr,
+    pub(crate) http: SocketAddr,
+    pub(crate) readiness: SocketAddr,
+    settings: SettingsTemplate,
+    control: Option<Process>,
+    _data_plane: Process,
+    /// Request lines that reached the upstream.
+    request_lines: Arc<Mutex<Vec<String>>>,
+}
+
+impl System {
+    /// Starts the system, with upstream `i-1` of service `one` and `i-2` of service `two`. Each answers with the name
+    /// of the upstream that the request was meant for.
+    pub(crate) fn start(name: &str) -> Self {
+        let folder = temporary_folder(name);
+        let request_lines = Arc::new(Mutex::new(Vec::new()));
+        let upstream = start_upstream(request_lines.clone());
+        let platform = start_stand_in(move |_, _| {
+            instance_list(&[
+                instance("i-1", "one", upstream, 2),
+                instance("i-2", "two", upstream, 2),
+            ])
+        });
+        let (ctl, http, readiness) = (free_address(), free_address(), free_address());
+        let settings = SettingsTemplate {
+            ctl,
+            internal_port: free_port(),
+            platform,
+        };
+        let of = |listen: &Value| settings.settings("edge-1", &folder, true, listen);
+        let control = start(&folder, "control", &of(&json!({"ctl": ctl})));
+        let listen = json!({"http": http, "readiness": readiness});
+        let data_plane = start(&folder, "data-plane", &of(&listen));
+        Self {
+            folder,
+            ctl,
+            http,
+            readiness,
+            settings,
+            control: Some(control),
+            _data_plane: data_plane,
+            request_lines,
+        }
+    }
+
+    /// Puts the first configuration in force, and waits until the data plane serves by it.
+    pub(crate) fn configure(&self, config: &Value) {
+        wait_for("the configuration", || {
+            replace_config(self.ctl, 0, config).filter(|status| *status == 200)
+        });
+        wait_until_ready(self.readiness);
+    }
+
+    /// Kills the control balancer outright.
+    pub(crate) fn kill_control(&mut self) {
+        self.control.take().expect("it runs").kill();
+    }
+
+    /// Starts the control balancer again, on its data.
+    pub(crate) fn restart_control(&mut self) {
+        let listen = json!({"ctl": self.ctl});
+        let settings = self
+            .settings
+            .settings("edge-1", &self.folder, false, &listen);
+        self.control = Some(start(&self.folder, "control", &settings));
+    }
+
+    /// Request lines that reached the upstream so far.
+    pub(crate) fn request_lines(&self) -> Vec<String> {
+        self.request_lines.lock().expect("whole").clone()
+    }
+}
+
+impl Drop for System {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+fn start_upstream(request_lines: Arc<Mutex<Vec<String>>>) -> SocketAddr {
+    start_stand_in(move |request_line, headers| {
+        let line = request_line.trim_end().to_string();
+        request_lines.lock().expect("whole").push(line);
+        // Each request says which upstream it is meant for.
+        let target = headers
+            .lines()
+            .find_map(|l| l.strip_prefix("target-instance: "));
+        format!("from {}", target.unwrap_or("nobody"))
+    })
+}
