--- a/crates/control-plane/src/http_api.rs
+++ b/crates/control-plane/src/http_api.rs
@@ -181,7 +181,7 @@
         } = self.server.log_status();
         let agreed = self.server.replicated_state();
         let session = |s: &Session| {
-            json!({"node": s.balancer.node, "zone": s.balancer.zone, "http": s.balancer.http,
+            json!({"node": s.balancer.node, "zone": s.balancer.zone, "http": s.balancer.http_addr,
                 "ready": s.ready, "leaving": s.draining})
         };
         let keys = |(service, slices): (&String, &KeyRangeMap)| {
@@ -209,7 +209,7 @@
         answer(
             StatusCode::OK,
             &json!({"node": self.server.settings.node, "id": format!("{:016x}", core.id),
-                "role": format!("{:?}", core.role).to_lowercase(), "term": core.term,
+                "role": core.role.to_string(), "term": core.term,
                 "leader": self.server.leader_address(), "in_contact": self.server.has_quorum_contact(),
                 "contact_age_ms": self.server.quorum_contact_age().map(|age| age.as_millis() as u64),
                 "commit": core.commit_index, "last": core.last_log_index,
@@ -354,7 +354,10 @@
 fn nearest(members: &[Session], zone: &str, region: &str) -> Vec<SocketAddr> {
     let open: Vec<&Session> = members.iter().filter(|s| s.ready && !s.draining).collect();
     let pick = |near: &dyn Fn(&Session) -> bool| -> Vec<SocketAddr> {
-        let near = open.iter().filter(|s| near(s)).map(|s| s.balancer.http);
+        let near = open
+            .iter()
+            .filter(|s| near(s))
+            .map(|s| s.balancer.http_addr);
         near.take(ADDRESSES).collect()
     };
     let own = pick(&|s| s.balancer.zone == zone);
@@ -381,7 +384,7 @@
             node: format!("n{port}"),
             zone,
             region,
-            http,
+            http_addr: http,
         };
         Session {
             balancer,
--- a/crates/control-plane/src/server/keys.rs
+++ b/crates/control-plane/src/server/keys.rs
@@ -1,6 +1,7 @@
 //! Who holds which keys, as agreed on, and how much work there is for them.
 
-use protocol::key_ranges::{KeyRangeChange, KeyRangeMap, WorkCounts};
+use protocol::key_load::{BucketLoad, KeyLoadReport};
+use protocol::key_ranges::{KeyRangeChange, KeyRangeMap};
 
 use super::ControlServer;
 use crate::configuration::Command;
@@ -19,22 +20,25 @@
     }
 
     /// Balancers counted so many requests for keys.
-    pub fn record_work(&self, counts: WorkCounts) {
+    pub fn record_work(&self, counts: KeyLoadReport) {
         let mut inner = self.inner.borrow_mut();
         for (service, runs) in counts {
             let known = inner.work.entry(service).or_default();
-            for (run, n) in runs {
-                let known = known.entry(run).or_default();
-                *known = known.saturating_add(n);
+            for BucketLoad { bucket, units } in runs {
+                let known = known.entry(bucket).or_default();
+                *known = known.saturating_add(units);
             }
         }
     }
 
     /// What was counted and not taken yet.
-    pub fn take_work_counts(&self) -> WorkCounts {
+    pub fn take_work_counts(&self) -> KeyLoadReport {
         let work = std::mem::take(&mut self.inner.borrow_mut().work);
         work.into_iter()
-            .map(|(service, runs)| (service, runs.into_iter().collect()))
+            .map(|(service, runs)| {
+                let load = |(bucket, units)| BucketLoad { bucket, units };
+                (service, runs.into_iter().map(load).collect())
+            })
             .collect()
     }
 
--- a/crates/control-plane/src/server/sessions.rs
+++ b/crates/control-plane/src/server/sessions.rs
@@ -6,7 +6,7 @@
 
 use protocol::compact_config::CompactConfig;
 use protocol::key_ranges::KeyRangeMap;
-use protocol::wire::{self, FleetView, Session, WatchRequest, WatchUpdate};
+use protocol::wire::{self, FleetView, Indexed, Session, WatchRequest, WatchUpdate};
 
 use super::{ControlServer, Inner};
 
@@ -127,7 +127,7 @@
         {
             let config = serde_json::from_str(&self.agreed.config);
             let config = config.inspect_err(|cause| tracing::error!(%cause, "the configuration"));
-            self.compact = Some((index, Arc::new(CompactConfig::of(&config.ok()?))));
+            self.compact = Some((index, Arc::new(CompactConfig::from_config(&config.ok()?))));
         }
         self.compact.clone()
     }
@@ -135,23 +135,31 @@
     /// What was agreed on and a balancer that has this does not have yet.
     fn agreed_news(&mut self, has: &mut WatchRequest, news: &mut WatchUpdate) {
         if self.agreed.config_index > has.config_index {
-            news.config = self.compact_config();
+            news.config = self
+                .compact_config()
+                .map(|(index, value)| Indexed { index, value });
             has.config_index = self.agreed.config_index;
         }
         let agreed = &self.agreed;
         if agreed.evacuations_index > has.evacuations_index {
             has.evacuations_index = agreed.evacuations_index;
             let zones = agreed.evacuated().map(|(zone, _)| zone.clone()).collect();
-            news.evacuated_zones = Some((agreed.evacuations_index, zones));
+            news.evacuated_zones = Some(Indexed {
+                index: agreed.evacuations_index,
+                value: zones,
+            });
         }
-        if agreed.keys_index > has.keys_index {
+        if agreed.keys_index > has.key_ranges_index {
             let rows = |(service, slices): (&String, &KeyRangeMap)| {
-                let rows = slices.changed_since(has.keys_index);
+                let rows = slices.changed_since(has.key_ranges_index);
                 (!rows.is_empty()).then(|| (service.clone(), rows))
             };
             let rows = agreed.keys.iter().filter_map(rows).collect();
-            has.keys_index = agreed.keys_index;
-            news.keys = Some((agreed.keys_index, rows));
+            has.key_ranges_index = agreed.keys_index;
+            news.key_ranges = Some(Indexed {
+                index: agreed.keys_index,
+                value: rows,
+            });
         }
     }
 }
--- a/crates/data-plane/src/routes.rs
+++ b/crates/data-plane/src/routes.rs
@@ -17,11 +17,12 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 use load_balancing::interface::{self as d, MembershipKind, Span};
-use protocol::config::{Config, Limits, RequestKind, Route};
-use protocol::key_ranges::{KeyRangeView, WORK_UNIT_MS, WorkCounts};
+use protocol::config::{Config, RequestKind, RequestLimits, Route};
+use protocol::key_load::{BucketLoad, KeyLoadReport, LOAD_UNIT_MS};
+use protocol::key_ranges::KeyRangeView;
 use protocol::settings::{Bounds, Settings};
 use protocol::upstream_list::{UpdateOutcome, Upstream, UpstreamList};
-use protocol::wire::{FleetView, WatchRequest, WatchUpdate};
+use protocol::wire::{FleetView, Indexed, WatchRequest, WatchUpdate};
 use rustc_hash::FxHashMap;
 use tokio::time::{Instant, timeout_at};
 
@@ -131,7 +132,7 @@
 #[derive(Default)]
 struct Told {
     config_index: u64,
-    limits: Limits,
+    limits: RequestLimits,
     evacuated_index: u64,
     evacuated: Vec<String>,
     keys_index: u64,
@@ -166,18 +167,18 @@
     version: ChangeNotifier,
     metrics: Metrics,
     /// Holds the front to the limits that clients have.
-    limited: Box<dyn Fn(&Limits)>,
+    limited: Box<dyn Fn(&RequestLimits)>,
 }
 
 impl Routes {
     pub fn new(
         settings: &Settings,
         engine: EngineHandle,
-        limited: Box<dyn Fn(&Limits)>,
+        limited: Box<dyn Fn(&RequestLimits)>,
     ) -> Rc<Self> {
         let zones: Vec<String> = settings.zone_map.keys().cloned().collect();
         let zone = zones.iter().position(|z| *z == settings.zone).unwrap_or(0) as u32;
-        let metrics = Metrics::new(engine.abandoned());
+        let metrics = Metrics::new(engine.abandoned_attempts());
         Rc::new(Self {
             engine,
             regions: settings.zone_map.values().cloned().collect(),
@@ -202,7 +203,7 @@
 
     /// Whether it can serve: it knows the configuration and somewhere to send to.
     pub fn is_ready(&self) -> bool {
-        !self.leaving.get() && self.told.borrow().config_index > 0 && self.engine.ready()
+        !self.leaving.get() && self.told.borrow().config_index > 0 && self.engine.is_ready()
     }
 
     /// What was counted, as Prometheus reads it.
@@ -345,9 +346,9 @@
             tenant: 0,
             key,
             shard,
-            until,
-            cost_guess,
-            resent,
+            deadline: until,
+            estimated_work: cost_guess,
+            is_client_retry: resent,
         };
         let method = head.method.clone();
         let forward = ForwardedRequest {
@@ -356,14 +357,14 @@
             headers: forward_request_headers(head.headers, body.len()),
             body,
         };
-        match self.engine.ask(service, arrival, forward).await {
+        match self.engine.submit(service, arrival, forward).await {
             EngineReply::Served(response) => (RequestOutcome::Served, served(response, &method)),
-            EngineReply::Refused { retry_after } => refused(retry_after),
-            EngineReply::Failed { late: true } => (
+            EngineReply::Rejected { retry_after } => refused(retry_after),
+            EngineReply::Failed { timed_out: true } => (
                 RequestOutcome::Failed,
                 empty_response(StatusCode::GATEWAY_TIMEOUT),
             ),
-            EngineReply::Failed { late: false } => (
+            EngineReply::Failed { timed_out: false } => (
                 RequestOutcome::Failed,
                 empty_response(StatusCode::BAD_GATEWAY),
             ),
--- a/crates/mutation-testing/src/main.rs
+++ b/crates/mutation-testing/src/main.rs
@@ -48,6 +48,8 @@
     Failed { command: String, stderr: String },
     #[error("`{0}` fails without any fault")]
     FailsUnchanged(String),
+    #[error("no fault `{0}` in this area")]
+    UnknownFault(String),
     #[error("usage: mutation-testing AREA [FAULT...], where AREA is a directory of tests/faults")]
     Usage,
 }
@@ -85,6 +87,9 @@
     let names: Vec<String> = arguments.collect();
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let mut faults = Fault::read_all(&root.join(FAULTS_DIRECTORY).join(&area))?;
+    if let Some(unknown) = names.iter().find(|n| faults.iter().all(|f| f.name != **n)) {
+        return Err(Error::UnknownFault(unknown.clone()));
+    }
     faults.retain(|f| names.is_empty() || names.contains(&f.name));
     let sources = SourceCopy::new(&root)?;
     check_unchanged_sources(&sources, &faults)?;
--- a/crates/shorefront/src/commands/config.rs
+++ b/crates/shorefront/src/commands/config.rs
@@ -55,7 +55,7 @@
         ConfigCommand::Check { file } => {
             let config = ConfigFile::read(file)?.config;
             let (routes, services) = (config.routes.len(), config.services.len());
-            let (file, rev) = (file.display(), config.rev);
+            let (file, rev) = (file.display(), config.revision);
             Ok(format!(
                 "{file}: good (rev {rev}, {routes} routes, {services} services)"
             ))
--- a/crates/shorefront/tests/answers/fleet.rs
+++ b/crates/shorefront/tests/answers/fleet.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use crate::common::http_client::replace_config;
-use crate::common::stand_in::start_stand_in;
+use crate::common::mock_server::start_mock_server;
 use crate::common::{
     Process, SettingsTemplate, free_address, free_port, instance, instance_list, start,
     temporary_folder, wait_for, wait_until_ready,
@@ -50,7 +50,7 @@
         let settings = SettingsTemplate {
             ctl: free_address(),
             internal_port: free_port(),
-            platform: start_stand_in(move |_, _| list.clone()),
+            platform: start_mock_server(move |_, _| list.clone()),
         };
         let listen = json!({"ctl": settings.ctl});
         let of_control = with_grace(settings.settings("control", &folder, true, &listen));
--- a/crates/shorefront/tests/answers/upstream.rs
+++ b/crates/shorefront/tests/answers/upstream.rs
@@ -1,4 +1,4 @@
-//! A stand-in for upstreams that misbehave. Each request says in its header `Plan` how it is to be answered; what ran,
+//! A mock server for upstreams that misbehave. Each request says in its header `Plan` how it is to be answered; what ran,
 //! and what was answered to it, is recorded by the request's id.
 
 use std::collections::HashMap;
--- a/crates/shorefront/tests/common/stand_in.rs
+++ b/crates/shorefront/tests/common/mock_server.rs
@@ -1,4 +1,4 @@
-//! HTTP servers on loopback that stand in for the platform, upstreams and control balancers.
+//! HTTP servers on loopback in the place of the platform, upstreams and control balancers.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,7 +6,7 @@
 
 /// Serves on a port of its own until the test ends. `respond` makes the body of each response from the request line
 /// and the headers, which are in lower case; the status is 200.
-pub(crate) fn start_stand_in(
+pub(crate) fn start_mock_server(
     respond: impl Fn(&str, &str) -> String + Send + Clone + 'static,
 ) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/shorefront/tests/common/mod.rs
+++ b/crates/shorefront/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
 pub(crate) mod http_client;
-pub(crate) mod stand_in;
+pub(crate) mod mock_server;
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
--- a/crates/shorefront/tests/outside_view.rs
+++ b/crates/shorefront/tests/outside_view.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use common::http_client::{connect, get, replace_config};
-use common::stand_in::start_stand_in;
+use common::mock_server::start_mock_server;
 use common::{
     PROGRAM, Process, SettingsTemplate, free_address, free_port, instance, instance_list, start,
     status_and_output, temporary_folder, wait_for, wait_until_ready,
@@ -198,7 +198,7 @@
 
 #[test]
 fn status_shows_fixed_answers_unchanged() {
-    let serve = |status: Value| start_stand_in(move |_, _| status.to_string()).to_string();
+    let serve = |status: Value| start_mock_server(move |_, _| status.to_string()).to_string();
     let (leader, follower) = (serve(leader_status()), serve(follower_status()));
     let cases: [(&str, Vec<&str>); 4] = [
         ("a leader", vec!["--at", &leader]),
@@ -222,7 +222,7 @@
     assert_golden("status.txt", &text);
 }
 
-/// A control balancer and a data-plane balancer on loopback, with stand-ins for the platform and one upstream.
+/// A control balancer and a data-plane balancer on loopback, with mock servers for the platform and one upstream.
 struct System {
     folder: PathBuf,
     ctl: SocketAddr,
@@ -234,7 +234,7 @@
 impl System {
     fn start(name: &str) -> Self {
         let folder = temporary_folder(name);
-        let upstream = start_stand_in(|request_line, _| {
+        let upstream = start_mock_server(|request_line, _| {
             if request_line.contains("/slow") {
                 thread::sleep(Duration::from_millis(300));
             }
@@ -245,7 +245,7 @@
         let template = SettingsTemplate {
             ctl,
             internal_port: free_port(),
-            platform: start_stand_in(move |_, _| list.clone()),
+            platform: start_mock_server(move |_, _| list.clone()),
         };
         let settings = |listen: &Value| template.settings("edge-1", &folder, true, listen);
         let control = start(&folder, "control", &settings(&json!({"ctl": ctl})));
--- a/crates/shorefront/tests/whole_path/hostile_requests.rs
+++ b/crates/shorefront/tests/whole_path/hostile_requests.rs
@@ -139,7 +139,7 @@
 }
 
 /// A body that its client cuts short gets an error or no answer.
-fn check_cut_body(http: SocketAddr) {
+fn check_truncated_body(http: SocketAddr) {
     let mut stream = connect(http).expect("reachable");
     stream
         .write_all(post("Content-Length: 10\r\n", "abc").as_bytes())
@@ -206,7 +206,7 @@
         let status = answer.split(' ').nth(1).unwrap_or("");
         assert!(case.statuses.contains(&status), "{}: {answer:?}", case.name);
     }
-    check_cut_body(system.http);
+    check_truncated_body(system.http);
     assert_eq!(
         system.request_lines(),
         Vec::<String>::new(),
--- a/crates/shorefront/tests/whole_path/main.rs
+++ b/crates/shorefront/tests/whole_path/main.rs
@@ -1,4 +1,4 @@
-//! The whole path as processes on loopback: a control balancer, a data-plane balancer, and stand-ins for the platform
+//! The whole path as processes on loopback: a control balancer, a data-plane balancer, and mock servers for the platform
 //! and an upstream. The tests wait for events, with a limit wide enough for a busy machine.
 
 #[path = "../common/mod.rs"]
--- a/crates/shorefront/tests/whole_path/system.rs
+++ b/crates/shorefront/tests/whole_path/system.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use crate::common::http_client::replace_config;
-use crate::common::stand_in::start_stand_in;
+use crate::common::mock_server::start_mock_server;
 use crate::common::{
     Process, SettingsTemplate, free_address, free_port, instance, instance_list, start,
     temporary_folder, wait_for, wait_until_ready,
@@ -32,7 +32,7 @@
         let folder = temporary_folder(name);
         let request_lines = Arc::new(Mutex::new(Vec::new()));
         let upstream = start_upstream(request_lines.clone());
-        let platform = start_stand_in(move |_, _| {
+        let platform = start_mock_server(move |_, _| {
             instance_list(&[
                 instance("i-1", "one", upstream, 2),
                 instance("i-2", "two", upstream, 2),
@@ -95,7 +95,7 @@
 }
 
 fn start_upstream(request_lines: Arc<Mutex<Vec<String>>>) -> SocketAddr {
-    start_stand_in(move |request_line, headers| {
+    start_mock_server(move |request_line, headers| {
         let line = request_line.trim_end().to_string();
         request_lines.lock().expect("whole").push(line);
         // Each request says which upstream it is meant for.
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use oorandom::Rand64;
-use raft::{Message, MessageBody, Payload};
+use raft::{AppendEntries, Message, MessageBody, Payload};
 
 /// A message takes at least this long, in milliseconds.
 const MIN_DELAY_MS: u64 = 1;
@@ -165,7 +165,7 @@
         _ => SMALL_ENTRY_BYTES,
     };
     let body_bytes = match &message.body {
-        MessageBody::AppendEntries { entries, .. } => {
+        MessageBody::AppendEntries(AppendEntries { entries, .. }) => {
             entries.iter().map(|e| payload_bytes(&e.payload)).sum()
         }
         MessageBody::Chunk(chunk) => chunk.bytes.len() as u64,
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -10,8 +10,8 @@
 use control_plane::configuration::{Command, CommandOutcome, ReplicatedState};
 use control_plane::store::DiskRequest;
 use raft::{
-    Entry, Members, MembershipPolicy, Message, NodeId, Payload, RaftNode, Ready, Role, Snapshot,
-    Timing,
+    Entry, Members, MembershipPolicy, Message, NodeId, Payload, RaftNode, ReadState, Ready, Role,
+    Snapshot, Timing,
 };
 
 use crate::disk::Disk;
@@ -261,7 +261,7 @@
             effects.push(Effect::Applied(entry.clone()));
             self.apply(&entry, effects);
         }
-        for (token, index) in ready.read_states {
+        for ReadState { token, index } in ready.read_states {
             match (self.pending_reads.remove(&token), index) {
                 (Some(read), Some(index)) => {
                     self.confirmed_reads.push(ConfirmedRead { index, read });
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -74,15 +74,30 @@
     FaultBegins(usize),
     FaultEnds,
     AllFaultsEnd,
-    Tick { machine: usize, incarnation: u64 },
-    Start { machine: usize, incarnation: u64 },
+    Tick {
+        machine: usize,
+        incarnation: u64,
+    },
+    Start {
+        machine: usize,
+        incarnation: u64,
+    },
     ShutdownEnds(Shutdown),
     Resume(usize),
-    Deliver { to: usize, input: Box<Input> },
-    DiskCompletes { machine: usize, incarnation: u64 },
+    Deliver {
+        to: usize,
+        input: Box<Input>,
+    },
+    DiskCompletes {
+        machine: usize,
+        incarnation: u64,
+    },
     OperatorActs(usize),
     ResponseTimeout(Caller),
-    Response(Box<(Caller, Response)>),
+    Response {
+        caller: Caller,
+        response: Box<Response>,
+    },
     Read,
 }
 
@@ -249,7 +264,7 @@
             } => self.complete_transaction(machine, incarnation),
             Event::OperatorActs(operator) => self.send_command(operator),
             Event::ResponseTimeout(caller) => self.on_response_timeout(caller),
-            Event::Response(response) => self.on_response(response.0, &response.1),
+            Event::Response { caller, response } => self.on_response(caller, &response),
             Event::Read => self.send_read(),
         }
     }
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -71,7 +71,7 @@
             .enumerate()
             .filter(|(slot, _)| *slot != machine);
         let without_vote = others
-            .filter(|(_, m)| m.is_leaving || !voters.contains_key(&m.id))
+            .filter(|(_, m)| m.is_shutting_down || !voters.contains_key(&m.id))
             .count();
         let voters_without_machine = voters
             .keys()
@@ -106,7 +106,7 @@
         self.lost_members.insert(m.id);
         m.id = id;
         m.disk = Disk::default();
-        m.is_leaving = false;
+        m.is_shutting_down = false;
         if has_new_address {
             m.address = format!("10.0.1.{id}:1");
         }
@@ -115,7 +115,7 @@
     /// A process shuts down in order; its machine is replaced `SHUTDOWN_GRACE_MS` after `ends_ms`.
     fn begin_shutdown(&mut self, machine: usize, ends_ms: u64) {
         self.handle_input(machine, Input::Shutdown);
-        self.machines[machine].is_leaving = true;
+        self.machines[machine].is_shutting_down = true;
         let shutdown = Shutdown {
             machine,
             incarnation: self.machines[machine].incarnation,
@@ -128,7 +128,7 @@
     /// The grace of an orderly shutdown is over: the machine goes, unless its process has crashed meanwhile.
     pub(super) fn end_shutdown(&mut self, shutdown: &Shutdown) {
         let m = &mut self.machines[shutdown.machine];
-        m.is_leaving = false;
+        m.is_shutting_down = false;
         if m.incarnation == shutdown.incarnation {
             self.lose_disk(shutdown.machine, shutdown.replaced_at_ms, true);
         }
--- a/crates/simulation/src/world/machines.rs
+++ b/crates/simulation/src/world/machines.rs
@@ -27,7 +27,7 @@
     pub(super) disk_stalled_until_ms: u64,
     pub(super) writes_rejected_until_ms: u64,
     /// Its orderly shutdown has begun.
-    pub(super) is_leaving: bool,
+    pub(super) is_shutting_down: bool,
 }
 
 impl Machine {
@@ -43,7 +43,7 @@
             inbox: Vec::new(),
             disk_stalled_until_ms: 0,
             writes_rejected_until_ms: 0,
-            is_leaving: false,
+            is_shutting_down: false,
         }
     }
 }
--- a/crates/simulation/src/world/workload.rs
+++ b/crates/simulation/src/world/workload.rs
@@ -49,8 +49,9 @@
             other => other,
         };
         if let Some(at_ms) = self.operator_arrival() {
-            let response = Box::new((caller, response));
-            self.queue.schedule(at_ms, Event::Response(response));
+            let response = Box::new(response);
+            self.queue
+                .schedule(at_ms, Event::Response { caller, response });
         }
     }
 
--- a/crates/simulation/tests/control_plane/balancers.rs
+++ b/crates/simulation/tests/control_plane/balancers.rs
@@ -8,13 +8,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use data_plane::abort_on_drop::AbortOnDrop;
 use data_plane::change_notifier::{ChangeNotifier, ChangeWatcher};
 use data_plane::control_client::{CONNECT_TIMEOUT, ControlClient, Network, UpdateHandler};
-use data_plane::upstream_pool::AbortOnDrop;
 use protocol::config::Config;
-use protocol::key_ranges::WorkCounts;
+use protocol::key_load::KeyLoadReport;
 use protocol::upstream_list::{UpdateOutcome, UpstreamList};
-use protocol::wire::{Balancer, FleetView, WatchRequest, WatchUpdate};
+use protocol::wire::{Balancer, FleetView, Indexed, WatchRequest, WatchUpdate};
 use tokio::io::{DuplexStream, duplex};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -78,9 +78,9 @@
 
     fn apply_config(&self, index: u64, config: &Config) {
         self.config_index.set(index);
-        let mark = config.routes.first().map_or(0, |route| route.target_ms);
-        self.history.on_configuration(index, mark);
-        let revision = config.rev;
+        let id = config.routes.first().map_or(0, |route| route.target_ms);
+        self.history.on_configuration(index, id);
+        let revision = config.revision;
         let before = self.revision.replace(revision);
         self.history.require(revision >= before, || {
             format!("a balancer went back from {before} to {revision}")
@@ -134,12 +134,16 @@
     }
 
     fn take(&self, update: &WatchUpdate) -> bool {
-        if let Some((index, config)) = &update.config {
+        if let Some(Indexed {
+            index,
+            value: config,
+        }) = &update.config
+        {
             self.history.require(!update.out_of_contact, || {
                 "a configuration came from a server that is out of contact".into()
             });
             if *index > self.config_index.get() {
-                self.apply_config(*index, &config.config());
+                self.apply_config(*index, &config.to_config());
             }
         }
         let is_base_missing = self.apply_zone_updates(update);
@@ -147,8 +151,8 @@
         is_base_missing
     }
 
-    fn work(&self) -> WorkCounts {
-        WorkCounts::new()
+    fn work(&self) -> KeyLoadReport {
+        KeyLoadReport::new()
     }
 
     fn bank(&self, fleet: FleetView) {
@@ -221,7 +225,7 @@
             node: format!("b{balancer}"),
             zone: "a".into(),
             region: "r".into(),
-            http: SocketAddr::from(([10, 0, 1, balancer as u8], 80)),
+            http_addr: SocketAddr::from(([10, 0, 1, balancer as u8], 80)),
         };
         let network = SimulatedNetwork(self.deployment.clone());
         let client = ControlClient::with_network(network, me, state.clone());
--- a/crates/simulation/tests/control_plane/deployment.rs
+++ b/crates/simulation/tests/control_plane/deployment.rs
@@ -12,7 +12,7 @@
 use control_plane::connections::serve_connection;
 use control_plane::server::{Channels, ControlServer, DialRequest, Environment};
 use control_plane::store::DiskRequest;
-use data_plane::upstream_pool::AbortOnDrop;
+use data_plane::abort_on_drop::AbortOnDrop;
 use oorandom::Rand64;
 use protocol::settings::Settings;
 use raft::{Members, NodeId, PersistentState, Snapshot};
@@ -316,7 +316,7 @@
     }
 
     /// Nothing gets from one machine to another any more; the way back stays as it is.
-    pub(crate) fn cut(&self, from: usize, to: usize) {
+    pub(crate) fn partition_one_way(&self, from: usize, to: usize) {
         self.partitioned.borrow_mut().insert((from, to));
     }
 
--- a/crates/simulation/tests/control_plane/faults.rs
+++ b/crates/simulation/tests/control_plane/faults.rs
@@ -47,14 +47,7 @@
             sleep(long).await;
             deployment.heal();
         }
-        10 => {
-            // All lose power at the same moment, those without a disk too, and some of the core their disks.
-            let all = 0..CORE + DISKLESS;
-            all.clone().for_each(|i| deployment.kill(i));
-            some.iter().for_each(|i| deployment.lose_disk(*i, false));
-            sleep(short / 4).await;
-            all.for_each(|i| deployment.start(i));
-        }
+        10 => lose_power(deployment, &some, short / 4).await,
         9 => {
             // Halves, whatever the core tolerates: all others reach both.
             let half: Vec<usize> = (0..CORE / 2).collect();
@@ -84,14 +77,25 @@
     deployment.start(machine);
 }
 
+/// All lose power at the same moment, those without a disk too, and some of the core their disks.
+async fn lose_power(deployment: &Rc<Deployment>, lost_disks: &[usize], downtime: Duration) {
+    let all = 0..CORE + DISKLESS;
+    all.clone().for_each(|i| deployment.kill(i));
+    lost_disks
+        .iter()
+        .for_each(|i| deployment.lose_disk(*i, false));
+    sleep(downtime).await;
+    all.for_each(|i| deployment.start(i));
+}
+
 /// A network partition between `side` and the rest of the core. In one direction only, `side` still hears the rest.
 fn partition(deployment: &Deployment, side: &[usize], is_one_way: bool) {
     deployment.disturb();
     for a in side {
         for b in (0..CORE).filter(|b| !side.contains(b)) {
-            deployment.cut(*a, b);
+            deployment.partition_one_way(*a, b);
             if !is_one_way {
-                deployment.cut(b, *a);
+                deployment.partition_one_way(b, *a);
             }
         }
     }
--- a/crates/simulation/tests/control_plane/history.rs
+++ b/crates/simulation/tests/control_plane/history.rs
@@ -12,7 +12,7 @@
 const PROPAGATION_TIME: Duration = Duration::from_millis(2500);
 
 /// Identifies a command: the `target_ms` of its configuration. 0 stands for no configuration.
-pub(crate) type Mark = u64;
+pub(crate) type CommandId = u64;
 
 /// How much was checked.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -28,7 +28,7 @@
 struct Acknowledgement {
     /// The revision that the command led to.
     revision: u64,
-    mark: Mark,
+    id: CommandId,
     at: Instant,
 }
 
@@ -36,10 +36,10 @@
 struct Observations {
     violation: Option<String>,
     /// The command whose configuration stands at each index.
-    applied: BTreeMap<u64, Mark>,
-    rejected: BTreeSet<Mark>,
+    applied: BTreeMap<u64, CommandId>,
+    rejected: BTreeSet<CommandId>,
     /// The acknowledged command on top of each revision.
-    successors: BTreeMap<u64, Mark>,
+    successors: BTreeMap<u64, CommandId>,
     acknowledged: Vec<Acknowledgement>,
     reads: u64,
     balancer_checks: u64,
@@ -49,8 +49,8 @@
 #[derive(Default)]
 pub(crate) struct History(RefCell<Observations>);
 
-/// The mark of a configuration.
-pub(crate) fn mark_of(config: &str) -> Mark {
+/// The id of a configuration.
+pub(crate) fn command_id_of(config: &str) -> CommandId {
     let after = config.split("\"target_ms\":").nth(1).unwrap_or_default();
     let digits: String = after
         .trim_start()
@@ -83,42 +83,42 @@
     }
 
     /// A configuration was seen at an index (0: none yet). It is the same for all, and it was not rejected.
-    pub(crate) fn on_configuration(&self, index: u64, mark: Mark) {
+    pub(crate) fn on_configuration(&self, index: u64, id: CommandId) {
         if index == 0 {
             return;
         }
-        let known = *self.0.borrow_mut().applied.entry(index).or_insert(mark);
-        self.require(known == mark, || {
-            format!("two configurations at {index}: {known}, {mark}")
+        let known = *self.0.borrow_mut().applied.entry(index).or_insert(id);
+        self.require(known == id, || {
+            format!("two configurations at {index}: {known}, {id}")
         });
-        let is_rejected = self.0.borrow().rejected.contains(&mark);
+        let is_rejected = self.0.borrow().rejected.contains(&id);
         self.require(!is_rejected, || {
-            format!("{mark} was rejected, and is in force")
+            format!("{id} was rejected, and is in force")
         });
     }
 
     /// A command on top of revision `base` was acknowledged. It is the only one.
-    pub(crate) fn on_acknowledged(&self, base: u64, revision: u64, mark: Mark) {
-        let successor = *self.0.borrow_mut().successors.entry(base).or_insert(mark);
-        self.require(successor == mark, || {
-            format!("two acknowledged on {base}: {successor}, {mark}")
+    pub(crate) fn on_acknowledged(&self, base: u64, revision: u64, id: CommandId) {
+        let successor = *self.0.borrow_mut().successors.entry(base).or_insert(id);
+        self.require(successor == id, || {
+            format!("two acknowledged on {base}: {successor}, {id}")
         });
         let at = Instant::now();
         self.0
             .borrow_mut()
             .acknowledged
-            .push(Acknowledgement { revision, mark, at });
+            .push(Acknowledgement { revision, id, at });
     }
 
     /// A command was rejected. It is neither acknowledged nor in force.
-    pub(crate) fn on_rejected(&self, mark: Mark) {
+    pub(crate) fn on_rejected(&self, id: CommandId) {
         let mut seen = self.0.borrow_mut();
-        seen.rejected.insert(mark);
-        let is_acknowledged = seen.acknowledged.iter().any(|a| a.mark == mark);
-        let is_applied = seen.applied.values().any(|m| *m == mark);
+        seen.rejected.insert(id);
+        let is_acknowledged = seen.acknowledged.iter().any(|a| a.id == id);
+        let is_applied = seen.applied.values().any(|m| *m == id);
         drop(seen);
         self.require(!is_acknowledged && !is_applied, || {
-            format!("{mark} is in force, and is rejected")
+            format!("{id} is in force, and is rejected")
         });
     }
 
--- a/crates/simulation/tests/control_plane/main.rs
+++ b/crates/simulation/tests/control_plane/main.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use balancers::Fleet;
-use data_plane::upstream_pool::AbortOnDrop;
+use data_plane::abort_on_drop::AbortOnDrop;
 use deployment::Deployment;
 use history::{Counts, History};
 use oorandom::Rand64;
--- a/crates/simulation/tests/control_plane/operators.rs
+++ b/crates/simulation/tests/control_plane/operators.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::deployment::Deployment;
-use crate::history::{History, Mark, mark_of};
+use crate::history::{CommandId, History, command_id_of};
 
 /// How long a server may take over a command, as its HTTP interface sets it.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(900);
@@ -29,7 +29,7 @@
 pub(crate) struct Operators {
     deployment: Rc<Deployment>,
     history: Rc<History>,
-    last_mark: Cell<Mark>,
+    last_command_id: Cell<CommandId>,
 }
 
 /// What a caller learns from one call.
@@ -48,10 +48,10 @@
     ByCall,
 }
 
-fn replace_command(base: u64, revision: u64, mark: Mark) -> Command {
+fn replace_command(base: u64, revision: u64, id: CommandId) -> Command {
     let body = format!(
         r#"{{"rev": {revision}, "services": [{{"name": "s"}}], "routes": [{{"name": "r", "host": "h",
-            "path_prefix": "/a/", "type": "mutating", "deadline_ms": 100, "target_ms": {mark},
+            "path_prefix": "/a/", "type": "mutating", "deadline_ms": 100, "target_ms": {id},
             "svc": "s", "tries": 2}}]}}"#
     );
     Command::Replace { base, body }
@@ -59,11 +59,11 @@
 
 impl Operators {
     pub(crate) fn new(deployment: Rc<Deployment>, history: Rc<History>) -> Rc<Self> {
-        let last_mark = Cell::new(0);
+        let last_command_id = Cell::new(0);
         Rc::new(Self {
             deployment,
             history,
-            last_mark,
+            last_command_id,
         })
     }
 
@@ -91,7 +91,7 @@
             return Response::None;
         }
         match result {
-            Ok(Ok(CommandOutcome::Conflict)) | Ok(Err(Indeterminate::NoMajority)) | Err(_) => {
+            Ok(Ok(CommandOutcome::Conflict) | Err(Indeterminate::NoMajority)) | Err(_) => {
                 Response::None
             }
             Ok(Ok(outcome)) => Response::Definite(outcome),
@@ -134,24 +134,24 @@
         let mut known_revision = 0;
         loop {
             self.pause(1500).await;
-            let mark = self.last_mark.get() + 1;
-            self.last_mark.set(mark);
+            let id = self.last_command_id.get() + 1;
+            self.last_command_id.set(id);
             let revision = known_revision + 1 + self.deployment.random_below(3);
-            let command = replace_command(known_revision, revision, mark);
+            let command = replace_command(known_revision, revision, id);
             let call = |server: Rc<ControlServer>| {
                 let command = command.clone();
                 async move { server.submit_command(&command, COMMAND_TIMEOUT).await }
             };
             match self.call(Losses::Random, CHANGE_TIMEOUT, call).await {
                 Some(CommandOutcome::Applied | CommandOutcome::AlreadyApplied) => {
-                    self.history.on_acknowledged(known_revision, revision, mark);
+                    self.history.on_acknowledged(known_revision, revision, id);
                     known_revision = revision;
                 }
                 Some(CommandOutcome::RevisionMismatch { current }) => {
-                    self.history.on_rejected(mark);
+                    self.history.on_rejected(id);
                     known_revision = current;
                 }
-                Some(_) => self.history.on_rejected(mark),
+                Some(_) => self.history.on_rejected(id),
                 None => {}
             }
         }
@@ -228,7 +228,7 @@
         let state = timeout(RESPONSE_TIMEOUT, read).await.ok()??;
         self.history.on_read(acknowledged, state.revision);
         self.history
-            .on_configuration(state.config_index, mark_of(&state.config));
+            .on_configuration(state.config_index, command_id_of(&state.config));
         Some(state)
     }
 
--- a/crates/standalone-proxy/src/config.rs
+++ b/crates/standalone-proxy/src/config.rs
@@ -8,7 +8,7 @@
 use data_plane::upstream_pool::{LoadReportFormat, PoolConfig, UpstreamProtocol};
 use hyper::StatusCode;
 use hyper::header::HeaderName;
-use load_balancing::settings::{Field, SiteSettings};
+use load_balancing::settings::{LoadReportField, SiteSettings};
 use serde::Deserialize;
 
 use crate::discovery::List;
@@ -162,16 +162,18 @@
             connect_timeout: ms(limits.connect_timeout, 250.0),
             max_response_bytes: self.memory / ANSWERS_OF_MEMORY,
             protocol: UpstreamProtocol {
-                deadline: HeaderName::from_static("x-deadline-ms"),
-                target: None,
-                not_run: HeaderName::from_static("x-not-run"),
-                refusals: &[StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT],
-                echo: None,
-                seal: None,
-                served: |status| status == StatusCode::OK,
-                passes_errors: false,
-                load: LoadReportFormat::Named(
-                    names.map(|n| (n.clone(), Field::named(n))).collect(),
+                deadline_header: HeaderName::from_static("x-deadline-ms"),
+                target_header: None,
+                not_run_header: HeaderName::from_static("x-not-run"),
+                not_run_statuses: &[StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT],
+                request_id_header: None,
+                seal_header: None,
+                is_served: |status| status == StatusCode::OK,
+                forwards_errors: false,
+                load_report: LoadReportFormat::Named(
+                    names
+                        .map(|n| (n.clone(), LoadReportField::from_name(n)))
+                        .collect(),
                 ),
             },
         }
