--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -1,72 +1,98 @@
-//! Members of the log that stay away are removed, and come back under their own ids; a leader that ends hands over.
+//! Members of the log that stay away are removed, and join again under their own ids; a leader that ends hands over.
 
 mod common;
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{Net, SIZE};
+use common::{Cluster, VOTERS};
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-/// An election, and what it takes to remove or take in two members after it.
-const SETTLES: Duration = Duration::from_millis(6000);
+/// An election, and what it takes to remove or add two members after it.
+const SETTLE_TIME: Duration = Duration::from_millis(6000);
 
-/// How many vote, and how many of them can be lost, as the leader knows.
-fn voters_and_margin(net: &Net) -> Option<(usize, usize)> {
-    let status = net.cell(net.leader()?)?.log_status();
-    Some((status.members.voters.len(), status.report?.tolerable_losses))
+/// The voters as the leader knows them.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Quorum {
+    voters: usize,
+    /// How many of them can be lost.
+    tolerable_losses: usize,
 }
 
-async fn with_net(test: impl AsyncFn(Rc<Net>)) {
+const FULL: Quorum = Quorum {
+    voters: VOTERS,
+    tolerable_losses: 2,
+};
+
+fn quorum(cluster: &Cluster) -> Option<Quorum> {
+    let status = cluster.server(cluster.leader()?)?.log_status();
+    Some(Quorum {
+        voters: status.members.voters.len(),
+        tolerable_losses: status.report?.tolerable_losses,
+    })
+}
+
+async fn with_cluster(test: impl AsyncFn(Rc<Cluster>)) {
     let run = async {
-        let net = Net::new();
-        sleep(SETTLES).await;
-        assert_eq!(voters_and_margin(&net), Some((SIZE, 2)));
-        test(net).await;
+        let cluster = Cluster::new();
+        sleep(SETTLE_TIME).await;
+        assert_eq!(quorum(&cluster), Some(FULL));
+        test(cluster).await;
     };
     LocalSet::new().run_until(run).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn members_that_stay_away_are_removed_and_taken_in_again_when_they_come_back() {
-    with_net(async |net| {
-        // The leader among them: who leads next knows only from then on who is silent.
-        let leader = net.leader().expect("a leader");
-        let lost = [leader, (leader + 1) % SIZE];
-        lost.iter().for_each(|i| net.kill(*i));
-        sleep(SETTLES).await;
+async fn silent_members_are_removed_and_join_again_when_they_return() {
+    with_cluster(async |cluster| {
+        // The leader is among them: the next one knows only from then on who is silent.
+        let leader = cluster.leader().expect("a leader");
+        let lost = [leader, (leader + 1) % VOTERS];
+        lost.iter().for_each(|i| cluster.kill(*i));
+        sleep(SETTLE_TIME).await;
         assert_eq!(
-            voters_and_margin(&net),
-            Some((3, 1)),
+            quorum(&cluster),
+            Some(Quorum {
+                voters: 3,
+                tolerable_losses: 1
+            }),
             "one more can be lost"
         );
-        let third = (0..SIZE).find(|i| !lost.contains(i) && net.leader() != Some(*i));
-        net.kill(third.expect("three are up"));
-        sleep(SETTLES).await;
-        assert_eq!(voters_and_margin(&net), Some((3, 0)), "and is");
-        // They come back with disks on which they vote still.
-        lost.iter().for_each(|i| net.start(*i));
-        sleep(SETTLES).await;
-        let (voters, margin) = voters_and_margin(&net).expect("a leader");
+        let third = (0..VOTERS).find(|i| !lost.contains(i) && cluster.leader() != Some(*i));
+        cluster.kill(third.expect("three are up"));
+        sleep(SETTLE_TIME).await;
+        assert_eq!(
+            quorum(&cluster),
+            Some(Quorum {
+                voters: 3,
+                tolerable_losses: 0
+            }),
+            "and is"
+        );
+        // They return with disks on which they are voters still.
+        lost.iter().for_each(|i| cluster.start(*i));
+        sleep(SETTLE_TIME).await;
+        let rejoined = quorum(&cluster).expect("a leader");
         assert!(
-            voters >= 4 && margin >= 1,
-            "{voters} voters, {margin} can be lost"
+            rejoined.voters >= 4 && rejoined.tolerable_losses >= 1,
+            "{rejoined:?}"
         );
-        net.start(third.expect("three were up"));
-        sleep(SETTLES).await;
-        assert_eq!(voters_and_margin(&net), Some((SIZE, 2)));
+        cluster.start(third.expect("three were up"));
+        sleep(SETTLE_TIME).await;
+        assert_eq!(quorum(&cluster), Some(FULL));
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_whose_process_ends_hands_over_before_it_does() {
-    with_net(async |net| {
-        for _ in 0..SIZE {
-            let leader = net.leader().expect("a leader");
+async fn leader_that_shuts_down_hands_over_first() {
+    with_cluster(async |cluster| {
+        for _ in 0..VOTERS {
+            let leader = cluster.leader().expect("a leader");
             let began = Instant::now();
-            net.cell(leader)
+            cluster
+                .server(leader)
                 .expect("it is up")
                 .shut_down(Duration::from_millis(1000))
                 .await;
@@ -74,16 +100,12 @@
                 began.elapsed() < Duration::from_millis(500),
                 "sooner than by a time-out"
             );
-            net.kill(leader);
-            assert!(net.leader().is_some_and(|next| next != leader));
+            cluster.kill(leader);
+            assert!(cluster.leader().is_some_and(|next| next != leader));
             sleep(Duration::from_millis(500)).await;
-            net.start(leader);
-            sleep(SETTLES).await;
-            assert_eq!(
-                voters_and_margin(&net),
-                Some((SIZE, 2)),
-                "no vote is lost by a restart"
-            );
+            cluster.start(leader);
+            sleep(SETTLE_TIME).await;
+            assert_eq!(quorum(&cluster), Some(FULL), "no vote is lost by a restart");
         }
     })
     .await;
--- a/crates/data-plane/src/upstream_connection.rs
+++ b/crates/data-plane/src/upstream_connection.rs
@@ -44,7 +44,7 @@
 pub use self::request::{OutgoingRequest, SendProgress};
 use crate::body::{BodyBudget, BodyBuffer};
 use crate::framing::{Framing, MAX_HEAD_BYTES, closes_connection, parse_head};
-use crate::tunnel::status_lines;
+use crate::response_desync::find_status_lines;
 
 /// The largest body of a response, in bytes. The deployments' pages say 64 KiB at most, but in service some
 /// responses have 400 KB; when those were taken for malformed, each cost its request and its connection.
@@ -72,7 +72,7 @@
     /// What was read and does not belong to a response yet.
     unread: BytesMut,
     /// The end of the stream, or an error, was read.
-    ended: bool,
+    stream_ended: bool,
     /// Where it was opened to.
     pub address: SocketAddr,
     /// How long it took to open: a round trip, or a little more.
@@ -94,7 +94,7 @@
         Self {
             stream,
             unread: BytesMut::new(),
-            ended: false,
+            stream_ended: false,
             address,
             connect_time,
             idle_since: Instant::now(),
@@ -218,7 +218,7 @@
         let Some(echoed) = awaited.echoed_id else {
             return false;
         };
-        status_lines(body).any(|start| {
+        find_status_lines(body).any(|start| {
             let mut text = BytesMut::from(&body[start..body.len().min(start + MAX_HEAD_BYTES)]);
             text.extend_from_slice(&self.unread[..self.unread.len().min(MAX_HEAD_BYTES)]);
             match parse_head(&text) {
@@ -241,7 +241,7 @@
         // place whatever the next one's method is.
         let is_distinguishable = awaited.echoed_id.is_none()
             || awaited.id().is_some() && *awaited.method != Method::HEAD;
-        let has_nothing_unread = self.unread.is_empty() && !self.ended;
+        let has_nothing_unread = self.unread.is_empty() && !self.stream_ended;
         is_distinguishable
             && has_nothing_unread
             && !request.progress.is_incomplete()
--- a/crates/load-balancing/src/policy/mod.rs
+++ b/crates/load-balancing/src/policy/mod.rs
@@ -2,19 +2,19 @@
 //!
 //! The ordinary path is the mechanism of Ould Deye et al.:
 //!
-//! - A request joins a first-come, first-served queue ([`queue`]).
+//! - A request joins a first-come, first-served queue (`queue`).
 //! - It is sent once an upstream has fewer than `K_i = 2*TP_i/TS_i + 1` of this balancer's attempts in flight, where
-//!   TP_i is the propagation time to upstream i and TS_i its service time ([`dispatch`], [`estimates`]).
+//!   TP_i is the propagation time to upstream i and TS_i its service time (`dispatch`, `estimates`).
 //! - It is rejected at once when queued and in-flight requests reach the sum of `N_i = T_QoS / (2*TP_i + TS_i)`,
-//!   where T_QoS is the time that a request may take ([`admission`]).
-//! - Every answer updates TP_i and TS_i ([`state::latency_estimate`]).
+//!   where T_QoS is the time that a request may take (`admission`).
+//! - Every answer updates TP_i and TS_i (`state::latency_estimate`).
 //!
 //! The paper has one balancer, equal requests, and upstreams that run one request at a time and never fail. What
-//! goes beyond it has a module each: [`fair_share`] and [`subset`] (many balancers), [`concurrency`] (upstreams that
-//! run several), [`attempts`], [`retries`] and [`hedging`] (failures), [`slow_start`] and [`membership`] (upstreams
-//! come and go), [`tenants`] (quotas).
+//! goes beyond it has a module each: `fair_share` and `subset` (many balancers), `concurrency` (upstreams that
+//! run several), `attempts`, `retries` and `hedging` (failures), `slow_start` and `membership` (upstreams
+//! come and go), `tenants` (quotas).
 //!
-//! State: [`Balancer`] owns all of it, in memory only; the records are in [`state`]. After a restart it begins with
+//! State: [`Balancer`] owns all of it, in memory only; the records are in `state`. After a restart it begins with
 //! a list of upstreams and estimates that hold for none of them, and learns from the first answers. What it promises:
 //! each request that it was told of gets one final action at most ([`Action::Reject`], [`Action::Fail`], or an attempt
 //! whose answer the host passes on); a request that may have run is never rejected where a repeat could do harm, and
@@ -34,7 +34,7 @@
 use state::membership_poll::MembershipPoll;
 use state::request::{AttemptId, OrderedQueue, PendingRequest};
 use state::tenant_quota::TenantQuota;
-use state::upstream::Upstream;
+use state::upstream_table::{UpstreamIndex, UpstreamTable};
 
 mod admission;
 mod attempts;
@@ -65,11 +65,9 @@
     rng: Rand64,
     /// Whether the first event has come, which starts the timers.
     has_started: bool,
-    /// The upstreams of the list, and those that are gone while a request is judged by them.
-    upstreams: Vec<Upstream>,
-    /// Live upstreams, by index, in the order of cost.
-    by_cost: Vec<usize>,
-    by_id: FxHashMap<ServerId, usize>,
+    upstreams: UpstreamTable,
+    /// Live upstreams in the order of cost.
+    by_cost: Vec<UpstreamIndex>,
     requests: FxHashMap<RequestId, PendingRequest>,
     /// In the order of arrival, retries first. Also holds requests that have left the queue since.
     queue: VecDeque<RequestId>,
@@ -111,9 +109,8 @@
             qos_time,
             rng: Rand64::new(u128::from(seed)),
             has_started: false,
-            upstreams: Vec::new(),
+            upstreams: UpstreamTable::default(),
             by_cost: Vec::new(),
-            by_id: FxHashMap::default(),
             requests: FxHashMap::default(),
             queue: VecDeque::new(),
             ordered_queues: FxHashMap::default(),
@@ -153,7 +150,7 @@
         self.qos_time = settings.qos_time();
         self.capacity = settings.capacity_pools();
         self.fleet.resize_classes(classes);
-        for upstream in &mut self.upstreams {
+        for upstream in self.upstreams.iter_mut() {
             upstream
                 .class_breakers
                 .resize(classes, CircuitBreaker::default());
@@ -191,7 +188,7 @@
     /// What holds for one upstream now: K_i, and N_i within the time `qos_time`; for metrics. `None` where it is
     /// not known.
     pub fn upstream_limits(&self, id: ServerId, qos_time: Span) -> Option<UpstreamLimits> {
-        let upstream = &self.upstreams[*self.by_id.get(&id)?];
+        let upstream = &self.upstreams[self.upstreams.index_of(id)?];
         Some(UpstreamLimits {
             in_flight: upstream.in_flight,
             max_in_flight: self.max_in_flight(upstream, 0),
@@ -221,7 +218,7 @@
         self.give_up_expired(now, actions);
         self.dispatch(now, actions);
         self.drop_idle_ordered_queues(now);
-        self.close_idle_again(now, actions);
+        self.repeat_close_idle(now, actions);
         self.request_membership(now, actions);
         self.set_sweep_timer(now, actions);
     }
--- a/crates/raft/src/persistence.rs
+++ b/crates/raft/src/persistence.rs
@@ -1,20 +1,25 @@
 //! What is on its way to the disk, and the messages that wait for it.
 //!
-//! **Owns** the requests that are not synced, the last synced index and the deferred messages. **Promises:** a message that
-//! promises something (a vote, an acknowledged entry) is released only once the request that backs it is synced (Raft
-//! paper, figure 2: persistent state is updated on stable storage before responding to RPCs), and the synced index never
-//! covers an entry that is about to be overwritten. **Disk stalls:** deferred messages and entries wait; the leader bounds
+//! **Owns** the requests that are not synced, the last synced index and the deferred messages.
+//! **Promises:** a message that promises something (a vote, an acknowledged entry) is released only
+//! once the request that backs it is synced (Raft paper, figure 2: persistent state is updated on
+//! stable storage before responding to RPCs), and the synced index never covers an entry that is
+//! about to be overwritten. **Disk stalls:** deferred messages and entries wait; the leader bounds
 //! them by [`PersistencePipeline::unsynced_bytes`].
 
 use std::collections::VecDeque;
 
 use crate::{Entry, Message, MessageBody, NodeId, Snapshot};
 
+/// The number of a request to the disk. Not to be mixed up with the number of a broadcast.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct PersistSequence(pub(crate) u64);
+
 /// The requests to the disk, in order.
 #[derive(Debug)]
 pub(crate) struct PersistencePipeline {
     /// The number of the last request.
-    last_sequence: u64,
+    last_sequence: PersistSequence,
     unsynced: VecDeque<UnsyncedRequest>,
     unsynced_bytes: usize,
     synced_index: u64,
@@ -24,7 +29,7 @@
 /// A request that is not synced yet.
 #[derive(Debug)]
 struct UnsyncedRequest {
-    sequence: u64,
+    sequence: PersistSequence,
     /// The log is synced up to this index once the request is.
     last_index: u64,
     /// The size of its entries.
@@ -34,7 +39,7 @@
 /// A message to be sent once a request is synced.
 #[derive(Debug)]
 struct DeferredMessage {
-    sequence: u64,
+    sequence: PersistSequence,
     message: Message,
 }
 
@@ -42,7 +47,7 @@
     /// Nothing is under way, and the disk has the log up to `synced_index`.
     pub(crate) fn new(synced_index: u64) -> Self {
         Self {
-            last_sequence: 0,
+            last_sequence: PersistSequence::default(),
             unsynced: VecDeque::new(),
             unsynced_bytes: 0,
             synced_index,
@@ -51,8 +56,12 @@
     }
 
     /// Numbers a request that writes these entries, or that snapshot in place of the log.
-    pub(crate) fn enqueue(&mut self, entries: &[Entry], snapshot: Option<&Snapshot>) -> u64 {
-        self.last_sequence += 1;
+    pub(crate) fn enqueue(
+        &mut self,
+        entries: &[Entry],
+        snapshot: Option<&Snapshot>,
+    ) -> PersistSequence {
+        self.last_sequence.0 += 1;
         let covered = snapshot.map_or(0, |snapshot| snapshot.index);
         let size_bytes = entries.iter().map(Entry::size_bytes).sum();
         self.unsynced_bytes += size_bytes;
@@ -65,7 +74,7 @@
     }
 
     /// All requests up to `sequence` are synced.
-    pub(crate) fn complete(&mut self, sequence: u64) {
+    pub(crate) fn complete(&mut self, sequence: PersistSequence) {
         while let Some(request) = self
             .unsynced
             .pop_front_if(|request| request.sequence <= sequence)
@@ -76,7 +85,7 @@
     }
 
     /// The next message that waited only for the requests up to `sequence`.
-    pub(crate) fn pop_released(&mut self, sequence: u64) -> Option<Message> {
+    pub(crate) fn pop_released(&mut self, sequence: PersistSequence) -> Option<Message> {
         let released = self
             .deferred
             .pop_front_if(|deferred| deferred.sequence <= sequence);
@@ -84,13 +93,13 @@
     }
 
     /// Defers a message until the request `sequence` is synced.
-    pub(crate) fn defer(&mut self, sequence: u64, message: Message) {
+    pub(crate) fn defer(&mut self, sequence: PersistSequence, message: Message) {
         self.deferred
             .push_back(DeferredMessage { sequence, message });
     }
 
-    /// What the disk has after `index`, or will have by requests under way, is about to be overwritten: it no longer
-    /// counts as synced.
+    /// What the disk has after `index`, or will have by requests under way, is about to be
+    /// overwritten: it no longer counts as synced.
     pub(crate) fn limit_synced_index(&mut self, index: u64) {
         self.synced_index = self.synced_index.min(index);
         for request in &mut self.unsynced {
@@ -109,13 +118,14 @@
     }
 
     /// The first request under way with which the log will be synced up to `index`.
-    pub(crate) fn request_covering(&self, index: u64) -> Option<u64> {
+    pub(crate) fn request_covering(&self, index: u64) -> Option<PersistSequence> {
         let mut requests = self.unsynced.iter();
         let covering = requests.find(|request| request.last_index >= index);
         covering.map(|request| request.sequence)
     }
 
-    /// Whether an acknowledgement of the log up to `index` to the leader of the term is deferred already.
+    /// Whether an acknowledgement of the log up to `index` to the leader of the term is deferred
+    /// already.
     pub(crate) fn has_deferred_acknowledgement(
         &self,
         leader: NodeId,
--- a/crates/raft/src/raft_node/chunked_transfer.rs
+++ b/crates/raft/src/raft_node/chunked_transfer.rs
@@ -1,7 +1,9 @@
-//! Transfer of snapshots and large entries in chunks (Raft paper, section 7), one to each member at a time.
+//! Transfer of snapshots and large entries in chunks (Raft paper, section 7), one to each member at
+//! a time.
 //!
-//! The leader sends no more than the member's window allows and resumes where the member stands when messages were lost;
-//! the member keeps what it has received in memory, and accepts it only complete and with the right checksum.
+//! The leader sends no more than the member's window allows and resumes where the member stands
+//! when messages were lost; the member keeps what it has received in memory, and accepts it only
+//! complete and with the right checksum.
 
 use std::sync::Arc;
 
@@ -9,16 +11,17 @@
 use crate::incoming_transfer::IncomingTransfer;
 use crate::tracker::{OutgoingTransfer, Progress, ProgressState, TransferData};
 use crate::{
-    AppendEntries, Chunk, ChunkResponse, Entry, LogPosition, MessageBody, NodeId, Payload,
-    Snapshot, TransferContent, TransferId,
+    AppendEntries, Chunk, ChunkResponse, Entry, MessageBody, NodeId, Payload, Snapshot,
+    TransferContent, TransferId,
 };
 
-/// A member that has not answered for so long is not there: what it is sent once it is back is newer.
+/// A member that has not answered for so long is not there: what it is sent once it is back is
+/// newer.
 const ABANDON_TIMEOUT_MS: u64 = 10_000;
 
 impl RaftNode {
-    /// Begins to send a member the snapshot, if it has answered lately: one that is away is sent a newer one once it is
-    /// back.
+    /// Begins to send a member the snapshot, if it has answered lately: one that is away is sent a
+    /// newer one once it is back.
     pub(super) fn start_snapshot_transfer(&self, progress: &mut Progress) {
         let since = self.now.saturating_sub(self.timing.election_timeout_ms);
         if progress.last_response_at < since {
@@ -97,11 +100,7 @@
         self.accept_leader(from);
         let id = chunk.transfer;
         let (leader_commit, sequence) = (chunk.leader_commit, chunk.sequence);
-        let end = LogPosition {
-            index: id.index,
-            term: id.term,
-        };
-        if id.index <= self.log.commit_index() || self.log.contains(end) {
+        if id.index <= self.log.commit_index() || self.log.contains(id.position()) {
             return self.acknowledge(from, id.index, sequence, None);
         }
         // A chunk of another transfer ends the one before: the leader has one under way.
@@ -119,6 +118,19 @@
             return self.send_chunk_response(from, id, 0);
         }
         self.send_chunk_response(from, id, id.total_bytes);
+        self.complete_transfer(from, transfer, content, leader_commit, sequence);
+    }
+
+    /// Accepts a snapshot, or an entry, that has come with all its chunks.
+    fn complete_transfer(
+        &mut self,
+        from: NodeId,
+        transfer: IncomingTransfer,
+        content: TransferContent,
+        leader_commit: u64,
+        sequence: u64,
+    ) {
+        let id = transfer.id();
         let bytes = transfer.into_bytes();
         match content {
             TransferContent::Snapshot { members } => {
@@ -136,6 +148,7 @@
                     index: id.index,
                     payload: Payload::Data(bytes),
                 };
+                // As if the leader had sent it in one message.
                 let request = AppendEntries {
                     prev_log_index: id.index - 1,
                     prev_log_term,
--- a/crates/shorefront/src/main.rs
+++ b/crates/shorefront/src/main.rs
@@ -72,15 +72,20 @@
         name: &'static str,
         source: std::io::Error,
     },
-    #[error("{0}")]
-    Role(Box<dyn std::error::Error>),
+    #[error(transparent)]
+    DataPlane(#[from] data_plane::runtime::RuntimeError),
+    #[error(transparent)]
+    Control(#[from] control_plane::runtime::RuntimeError),
 }
 
 impl Error {
     fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             Self::LogLevels(_) | Self::Settings(_) => EXIT_UNUSABLE_SETTINGS,
-            Self::Runtime(_) | Self::SignalHandler { .. } | Self::Role(_) => EXIT_FAILURE,
+            Self::Runtime(_)
+            | Self::SignalHandler { .. }
+            | Self::DataPlane(_)
+            | Self::Control(_) => EXIT_FAILURE,
         })
     }
 }
@@ -140,9 +145,9 @@
     let stop = async move {
         terminate.recv().await;
     };
-    let ended = match role {
-        Role::DataPlane => data_plane::runtime::run(settings, reloads, stop).await,
-        Role::Control => control_plane::runtime::run(settings, reloads, stop).await,
-    };
-    ended.map_err(|error| Error::Role(error.into()))
+    match role {
+        Role::DataPlane => data_plane::runtime::run(settings, reloads, stop).await?,
+        Role::Control => control_plane::runtime::run(settings, reloads, stop).await?,
+    }
+    Ok(())
 }
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use control_plane::configuration::{Command, CommandOutcome, ReplicatedState};
+use control_plane::configuration::{Command, CommandOutcome, InvalidCommand, ReplicatedState};
 use control_plane::store::DiskRequest;
 use raft::{
     Entry, Members, MembershipPolicy, Message, NodeId, Payload, RaftNode, ReadState, Ready, Role,
@@ -292,7 +292,9 @@
         if let Payload::Data(data) = &entry.payload {
             let outcome = match ciborium::from_reader::<Command, _>(&data[..]) {
                 Ok(command) => self.state.apply(entry.index, &command),
-                Err(error) => CommandOutcome::Invalid(error.to_string()),
+                Err(error) => CommandOutcome::Invalid(InvalidCommand::NotJson {
+                    reason: error.to_string(),
+                }),
             };
             // An entry of another term at this index is another leader's: the command is not decided by it.
             if let Some(ProposedCommand { term, caller }) = proposed
--- a/crates/simulation/tests/control_plane/balancers.rs
+++ b/crates/simulation/tests/control_plane/balancers.rs
@@ -117,7 +117,7 @@
 }
 
 impl UpdateHandler for BalancerState {
-    fn ask(&self) -> WatchRequest {
+    fn watch_request(&self) -> WatchRequest {
         let (zones, incomplete) = (self.zones.borrow(), self.incomplete.borrow());
         let version = |(zone, list): (&String, &UpstreamList)| {
             let is_complete = !incomplete.contains(zone);
@@ -133,7 +133,7 @@
         }
     }
 
-    fn take(&self, update: &WatchUpdate) -> bool {
+    fn handle_update(&self, update: &WatchUpdate) -> bool {
         if let Some(Indexed {
             index,
             value: config,
@@ -147,23 +147,23 @@
             }
         }
         let is_base_missing = self.apply_zone_updates(update);
-        self.wake();
+        self.wake_sessions();
         is_base_missing
     }
 
-    fn work(&self) -> KeyLoadReport {
+    fn take_key_load(&self) -> KeyLoadReport {
         KeyLoadReport::new()
     }
 
-    fn bank(&self, fleet: FleetView) {
+    fn handle_fleet_view(&self, fleet: FleetView) {
         self.fleet.set(Some(fleet));
     }
 
-    fn changes(&self) -> ChangeWatcher {
+    fn watch_changes(&self) -> ChangeWatcher {
         self.changes.watch()
     }
 
-    fn wake(&self) {
+    fn wake_sessions(&self) {
         self.changes.notify();
     }
 }
@@ -174,7 +174,7 @@
 impl Network for SimulatedNetwork {
     type Stream = DuplexStream;
 
-    async fn dial(&self, at: SocketAddr) -> io::Result<DuplexStream> {
+    async fn connect(&self, at: SocketAddr) -> io::Result<DuplexStream> {
         let Some(to) = self.0.machine_at(at) else {
             sleep(CONNECT_TIMEOUT).await;
             return Err(io::ErrorKind::TimedOut.into());
--- a/crates/simulation/tests/control_plane/operators.rs
+++ b/crates/simulation/tests/control_plane/operators.rs
@@ -204,7 +204,7 @@
             return;
         };
         let count = state
-            .evacuated()
+            .evacuated_zones()
             .find(|(zone, _)| *zone == ZONE)
             .map_or(0, |(_, count)| count);
         self.history
