--- a/crates/control-plane/src/peer_writer.rs
+++ b/crates/control-plane/src/peer_writer.rs
@@ -3,7 +3,7 @@
 //!
 //! **State.** The messages of one connection that were taken from the peer's queue and are not written yet; they are lost
 //! with the connection, and what they said is sent again. What is in flight of the log is bounded by the log itself: see
-//! `docs/design/0011-catching-up.md`.
+//! `docs/design/0011-replica-catch-up.md`.
 
 use std::collections::VecDeque;
 use std::io;
--- a/crates/raft/src/membership_policy.rs
+++ b/crates/raft/src/membership_policy.rs
@@ -1,5 +1,5 @@
 //! Which single change of the members comes next. The reasons for each rule are in
-//! `docs/design/0003-voters.md`.
+//! `docs/design/0003-log-membership.md`.
 //!
 //! The number of **tolerable losses** is that of the voters in contact less a majority.
 //! **Promises:** no change lowers it. A voter is removed only after it has been silent, a learner
