--- a/crates/control-plane/src/connections/watch_session.rs
+++ b/crates/control-plane/src/connections/watch_session.rs
@@ -26,7 +26,7 @@
 /// The same where there was no contact before either: the time that a majority across regions takes to answer.
 const CONFIRM_TIMEOUT_OUT_OF_CONTACT: Duration = Duration::from_millis(250);
 /// What the balancer's first session brings is sent on a second one only after so long: a moment for it to arrive there
-/// and to be said here. Short beside any bound on news.
+/// and to be said here. Short compared with any bound on updates.
 const SECONDARY_DELAY: Duration = Duration::from_millis(600);
 /// So many messages of the balancer wait at most; it is read no further then.
 const QUEUE_MESSAGES: usize = 8;
@@ -49,7 +49,7 @@
     opened_at: Instant,
     /// What was acknowledged before the session opened is applied here: it is among the first that it is sent.
     is_confirmed: bool,
-    /// Whether it was last told that this process is in contact.
+    /// Whether it was last sent that this process is in contact.
     reported_contact: Option<bool>,
     sent_at: Instant,
     /// Since when there is something to send that a second session holds back.
@@ -146,7 +146,7 @@
         self.is_confirmed && self.server.has_quorum_contact()
     }
 
-    /// What is to be sent by now: news, a change of contact, or a heartbeat.
+    /// What is to be sent by now: an update, a change of contact, or a heartbeat.
     fn next_step(&mut self) -> Step {
         let in_contact = self.is_in_contact();
         let mut has_then = self.has.clone();
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -14,7 +14,7 @@
 //! - [`store`]: what is on disk, in one `redb` file that a thread of its own writes.
 //! - [`snapshot`]: the forms of the replicated state in a snapshot of the log.
 //! - [`connections`]: connections between control processes, and the sessions of the data plane.
-//! - [`peer_writer`]: in which order a peer is told, and at what pace.
+//! - [`peer_writer`]: in which order messages go to a peer, and at what pace.
 //! - [`discovery`]: the platform's list of upstreams, asked for by the one process that keeps a zone.
 //! - [`key_leases`]: the leader grants ranges of keys to upstreams, as `placement` plans.
 //! - [`metrics`]: the state of a process in the format of Prometheus.
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -10,7 +10,7 @@
 //! `await`, nor across `ControlServer::notify_changed`. Whoever waits for changes waits on
 //! [`ControlServer::watch_changes`].
 //!
-//! **Promises.** A command's outcome is told only after its entry is committed by a majority and applied here. What is
+//! **Promises.** A command's outcome is returned only after its entry is committed by a majority and applied here. What is
 //! agreed on is read and handed out only in quorum contact.
 //!
 //! **Neighbours.** A peer that is silent for 3 s loses its sessions here and has to introduce itself again; a peer that
--- a/crates/control-plane/src/server/acknowledgement.rs
+++ b/crates/control-plane/src/server/acknowledgement.rs
@@ -13,7 +13,7 @@
 use crate::evacuations::{AcknowledgementAttempt, CommandId, EvacuationStep};
 
 /// A command to a zone that is applied, and may be acknowledged to its caller. Dropped before that is written, the
-/// command counts as one that nobody was told of.
+/// command counts as one that was never acknowledged.
 pub struct Acknowledgement {
     server: Rc<ControlServer>,
     zone: String,
--- a/crates/control-plane/src/server/sessions.rs
+++ b/crates/control-plane/src/server/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of the data plane, and what a session is told.
+//! Sessions of the data plane, and the updates that a session is sent.
 //!
 //! A balancer keeps a session with one or two control processes. Each process tells the others of its own (`peers`), so
 //! that every one knows the whole fleet. A balancer whose control process is gone opens a session with another.
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -69,7 +69,7 @@
 
 impl State {
     /// Replaces the replicated state by a snapshot's. Commands up to its last entry had their outcomes elsewhere:
-    /// their callers here are told nothing.
+    /// their callers here get none.
     pub(super) fn restore(&mut self, snapshot: &Snapshot) -> Result<(), FatalError> {
         self.pending_commands.discard_through(snapshot.index);
         self.log.restore(snapshot)
--- a/crates/control-plane/src/server/state/pending_commands.rs
+++ b/crates/control-plane/src/server/state/pending_commands.rs
@@ -23,7 +23,7 @@
 
 /// Callers by the index of their command.
 ///
-/// Invariant: a caller is told the outcome of the entry that stands at its command's index *and* term, never that of an
+/// Invariant: a caller gets the outcome of the entry that stands at its command's index *and* term, never that of an
 /// entry that replaced it. Indexes at or below the applied one have no caller. When the process dies, its callers'
 /// connections break: they send the command again.
 #[derive(Default)]
@@ -48,7 +48,7 @@
     }
 
     /// Tells the caller of the command at this position its outcome. A caller whose command another entry replaced
-    /// (same index, other term) is dropped and told nothing.
+    /// (same index, other term) is dropped without an outcome.
     pub(crate) fn complete(&mut self, position: LogPosition, outcome: CommandOutcome) {
         if let Some(waiter) = self.by_index.remove(&position.index)
             && waiter.term == position.term
--- a/crates/control-plane/src/server/state/replicated_log.rs
+++ b/crates/control-plane/src/server/state/replicated_log.rs
@@ -27,7 +27,7 @@
     compact_config: Option<Indexed<Arc<CompactConfig>>>,
     /// Who led when that was last reported.
     reported_leader: Option<NodeId>,
-    /// It has begun to lead, and has not told the others yet.
+    /// It has begun to lead, and has not announced it to the others yet.
     has_won_election: bool,
 }
 
--- a/crates/control-plane/src/server/state/session_registry.rs
+++ b/crates/control-plane/src/server/state/session_registry.rs
@@ -14,7 +14,7 @@
     session: Session,
 }
 
-/// Sessions that peers have to be told of.
+/// Sessions whose changes have to be sent to peers.
 pub(crate) struct SessionChanges {
     /// Opened or changed.
     pub(crate) changed: Vec<Session>,
@@ -82,12 +82,12 @@
         self.local.values().map(|known| &known.session)
     }
 
-    /// Whether peers have to be told of changes.
+    /// Whether changes have to be sent to peers.
     pub(crate) fn has_changes(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// What peers have to be told; it counts as told from then on.
+    /// The changes for peers; they count as sent from then on.
     pub(crate) fn take_changes(&mut self) -> SessionChanges {
         let (mut changed, mut removed) = (Vec::new(), Vec::new());
         for node in std::mem::take(&mut self.changed) {
--- a/crates/control-plane/src/server/state/zone_registry.rs
+++ b/crates/control-plane/src/server/state/zone_registry.rs
@@ -1,4 +1,4 @@
-//! Each zone's upstreams, as this process lists them or has been told.
+//! Each zone's upstreams, as this process lists them or has received them.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 /// A zone's list has changed.
 pub(crate) struct ZoneChange {
-    /// What others are to be told of it, if anything.
+    /// The update to be sent to others, if any.
     pub(crate) update: Option<UpstreamUpdate>,
 }
 
--- a/crates/data-plane/src/engine.rs
+++ b/crates/data-plane/src/engine.rs
@@ -65,7 +65,7 @@
     /// The modules work to a deadline that is so much earlier than the client's, so that a reply at the deadline
     /// still arrives: the way to the client, and a busy moment here. 30 ms in the data plane.
     pub headroom: Duration,
-    /// How long after the news that an upstream drains a request may still go out to it. 0 in the data plane; by the
+    /// How long after a drain is known a request may still be sent to the upstream. 0 in the data plane; by the
     /// deployment's rules in the standalone proxy.
     pub drain_grace: Duration,
     /// Timers fire on multiples of this, so that those of many services fire together.
@@ -102,7 +102,7 @@
     /// carried out.
     deferred: VecDeque<EndedAttempt>,
     pool: Rc<UpstreamPool>,
-    /// A handle of an upstream is never used twice, or news of one that is gone would be taken for another's.
+    /// A handle of an upstream is never used twice, or an update of one that is gone would be taken for another's.
     next_server_id: u32,
     has_open_upstreams: Rc<Cell<bool>>,
     key_load: Rc<RefCell<KeyLoad>>,
--- a/crates/data-plane/src/engine/upstreams.rs
+++ b/crates/data-plane/src/engine/upstreams.rs
@@ -20,7 +20,7 @@
 pub(super) struct UpstreamRegistry {
     server_ids: FxHashMap<String, ServerId>,
     upstreams: FxHashMap<ServerId, RegisteredUpstream>,
-    /// How long after the news that an upstream drains a request may still go out to it.
+    /// How long after a drain is known a request may still be sent to the upstream.
     drain_grace: Duration,
 }
 
--- a/crates/load-balancing/src/interface/settings.rs
+++ b/crates/load-balancing/src/interface/settings.rs
@@ -128,7 +128,7 @@
     pub overload_multiple: f64,
     /// for this long.
     pub overload_window: Span,
-    /// How long after news of draining a send may still go out.
+    /// How long after a drain is known a request may still be sent.
     pub drain_grace: Span,
     /// A final answer this long after the client's deadline still counts.
     pub answer_slack: Span,
--- a/crates/load-balancing/src/settings/site.rs
+++ b/crates/load-balancing/src/settings/site.rs
@@ -227,7 +227,7 @@
     /// The longest silence of the list before a change counts as told, in milliseconds.
     #[serde(default, rename = "AskEvery")]
     pub membership_poll_interval: f64,
-    /// How long after news of draining a send may still go out, in milliseconds.
+    /// How long after a drain is known a request may still be sent, in milliseconds.
     #[serde(default)]
     pub drain_grace: f64,
     /// A final answer this long after the deadline still counts, in milliseconds.
--- a/crates/protocol/src/key_ranges.rs
+++ b/crates/protocol/src/key_ranges.rs
@@ -1,4 +1,4 @@
-//! Which upstream owns which keys of a sharded service: as it is replicated, and as balancers are told of it.
+//! Which upstream owns which keys of a sharded service: as it is replicated, and as it is sent to balancers.
 //!
 //! **State.** [`KeyRangeMap`] is part of the replicated state of the control plane; it changes only as log entries
 //! are applied. [`KeyRangeView`] is a balancer's copy.
@@ -103,7 +103,7 @@
 }
 
 array_struct! {
-    /// A range as balancers are told of it. An array of three on the wire.
+    /// A range as it is sent to balancers. An array of three on the wire.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub struct KeyRangeRow {
         /// The first key in it.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the system's own processes say to each other, and what they are told from outside.
+//! Messages between the system's own processes, and what they get from outside: settings and configuration.
 //!
 //! | module | what is in it |
 //! | --- | --- |
--- a/crates/protocol/src/wire/session.rs
+++ b/crates/protocol/src/wire/session.rs
@@ -129,13 +129,13 @@
     }
 }
 
-/// The fleet of data-plane balancers, as one of them is told of it.
+/// The fleet of data-plane balancers, as one of them sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetView {
     /// Number of balancers.
     #[serde(rename = "n")]
     pub balancers: u32,
-    /// Position of the one that is told among them, from 0.
+    /// Position of the receiver among them, from 0.
     #[serde(rename = "p")]
     pub position: u32,
 }
--- a/crates/raft/src/tracker/progress.rs
+++ b/crates/raft/src/tracker/progress.rs
@@ -34,7 +34,7 @@
     pub(crate) last_response_at: u64,
     /// The last broadcast that the member has answered.
     pub(crate) answered_sequence: u64,
-    /// The commit index that the member was last told, up to what it had been sent.
+    /// The commit index that the member was last sent, up to what it had been sent.
     pub(crate) sent_commit_index: u64,
     pub(crate) inflights: Inflights,
 }
