--- a/crates/raft/src/applicants.rs
+++ b/crates/raft/src/applicants.rs
@@ -1,13 +1,13 @@
-//! Machines that ask the leader to become members.
+//! Requests of nodes to become members.
 //!
-//! In memory of the leader only: an applicant repeats its request until it is a voter, so that a
-//! new leader hears of it.
+//! The leader keeps them in memory only. An applicant repeats its request until it is a voter, so a
+//! new leader receives it as well.
 
 use std::collections::BTreeMap;
 
 use crate::{Members, NodeId};
 
-/// The applicants by id.
+/// The nodes that have requested membership, by id.
 #[derive(Debug, Default)]
 pub(crate) struct Applicants {
     by_id: BTreeMap<NodeId, Applicant>,
@@ -20,10 +20,11 @@
 }
 
 impl Applicants {
-    /// A machine asks to take part. It replaces another applicant at its address: one address has
-    /// one machine, with one disk at a time.
+    /// Records a request for membership. It replaces a request from another id at the same address:
+    /// an address belongs to one machine, which has one disk at a time.
     pub(crate) fn on_request(&mut self, id: NodeId, address: String, now: u64) {
-        self.by_id.retain(|_, known| known.address != address);
+        self.by_id
+            .retain(|_, applicant| applicant.address != address);
         let applicant = Applicant {
             address,
             last_request_at: now,
@@ -31,22 +32,23 @@
         self.by_id.insert(id, applicant);
     }
 
-    /// Forgets those that have not asked since, and those that are voters by now.
-    pub(crate) fn retain(&mut self, asked_since: u64, members: &Members) {
-        self.by_id.retain(|id, known| {
-            known.last_request_at >= asked_since && !members.voters.contains_key(id)
+    /// Removes applicants whose last request was before `requested_since`, and those that are
+    /// voters by now.
+    pub(crate) fn retain(&mut self, requested_since: u64, members: &Members) {
+        self.by_id.retain(|id, applicant| {
+            applicant.last_request_at >= requested_since && !members.voters.contains_key(id)
         });
     }
 
-    /// The addresses by id.
+    /// Returns the addresses of the applicants by id.
     pub(crate) fn addresses(&self) -> BTreeMap<NodeId, String> {
         self.by_id
             .iter()
-            .map(|(id, known)| (*id, known.address.clone()))
+            .map(|(id, applicant)| (*id, applicant.address.clone()))
             .collect()
     }
 
-    /// Forgets all.
+    /// Removes all applicants.
     pub(crate) fn clear(&mut self) {
         self.by_id.clear();
     }
--- a/crates/raft/src/broadcasts.rs
+++ b/crates/raft/src/broadcasts.rs
@@ -1,13 +1,12 @@
-//! The leader's broadcasts, by which it proves that it still leads.
+//! The leader's numbered broadcasts, whose responses prove that it still leads.
 //!
-//! Each broadcast has a number, which members return in their responses. Once a majority has
-//! answered a broadcast, no other leader had been elected when it was *sent* (Raft thesis, section
-//! 6.4). **Owns** the numbers, the time of the next heartbeat, and the time of the last confirmed
-//! broadcast.
+//! Members return a broadcast's number in their responses. Once a majority has responded to a
+//! broadcast, no other leader had been elected when it was *sent* (Raft thesis, section 6.4).
 
 use std::collections::VecDeque;
 
-/// The broadcasts of a leader. The numbers go on over its terms.
+/// The broadcast numbers of a leader, the time of its next heartbeat, and the time of its last
+/// confirmed broadcast. The numbers keep increasing across its terms.
 #[derive(Debug, Default)]
 pub(crate) struct Broadcasts {
     sequence: u64,
@@ -17,7 +16,7 @@
     confirmed_at: Option<u64>,
 }
 
-/// A broadcast that a majority has not answered yet.
+/// A broadcast to which a majority has not responded yet.
 #[derive(Debug)]
 struct Broadcast {
     sequence: u64,
@@ -25,13 +24,13 @@
 }
 
 impl Broadcasts {
-    /// A new leader has confirmed nothing.
+    /// Discards the confirmations of earlier terms: a new leader has confirmed nothing.
     pub(crate) fn on_new_term(&mut self) {
         self.unconfirmed.clear();
         self.confirmed_at = None;
     }
 
-    /// Begins a broadcast, which is also a heartbeat.
+    /// Starts a broadcast, which also serves as a heartbeat.
     pub(crate) fn begin(&mut self, now: u64, heartbeat_interval_ms: u64) {
         self.heartbeat_deadline = now + heartbeat_interval_ms;
         self.sequence += 1;
@@ -41,29 +40,29 @@
         });
     }
 
-    /// The number of the last broadcast.
+    /// Returns the number of the last broadcast.
     pub(crate) fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// When the next heartbeat is due.
+    /// Returns the time at which the next heartbeat is due.
     pub(crate) fn heartbeat_deadline(&self) -> u64 {
         self.heartbeat_deadline
     }
 
-    /// The number of the oldest broadcast that is not confirmed.
+    /// Returns the number of the oldest broadcast that is not confirmed.
     pub(crate) fn oldest_unconfirmed(&self) -> Option<u64> {
         self.unconfirmed.front().map(|broadcast| broadcast.sequence)
     }
 
-    /// A majority has answered the oldest broadcast that was not confirmed.
+    /// Records that a majority has responded to the oldest unconfirmed broadcast.
     pub(crate) fn confirm_oldest(&mut self) {
         if let Some(broadcast) = self.unconfirmed.pop_front() {
             self.confirmed_at = Some(broadcast.sent_at);
         }
     }
 
-    /// When the last confirmed broadcast was sent.
+    /// Returns the time at which the last confirmed broadcast was sent.
     pub(crate) fn confirmed_at(&self) -> Option<u64> {
         self.confirmed_at
     }
--- a/crates/raft/src/byte_string.rs
+++ b/crates/raft/src/byte_string.rs
@@ -1,4 +1,4 @@
-//! Serializes bytes as one byte string, where serde would by default write a list of numbers. For
+//! Serializes bytes as one byte string instead of serde's default, a list of numbers. Used with
 //! `#[serde(with = "byte_string")]`.
 
 use serde::de::{Error, Visitor};
--- a/crates/raft/src/contact_tracker.rs
+++ b/crates/raft/src/contact_tracker.rs
@@ -1,25 +1,25 @@
-//! How fresh the applied state of a member is known to be.
+//! Tracks how recent the applied state of a member is known to be.
 //!
-//! **Quorum contact** is the moment up to which a member's applied state covers all that was
-//! acknowledged anywhere. It is judged by when a broadcast, or the member's own request, was
-//! *sent*, never by when a response was handled: a response that lay in a queue while a process was
-//! frozen proves nothing about the time since. **Owns** the requests to the leader and the last
-//! proven moment. **Leader silent:** the moment stays where it is, and its age grows.
+//! **Quorum contact** is the latest time for which the member's applied state is known to include
+//! everything that had been acknowledged anywhere by then. It is derived from the times at which a
+//! broadcast and the member's own request were *sent*, never from the time at which a response was
+//! handled: a response that sat in a queue while the process was suspended proves nothing about the
+//! time since. If no leader responds, the time stays the same and its age grows.
 
 use std::collections::VecDeque;
 
 use crate::QuorumContactResponse;
 
-/// Requests to the leader that may be unanswered at a time. A slow link has more than one under
-/// way.
+/// The maximum number of unanswered requests to the leader. On a slow link more than one is in
+/// flight.
 const MAX_OUTSTANDING_REQUESTS: usize = 4;
 
-/// What a member has learnt from leaders about its contact with a majority.
+/// The quorum contact of a member, and the requests and responses from which it is derived.
 #[derive(Debug, Default)]
 pub(crate) struct ContactTracker {
-    /// The requests that are not answered, oldest first.
+    /// The unanswered requests, oldest first.
     requests: VecDeque<ContactRequest>,
-    /// Contact that counts once what it covers is applied, oldest first.
+    /// Contact reported by a leader that is valid only once its index is applied, oldest first.
     unapplied: VecDeque<UnappliedContact>,
     confirmed_at: Option<u64>,
 }
@@ -33,23 +33,24 @@
 #[derive(Debug)]
 struct UnappliedContact {
     at: u64,
-    /// What has to be applied before it counts.
+    /// The index that has to be applied first.
     index: u64,
 }
 
 impl ContactTracker {
-    /// The moment up to which the applied state covers all that was acknowledged anywhere.
+    /// Returns the latest time for which the applied state is known to include everything
+    /// acknowledged by then.
     pub(crate) fn confirmed_at(&self) -> Option<u64> {
         self.confirmed_at
     }
 
-    /// Keeps the contact that this member has proven as a leader.
+    /// Sets the contact that this member has proven as a leader.
     pub(crate) fn set_confirmed_at(&mut self, at: Option<u64>) {
         self.confirmed_at = at;
     }
 
-    /// A request to the leader is sent. The oldest unanswered one is forgotten if there are too
-    /// many.
+    /// Records a request to the leader. If there are too many unanswered requests, the oldest one
+    /// is dropped.
     pub(crate) fn on_request_sent(&mut self, token: u64, now: u64) {
         push_bounded(
             &mut self.requests,
@@ -60,17 +61,17 @@
         );
     }
 
-    /// The leader's response: `age_ms` before it handled the request, the leader sent what a majority
-    /// has answered, and `index` covers all that was acknowledged before that. Responses to older
-    /// requests are no longer awaited.
+    /// Handles the leader's response: the broadcast that a majority has answered was sent `age_ms`
+    /// before the leader handled the request, and `index` covers everything acknowledged before
+    /// that broadcast. Drops older requests as well.
     pub(crate) fn on_response(&mut self, response: &QuorumContactResponse, applied_index: u64) {
-        let Some(place) = self.requests.iter().position(|r| r.token == response.token) else {
+        let Some(position) = self.requests.iter().position(|r| r.token == response.token) else {
             return;
         };
-        // The leader took the age after the request was sent: its broadcast was sent no earlier
-        // than this.
-        let at = self.requests[place].sent_at.checked_sub(response.age_ms);
-        self.requests.drain(..=place);
+        // The leader computed the age after the request was sent, so its broadcast was sent no
+        // earlier than this.
+        let at = self.requests[position].sent_at.checked_sub(response.age_ms);
+        self.requests.drain(..=position);
         if let Some(at) = at.filter(|at| self.confirmed_at.is_none_or(|known| *at > known)) {
             push_bounded(
                 &mut self.unapplied,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Contact counts once what it covers is applied.
+    /// Promotes the contact whose index is applied to confirmed contact.
     pub(crate) fn on_applied(&mut self, applied_index: u64) {
         while let Some(contact) = self
             .unapplied
@@ -94,7 +95,7 @@
     }
 }
 
-/// Adds an element, in place of the oldest if there are as many as requests may be outstanding.
+/// Appends an element, dropping the oldest one if there are already [`MAX_OUTSTANDING_REQUESTS`].
 fn push_bounded<T>(queue: &mut VecDeque<T>, element: T) {
     if queue.len() == MAX_OUTSTANDING_REQUESTS {
         queue.pop_front();
--- a/crates/raft/src/entry.rs
+++ b/crates/raft/src/entry.rs
@@ -1,32 +1,32 @@
-//! Entries of the replicated log, and the snapshot that stands for a prefix of it.
+//! Entries of the replicated log, and the snapshot that replaces a prefix of it.
 //!
-//! These types are stored and sent: their written names and order are fixed by the golden files of
-//! the control plane.
+//! These types are stored and sent. The golden files of the control plane fix their serialized
+//! names and field order.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Members, byte_string};
 
-/// What an entry takes in memory and in a message beside its payload, in bytes: an estimate.
+/// The estimated size of an entry without its payload, in memory and in a message, in bytes.
 pub(crate) const ENTRY_OVERHEAD_BYTES: usize = 32;
-/// What a member takes in a membership entry, its id and its address, in bytes: an estimate.
+/// The estimated size of a member in a membership entry, its id and address, in bytes.
 const MEMBER_BYTES: usize = 40;
 
-/// What an entry carries.
+/// The payload of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// No operation. The first entry of each leader, which lets it commit the entries of earlier
-    /// terms (Raft paper, sections 5.4.2 and 8).
+    /// No operation: the first entry of each leader, which allows it to commit the entries of
+    /// earlier terms (Raft paper, sections 5.4.2 and 8).
     Empty,
-    /// A command of the host, which the log does not interpret.
+    /// A command of the host, which is opaque to the log.
     Data(#[serde(with = "byte_string")] Vec<u8>),
-    /// The members from this entry on. It takes effect once it is in a log, committed or not (Raft
-    /// thesis, section 4.1).
+    /// The membership from this entry on. It takes effect as soon as the entry is in a member's
+    /// log, committed or not (Raft thesis, section 4.1).
     Members(Members),
 }
 
 impl Payload {
-    /// The size in bytes, estimated for [`Payload::Members`].
+    /// Returns the size in bytes, which is an estimate for [`Payload::Members`].
     fn size_bytes(&self) -> usize {
         match self {
             Payload::Empty => 0,
@@ -41,20 +41,20 @@
 pub struct Entry {
     /// The term of the leader that created it.
     pub term: u64,
-    /// Its position in the log. The first entry has index 1.
+    /// The index in the log. The first entry has index 1.
     pub index: u64,
-    /// What it carries.
+    /// The payload.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// The size in bytes with an allowance for term and index: an estimate, by which batches and
-    /// memory are bounded.
+    /// Returns the estimated size in bytes, including term and index. It is used to limit batches
+    /// and memory.
     pub(crate) fn size_bytes(&self) -> usize {
         self.payload.size_bytes() + ENTRY_OVERHEAD_BYTES
     }
 
-    /// Term and index.
+    /// Returns the term and index of the entry.
     pub(crate) fn position(&self) -> LogPosition {
         LogPosition {
             index: self.index,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Whether it changes the members.
+    /// Returns whether the entry changes the membership.
     pub(crate) fn is_membership_change(&self) -> bool {
         matches!(self.payload, Payload::Members(_))
     }
@@ -78,22 +78,23 @@
     pub term: u64,
 }
 
-/// The host's state as of an entry, which replaces the log up to it (Raft paper, section 7).
+/// A snapshot of the host's state as of an entry, which replaces the log up to that entry (Raft
+/// paper, section 7).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The index of the last entry that it covers.
     pub index: u64,
     /// The term of that entry.
     pub term: u64,
-    /// The members as of that entry.
+    /// The membership as of that entry.
     pub members: Members,
-    /// The host's state, which the log does not interpret.
+    /// The host's state, which is opaque to the log.
     #[serde(with = "byte_string")]
     pub data: Vec<u8>,
 }
 
 impl Snapshot {
-    /// The snapshot before any entry, which holds only the initial members.
+    /// Returns the snapshot before the first entry, which holds only the initial members.
     pub fn initial(members: Members) -> Self {
         Self {
             index: 0,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Term and index of the last entry that it covers.
+    /// Returns the term and index of the last entry that the snapshot covers.
     pub(crate) fn position(&self) -> LogPosition {
         LogPosition {
             index: self.index,
--- a/crates/raft/src/incoming_transfer.rs
+++ b/crates/raft/src/incoming_transfer.rs
@@ -1,23 +1,23 @@
-//! A snapshot or a large entry from the leader, as far as its chunks have come.
+//! A snapshot or a large entry that is being received from the leader in chunks.
 //!
-//! In memory only: a member that restarts receives it from the beginning, and it is written to the
-//! disk once it is complete. Chunks that overtake others wait for them.
+//! It is held in memory only and written to disk once it is complete, so a member that restarts
+//! receives it again from the start. Chunks that arrive out of order are buffered.
 
 use std::collections::BTreeMap;
 
 use crate::tracker::MAX_WINDOW_BYTES;
 use crate::{Chunk, TransferContent, TransferId};
 
-/// No transfer is larger.
+/// The maximum size of a transfer, in bytes.
 const MAX_TRANSFER_BYTES: u64 = 64 << 20;
 
-/// A transfer from the leader that is not complete.
+/// An incomplete transfer from the leader.
 #[derive(Debug)]
 pub(crate) struct IncomingTransfer {
     id: TransferId,
-    /// All bytes up to the first gap.
+    /// The bytes received so far without a gap.
     bytes: Vec<u8>,
-    /// Chunks beyond it, by offset.
+    /// Chunks after the first gap, by offset.
     out_of_order: BTreeMap<u64, Chunk>,
 }
 
@@ -34,12 +34,12 @@
         self.id
     }
 
-    /// The bytes received without a gap.
+    /// Returns the number of bytes received without a gap.
     pub(crate) fn received_bytes(&self) -> u64 {
         self.bytes.len() as u64
     }
 
-    /// Whether the bytes are those that the leader has sent.
+    /// Returns whether the received bytes match the checksum of the transfer.
     pub(crate) fn has_valid_checksum(&self) -> bool {
         crc32fast::hash(&self.bytes) == self.id.checksum
     }
@@ -48,8 +48,11 @@
         self.bytes
     }
 
-    /// Adds a chunk, and all that follow it and came before it. What the transfer is, once it is
-    /// complete. Drops a chunk beyond the announced size, or further ahead than any leader sends.
+    /// Adds a chunk and any buffered chunks that follow it. Returns the content of the transfer if
+    /// it is now complete.
+    ///
+    /// Discards a chunk that exceeds the announced size, or that is further ahead than any leader
+    /// sends.
     pub(crate) fn add(&mut self, chunk: Chunk) -> Option<TransferContent> {
         let end = chunk.offset.saturating_add(chunk.bytes.len() as u64);
         let max_end = (self.bytes.len() + MAX_WINDOW_BYTES) as u64;
@@ -62,7 +65,7 @@
                 break;
             }
             let chunk = next.remove();
-            // A chunk with a lower offset was sent again.
+            // A chunk with a lower offset is a retransmission.
             if chunk.offset == received_bytes {
                 self.bytes.extend_from_slice(&chunk.bytes);
                 if chunk.content.is_some() {
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,32 +1,45 @@
-//! A replicated log after Raft: election with pre-vote and check-quorum, replication, membership
-//! that changes one member at a time with learners first, snapshots, and reads confirmed by a
-//! majority.
+//! An implementation of the Raft consensus protocol: leader election with pre-vote and
+//! check-quorum, log replication, single-member membership changes with learners, snapshots, and
+//! linearizable reads confirmed by a majority.
 //!
 //! The **Raft paper** is Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm
 //! (Extended Version)", 2014; the **Raft thesis** is Ongaro, "Consensus: Bridging Theory and
-//! Practice", 2014. Comments name their sections.
+//! Practice", 2014. Comments refer to their sections.
 //!
-//! No sockets, no clock, no files. The host passes in what happened ([`RaftNode::tick`],
+//! The crate performs no I/O and reads no clock. The host passes in events ([`RaftNode::tick`],
 //! [`RaftNode::step`], [`RaftNode::propose`], [`RaftNode::request_read`],
-//! [`RaftNode::on_persisted`]) and carries out the [`Ready`]: it writes every [`PersistRequest`] to
-//! disk, in order, and says when it is synced. What a message promises (a vote, an acknowledged
-//! entry) leaves the node only after the request that backs it is synced; the leader's appends do
-//! not wait for its own disk, which counts only once it is synced (Raft thesis, section 10.2.1).
+//! [`RaftNode::on_persisted`]) and processes the resulting [`Ready`]: it writes each
+//! [`PersistRequest`] to disk in order and reports when it is synced. A message that makes a
+//! promise (a granted vote, an acknowledged entry) is released only after the request that backs it
+//! is synced. The leader sends entries before its own disk has synced them, but counts itself
+//! toward a majority only afterwards (Raft thesis, section 10.2.1).
 //!
-//! Nothing large is sent at once: a snapshot, or an entry over 16 KiB, is sent in chunks, and what
-//! is in flight to a member is bounded, so that heartbeats never wait long behind it.
+//! Snapshots, and entries over 16 KiB, are sent in chunks, and the bytes in flight to each member
+//! are bounded, so that heartbeats are not queued for long behind large transfers.
 //!
-//! **State:** term, vote and log, which the host keeps on disk, and what is derived from messages,
-//! in memory. **Promises:** at most one leader a term; a committed entry is on the synced disks of
-//! a majority of the voters and is never lost while a majority keeps its disks; all members apply
-//! the same entries in the same order. **May lose:** what was proposed and is not committed.
-//! **Neighbours silent:** without a majority nothing commits, no read is confirmed, and a leader
-//! steps down after an election timeout. **Neighbours wiped or gone:** a machine without its disk
-//! is a new member, and the old one is removed; see [`MembershipView`].
+//! # State and guarantees
 //!
-//! Where to read: [`RaftNode`] dispatches messages to handlers by concern (`raft_node/`), and
-//! composes the owners of the state (`raft_log`, `persistence`, `election_timer`, `broadcasts`,
-//! `tracker/`, `read_only`, `contact_tracker`, `applicants`).
+//! The host keeps the term, the vote and the log on disk; everything else is rebuilt from messages
+//! and held in memory only.
+//!
+//! - There is at most one leader per term.
+//! - A committed entry is on the synced disks of a majority of the voters and is not lost while a
+//!   majority keeps its disks.
+//! - All members apply the same entries in the same order.
+//!
+//! Proposals that are not committed may be lost.
+//!
+//! # Failure handling
+//!
+//! Without a reachable majority nothing is committed, no read is confirmed, and a leader steps down
+//! after an election timeout. A machine that loses its disk rejoins as a new member, and its old
+//! identity is removed; see [`MembershipView`].
+//!
+//! # Code layout
+//!
+//! [`RaftNode`] dispatches messages to handlers, one module per protocol concern (`raft_node/`),
+//! and combines the components that hold the state (`raft_log`, `persistence`, `election_timer`,
+//! `broadcasts`, `tracker/`, `read_only`, `contact_tracker`, `applicants`).
 
 mod applicants;
 mod broadcasts;
@@ -60,6 +73,6 @@
 pub use crate::storage::{PersistRequest, PersistentState};
 pub use crate::timing::Timing;
 
-/// The identity of a member: drawn once for each incarnation of a disk, so that a wiped machine is
-/// a new member.
+/// Identifies a member. An id is generated each time a member's disk is initialized, so that a
+/// machine that loses its disk becomes a new member.
 pub type NodeId = u64;
--- a/crates/raft/src/members.rs
+++ b/crates/raft/src/members.rs
@@ -1,4 +1,4 @@
-//! The members of the log, and what makes a majority of them.
+//! The membership of the cluster and its majorities.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,19 @@
 
 use crate::NodeId;
 
-/// The members, with the address of each. It is stored and sent: written names and order are fixed
-/// by golden files.
+/// The members and their addresses. This type is stored and sent; golden files fix its serialized
+/// names and field order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// The members that count for a majority.
+    /// The members that count toward a majority.
     pub voters: BTreeMap<NodeId, String>,
-    /// The members that receive the log and do not count yet (Raft thesis, section 4.2.1).
+    /// The members that receive the log but do not count toward a majority yet (Raft thesis,
+    /// section 4.2.1).
     pub learners: BTreeMap<NodeId, String>,
 }
 
 impl Members {
-    /// All members with their addresses, voters first, each in the order of ids.
+    /// Returns all members with their addresses, voters first, each group ordered by id.
     pub fn all(&self) -> impl Iterator<Item = (NodeId, &str)> {
         self.voters
             .iter()
@@ -25,43 +26,43 @@
             .map(|(id, address)| (*id, address.as_str()))
     }
 
-    /// Whether it is a voter or a learner.
+    /// Returns whether `id` is a voter or a learner.
     pub fn contains(&self, id: NodeId) -> bool {
         self.voters.contains_key(&id) || self.learners.contains_key(&id)
     }
 
-    /// The number of voters that makes a majority.
+    /// Returns the number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether the voters for which `predicate` holds are a majority.
+    /// Returns whether the voters for which `predicate` holds form a majority.
     pub fn is_majority(&self, predicate: impl Fn(NodeId) -> bool) -> bool {
         let count = self.voters.keys().filter(|id| predicate(**id)).count();
         count * 2 > self.voters.len()
     }
 
-    /// The members without this one.
+    /// Returns the membership without member `id`.
     pub fn without(&self, id: NodeId) -> Self {
-        let mut next = self.clone();
-        next.voters.remove(&id);
-        next.learners.remove(&id);
-        next
+        let mut members = self.clone();
+        members.voters.remove(&id);
+        members.learners.remove(&id);
+        members
     }
 
-    /// The members with another learner.
+    /// Returns the membership with an additional learner.
     pub fn with_learner(&self, id: NodeId, address: &str) -> Self {
-        let mut next = self.clone();
-        next.learners.insert(id, address.to_string());
-        next
+        let mut members = self.clone();
+        members.learners.insert(id, address.to_string());
+        members
     }
 
-    /// The members with a learner made a voter.
+    /// Returns the membership with learner `id` promoted to voter.
     pub fn with_promoted(&self, id: NodeId) -> Self {
-        let mut next = self.clone();
-        if let Some(address) = next.learners.remove(&id) {
-            next.voters.insert(id, address);
+        let mut members = self.clone();
+        if let Some(address) = members.learners.remove(&id) {
+            members.voters.insert(id, address);
         }
-        next
+        members
     }
 }
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -1,8 +1,8 @@
 //! Requests and responses between members.
 //!
-//! Any message may be lost, duplicated, delayed or overtaken by another. The written names are
-//! those of earlier builds (`#[serde(rename)]`), and golden files of the control plane hold them:
-//! members of two builds talk to each other during a roll-out.
+//! Any message may be lost, duplicated, delayed or reordered. The serialized names are those of
+//! earlier builds (`#[serde(rename)]`) and are checked by golden files of the control plane,
+//! because members of two builds talk to each other during a rolling upgrade.
 
 use serde::{Deserialize, Serialize};
 
@@ -22,17 +22,18 @@
     pub body: MessageBody,
 }
 
-/// The requests and responses.
+/// The body of a message: a request or a response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// A candidate asks for a vote (Raft paper, section 5.2) or for a pre-vote (Raft thesis,
-    /// section 9.6).
+    /// A candidate requests a vote (Raft paper, section 5.2) or a pre-vote (Raft thesis, section
+    /// 9.6).
     #[serde(rename = "Vote")]
     RequestVote(RequestVote),
     /// The response to [`MessageBody::RequestVote`].
     #[serde(rename = "VoteReply")]
     VoteResponse(VoteResponse),
-    /// The leader replicates entries; without entries, a heartbeat (Raft paper, section 5.3).
+    /// The leader replicates entries or, without entries, sends a heartbeat (Raft paper, section
+    /// 5.3).
     #[serde(rename = "Append")]
     AppendEntries(AppendEntries),
     /// Part of a snapshot (Raft paper, section 7), or of an entry that is too large for one
@@ -45,36 +46,37 @@
     /// The response to [`MessageBody::AppendEntries`] that matched, or to a complete transfer.
     #[serde(rename = "AppendReply")]
     AppendResponse(AppendResponse),
-    /// The response to [`MessageBody::AppendEntries`] where the entry before the sent ones is
-    /// missing or has another term.
+    /// The response to [`MessageBody::AppendEntries`] if the preceding entry is missing or has
+    /// another term.
     #[serde(rename = "Conflict")]
     AppendConflict(AppendConflict),
     /// The leader transfers leadership to the receiver, which campaigns at once (Raft thesis,
     /// section 3.10).
     TimeoutNow,
-    /// A follower asks the leader for a read index (Raft thesis, section 6.4).
+    /// A follower requests a read index from the leader (Raft thesis, section 6.4).
     #[serde(rename = "Read")]
     ReadIndex(ReadIndex),
     /// The response to [`MessageBody::ReadIndex`].
     #[serde(rename = "ReadReply")]
     ReadIndexResponse(ReadIndexResponse),
-    /// A follower asks the leader when it last had contact with a majority.
+    /// A follower asks when the leader last had contact with a majority.
     #[serde(rename = "Contact")]
     QuorumContact(QuorumContact),
-    /// The response to [`MessageBody::QuorumContact`]. Only a leader responds.
+    /// The response to [`MessageBody::QuorumContact`], sent only by a leader.
     #[serde(rename = "ContactReply")]
     QuorumContactResponse(QuorumContactResponse),
 }
 
-/// A candidate asks for a vote, or for a pre-vote.
+/// A candidate's request for a vote or a pre-vote.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestVote {
-    /// Asks only whether the vote would be granted. Nobody changes its term for it (Raft thesis,
-    /// section 9.6).
+    /// Whether this is a pre-vote, which asks only if the vote would be granted. The receiver does
+    /// not change its term (Raft thesis, section 9.6).
     #[serde(rename = "pre")]
     pub pre_vote: bool,
-    /// The leader has transferred leadership to the candidate: the vote is granted although the
-    /// voter has heard from that leader within the election timeout (Raft thesis, section 3.10).
+    /// Whether the leader has transferred leadership to the candidate. The vote is then granted
+    /// even if the voter has heard from that leader within the election timeout (Raft thesis,
+    /// section 3.10).
     #[serde(default)]
     pub transfer: bool,
     /// The index of the candidate's last entry.
@@ -88,14 +90,14 @@
 /// The response to [`RequestVote`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteResponse {
-    /// The response to a pre-vote.
+    /// Whether this is the response to a pre-vote.
     #[serde(rename = "pre")]
     pub pre_vote: bool,
     /// Whether the vote is granted.
     pub granted: bool,
 }
 
-/// Entries from the leader, and its commit index; a heartbeat where there are none.
+/// Entries from the leader and its commit index; a heartbeat if there are no entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendEntries {
     /// The index of the entry before `entries`.
@@ -109,14 +111,14 @@
     /// The leader's commit index.
     #[serde(rename = "commit")]
     pub leader_commit: u64,
-    /// The number of the leader's latest broadcast, to confirm reads and leadership (Raft thesis,
-    /// section 6.4).
+    /// The number of the leader's latest broadcast, used to confirm reads and leadership (Raft
+    /// thesis, section 6.4).
     #[serde(rename = "round")]
     pub sequence: u64,
 }
 
 impl AppendEntries {
-    /// The position of the entry before `entries`.
+    /// Returns the position of the entry before `entries`.
     pub(crate) fn prev(&self) -> LogPosition {
         LogPosition {
             index: self.prev_log_index,
@@ -128,12 +130,12 @@
 /// The response to [`AppendEntries`] that matched the receiver's log, or to a complete transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendResponse {
-    /// Whether the responder accepts the receiver as leader of the term; not where it knows of a
+    /// Whether the responder accepts the receiver as leader of the term; false if it knows of a
     /// newer term.
     #[serde(rename = "ok")]
     pub accepted: bool,
-    /// If accepted, the last entry that is known to match the leader's log and that is synced on
-    /// the responder's disk.
+    /// If accepted, the last entry that is known to match the leader's log and is synced on the
+    /// responder's disk.
     #[serde(rename = "index")]
     pub match_index: u64,
     /// The `sequence` of the request.
@@ -141,10 +143,10 @@
     pub sequence: u64,
 }
 
-/// The response to [`AppendEntries`] that do not follow the receiver's log.
+/// The response to an [`AppendEntries`] request that does not follow the receiver's log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendConflict {
-    /// The `prev_log_index` of the request, where the responder has no entry of that term.
+    /// The `prev_log_index` of the request, at which the responder has no entry of that term.
     #[serde(rename = "rejected")]
     pub rejected_index: u64,
     /// The last entry of the responder at which the logs may still match.
@@ -154,22 +156,23 @@
     pub sequence: u64,
 }
 
-/// Identifies what is sent in chunks.
+/// Identifies a transfer of a snapshot or an entry in chunks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferId {
     /// The index of the entry, or of the last entry that the snapshot covers.
     pub index: u64,
     /// The term of that entry.
     pub term: u64,
-    /// The size of all chunks together, in bytes.
+    /// The total size of all chunks, in bytes.
     #[serde(rename = "total")]
     pub total_bytes: u64,
-    /// The CRC-32 of all bytes. Two leaders may serialize the same state differently.
+    /// The CRC-32 of all bytes. It is part of the id because two leaders may serialize the same
+    /// state differently.
     pub checksum: u32,
 }
 
 impl TransferId {
-    /// The position up to which the receiver has the log once the transfer is complete.
+    /// Returns the position up to which the receiver has the log once the transfer is complete.
     pub(crate) fn position(&self) -> LogPosition {
         LogPosition {
             index: self.index,
@@ -178,7 +181,7 @@
     }
 }
 
-/// What the bytes of a transfer are.
+/// The kind of data in a transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransferContent {
     /// The data of a snapshot.
@@ -194,22 +197,22 @@
     },
 }
 
-/// Part of a snapshot, or of a large entry.
+/// A part of a snapshot or of a large entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The transfer that it is a part of.
+    /// The transfer that the chunk belongs to.
     pub transfer: TransferId,
-    /// The offset of its first byte in the transfer, in bytes.
+    /// The offset of the chunk's first byte in the transfer.
     pub offset: u64,
-    /// The bytes.
+    /// The bytes of the chunk.
     #[serde(with = "byte_string")]
     pub bytes: Vec<u8>,
-    /// What the bytes of the transfer are; only in the last chunk.
+    /// The kind of data in the transfer; set only in the last chunk.
     pub content: Option<TransferContent>,
     /// The leader's commit index.
     #[serde(rename = "commit")]
     pub leader_commit: u64,
-    /// As in [`AppendEntries::sequence`].
+    /// The number of the leader's latest broadcast, as in [`AppendEntries::sequence`].
     #[serde(rename = "round")]
     pub sequence: u64,
 }
@@ -217,17 +220,17 @@
 /// The response to a [`Chunk`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkResponse {
-    /// The transfer.
+    /// The transfer that the chunk belongs to.
     pub transfer: TransferId,
-    /// The bytes of it that the responder has, from the first one on without a gap.
+    /// The number of bytes of the transfer that the responder has received without a gap.
     #[serde(rename = "received")]
     pub received_bytes: u64,
 }
 
-/// A follower asks the leader for a read index.
+/// A follower's request for a read index.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadIndex {
-    /// Chosen by the follower; returned in the response.
+    /// An identifier chosen by the follower and returned in the response.
     pub token: u64,
 }
 
@@ -236,14 +239,14 @@
 pub struct ReadIndexResponse {
     /// The token of the request.
     pub token: u64,
-    /// The index that has to be applied before the read; `None` where the responder does not lead.
+    /// The index that has to be applied before the read, or `None` if the responder does not lead.
     pub index: Option<u64>,
 }
 
-/// A follower asks the leader when it last had contact with a majority.
+/// A follower's request for the time of the leader's last contact with a majority.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuorumContact {
-    /// Chosen by the follower; returned in the response.
+    /// An identifier chosen by the follower and returned in the response.
     pub token: u64,
 }
 
@@ -252,9 +255,10 @@
 pub struct QuorumContactResponse {
     /// The token of the request.
     pub token: u64,
-    /// Milliseconds since the leader sent the last broadcast that a majority has answered.
+    /// The time since the leader sent the last broadcast that a majority has answered, in
+    /// milliseconds.
     #[serde(rename = "age")]
     pub age_ms: u64,
-    /// An index that covers all that was acknowledged before that broadcast.
+    /// An index that covers everything acknowledged before that broadcast.
     pub index: u64,
 }
--- a/crates/raft/src/persistence.rs
+++ b/crates/raft/src/persistence.rs
@@ -1,21 +1,22 @@
-//! What is on its way to the disk, and the messages that wait for it.
+//! Persist requests that are not synced yet, and the messages that wait for them.
 //!
-//! **Owns** the requests that are not synced, the last synced index and the deferred messages.
-//! **Promises:** a message that promises something (a vote, an acknowledged entry) is released only
-//! once the request that backs it is synced (Raft paper, figure 2: persistent state is updated on
-//! stable storage before responding to RPCs), and the synced index never covers an entry that is
-//! about to be overwritten. **Disk stalls:** deferred messages and entries wait; the leader bounds
-//! them by [`PersistencePipeline::unsynced_bytes`].
+//! A message that makes a promise (a granted vote, an acknowledged entry) is released only after
+//! the request that backs it is synced (Raft paper, figure 2: persistent state is updated on stable
+//! storage before responding to RPCs). The synced index never covers an entry that is about to be
+//! overwritten.
+//!
+//! If the disk stalls, deferred messages and unsynced entries accumulate; the leader bounds them by
+//! [`PersistencePipeline::unsynced_bytes`].
 
 use std::collections::VecDeque;
 
 use crate::{Entry, Message, MessageBody, NodeId, Snapshot};
 
-/// The number of a request to the disk. Not to be mixed up with the number of a broadcast.
+/// The number of a persist request. Unrelated to the numbers of broadcasts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PersistSequence(pub(crate) u64);
 
-/// The requests to the disk, in order.
+/// The persist requests in flight, in order.
 #[derive(Debug)]
 pub(crate) struct PersistencePipeline {
     /// The number of the last request.
@@ -26,17 +27,17 @@
     deferred: VecDeque<DeferredMessage>,
 }
 
-/// A request that is not synced yet.
+/// A persist request that is not synced yet.
 #[derive(Debug)]
 struct UnsyncedRequest {
     sequence: PersistSequence,
-    /// The log is synced up to this index once the request is.
+    /// The index up to which the log is synced once this request is.
     last_index: u64,
-    /// The size of its entries.
+    /// The size of its entries, in bytes.
     size_bytes: usize,
 }
 
-/// A message to be sent once a request is synced.
+/// A message to send once a persist request is synced.
 #[derive(Debug)]
 struct DeferredMessage {
     sequence: PersistSequence,
@@ -44,7 +45,7 @@
 }
 
 impl PersistencePipeline {
-    /// Nothing is under way, and the disk has the log up to `synced_index`.
+    /// Creates a pipeline with no requests in flight and the log synced up to `synced_index`.
     pub(crate) fn new(synced_index: u64) -> Self {
         Self {
             last_sequence: PersistSequence::default(),
@@ -55,25 +56,26 @@
         }
     }
 
-    /// Numbers a request that writes these entries, or that snapshot in place of the log.
+    /// Records a request that writes `entries`, or `snapshot` in place of the log, and returns its
+    /// number.
     pub(crate) fn enqueue(
         &mut self,
         entries: &[Entry],
         snapshot: Option<&Snapshot>,
     ) -> PersistSequence {
         self.last_sequence.0 += 1;
-        let covered = snapshot.map_or(0, |snapshot| snapshot.index);
+        let snapshot_index = snapshot.map_or(0, |snapshot| snapshot.index);
         let size_bytes = entries.iter().map(Entry::size_bytes).sum();
         self.unsynced_bytes += size_bytes;
         self.unsynced.push_back(UnsyncedRequest {
             sequence: self.last_sequence,
-            last_index: entries.last().map_or(covered, |entry| entry.index),
+            last_index: entries.last().map_or(snapshot_index, |entry| entry.index),
             size_bytes,
         });
         self.last_sequence
     }
 
-    /// All requests up to `sequence` are synced.
+    /// Records that all requests up to `sequence` are synced.
     pub(crate) fn complete(&mut self, sequence: PersistSequence) {
         while let Some(request) = self
             .unsynced
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The next message that waited only for the requests up to `sequence`.
+    /// Takes the next deferred message whose request is at most `sequence`.
     pub(crate) fn pop_released(&mut self, sequence: PersistSequence) -> Option<Message> {
         let released = self
             .deferred
@@ -98,8 +100,8 @@
             .push_back(DeferredMessage { sequence, message });
     }
 
-    /// What the disk has after `index`, or will have by requests under way, is about to be
-    /// overwritten: it no longer counts as synced.
+    /// Marks everything after `index` as not synced, both on disk and in the requests in flight,
+    /// because it is about to be overwritten.
     pub(crate) fn limit_synced_index(&mut self, index: u64) {
         self.synced_index = self.synced_index.min(index);
         for request in &mut self.unsynced {
@@ -107,25 +109,25 @@
         }
     }
 
-    /// The last entry up to which the disk has the log.
+    /// Returns the index up to which the log is synced.
     pub(crate) fn synced_index(&self) -> u64 {
         self.synced_index
     }
 
-    /// The size of the entries that are not synced yet.
+    /// Returns the size of the entries that are not synced yet, in bytes.
     pub(crate) fn unsynced_bytes(&self) -> usize {
         self.unsynced_bytes
     }
 
-    /// The first request under way with which the log will be synced up to `index`.
+    /// Returns the first request in flight after which the log is synced up to `index`.
     pub(crate) fn request_covering(&self, index: u64) -> Option<PersistSequence> {
         let mut requests = self.unsynced.iter();
         let covering = requests.find(|request| request.last_index >= index);
         covering.map(|request| request.sequence)
     }
 
-    /// Whether an acknowledgement of the log up to `index` to the leader of the term is deferred
-    /// already.
+    /// Returns whether an acknowledgement of the log up to `index` to the leader of `term` is
+    /// already deferred.
     pub(crate) fn has_deferred_acknowledgement(
         &self,
         leader: NodeId,
--- a/crates/raft/src/raft_log.rs
+++ b/crates/raft/src/raft_log.rs
@@ -1,11 +1,9 @@
-//! The log in memory: a snapshot, the entries that follow it, and how far they are committed and
-//! applied.
+//! The in-memory log: a snapshot, the entries after it, and the commit and applied indexes.
 //!
-//! **Owns** the snapshot, the entries, the commit index and the applied index. **Promises:**
-//! entries are without gaps; what is committed is never truncated; the commit index only rises, and
-//! each committed entry is handed out once, in order. **May lose** entries that are not committed,
-//! when a leader overwrites them. A leader also retains entries that its snapshot covers already,
-//! as long as a member may need them.
+//! Entries have no gaps, and committed entries are never truncated. The commit index never
+//! decreases, and each committed entry is handed to the host once, in order. Entries that are not
+//! committed may be overwritten by a leader. A leader also retains entries that its snapshot covers
+//! while a member may need them.
 
 mod retained_entries;
 
@@ -14,30 +12,31 @@
 use crate::{Entry, LogPosition, Members, Payload, Snapshot};
 use retained_entries::RetainedEntries;
 
-/// Entries that the snapshot covers are retained for members that lack them, up to the size of the
-/// snapshot, which would otherwise be sent; between these bounds.
+/// The bounds for the size of the entries that are covered by the snapshot but retained for members
+/// that lack them. Between these bounds the limit is the size of the snapshot, which would be sent
+/// instead.
 const MIN_RETAINED_BYTES: usize = 64 << 10;
 const MAX_RETAINED_BYTES: usize = 2 << 20;
 
 /// The log of one member.
 #[derive(Debug)]
 pub(crate) struct RaftLog {
-    /// Stands for all entries up to its position. Before the first compaction it holds only the
+    /// Replaces all entries up to its position. Before the first compaction it holds only the
     /// initial members.
     snapshot: Snapshot,
     /// The entries after the snapshot.
     entries: VecDeque<Entry>,
     retained: RetainedEntries,
-    /// The last of `entries` that changes the members.
+    /// The index of the last of `entries` that changes the membership.
     membership_index: Option<u64>,
     commit_index: u64,
-    /// The last entry that was handed to the host. At most the commit index.
+    /// The index of the last entry handed to the host. Never above the commit index.
     applied_index: u64,
 }
 
 impl RaftLog {
-    /// The log as a disk holds it. What the snapshot covers is committed; whether more is, the
-    /// leader will tell.
+    /// Creates the log from stored state. Only what the snapshot covers is known to be committed
+    /// until a leader sends its commit index.
     pub(crate) fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
         let entries: VecDeque<Entry> = entries
             .into_iter()
@@ -53,12 +52,12 @@
         }
     }
 
-    /// The index of the last entry, committed or not.
+    /// Returns the index of the last entry, committed or not.
     pub(crate) fn last_index(&self) -> u64 {
         self.snapshot.index + self.entries.len() as u64
     }
 
-    /// The position of the last entry, committed or not.
+    /// Returns the position of the last entry, committed or not.
     pub(crate) fn last_position(&self) -> LogPosition {
         let index = self.last_index();
         LogPosition {
@@ -79,12 +78,12 @@
         &self.snapshot
     }
 
-    /// The number of entries since the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// The term of the entry at an index, if that is still known.
+    /// Returns the term of the entry at `index` if it is still known.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -94,7 +93,7 @@
             .or_else(|| self.retained.term_at(index))
     }
 
-    /// The entry at an index, if it is still there.
+    /// Returns the entry at `index` if it is still in memory.
     pub(crate) fn entry(&self, index: u64) -> Option<&Entry> {
         if let Some(offset) = index.checked_sub(self.snapshot.index + 1) {
             return self.entries.get(usize::try_from(offset).ok()?);
@@ -102,22 +101,22 @@
         self.retained.entry(index)
     }
 
-    /// Whether the log has the entry at that position, and so all before it (Log Matching Property:
-    /// Raft paper, section 5.3).
+    /// Returns whether the log has the entry at `position`, and thus all entries before it (Log
+    /// Matching Property: Raft paper, section 5.3).
     pub(crate) fn contains(&self, position: LogPosition) -> bool {
         self.term_at(position.index) == Some(position.term)
     }
 
-    /// Whether a log that ends at `last` is at least as up to date as this one, so that its owner
-    /// may be elected (Raft paper, section 5.4.1).
+    /// Returns whether a log that ends at `last` is at least as up to date as this one, so that its
+    /// owner may be elected (Raft paper, section 5.4.1).
     pub(crate) fn is_up_to_date(&self, last: LogPosition) -> bool {
         let own = self.last_position();
         (last.term, last.index) >= (own.term, own.index)
     }
 
-    /// The last index, from `floor` on, at or before `position` whose term is not newer: beyond it
-    /// the logs can't match. So a follower and the leader skip a whole term at a time (Raft paper,
-    /// end of section 5.3).
+    /// Returns the last index at or before `position`, but not below `floor`, whose term is not
+    /// newer than that of `position`. The logs can't match after it, so a follower and the leader
+    /// skip a whole term at a time (Raft paper, end of section 5.3).
     pub(crate) fn find_conflict_by_term(&self, position: LogPosition, floor: u64) -> u64 {
         let mut index = position.index.min(self.last_index());
         while index > floor && self.term_at(index).is_some_and(|term| term > position.term) {
@@ -126,12 +125,13 @@
         index
     }
 
-    /// Whether an entry of that term is committed.
+    /// Returns whether the last committed entry is of `term`. For the current term, this tells
+    /// whether any entry of it is committed.
     pub(crate) fn has_committed_in(&self, term: u64) -> bool {
         self.term_at(self.commit_index) == Some(term)
     }
 
-    /// The members as of the last entry, committed or not.
+    /// Returns the membership as of the last entry, committed or not.
     pub(crate) fn members(&self) -> &Members {
         match self.membership_index.and_then(|index| self.entry(index)) {
             Some(Entry {
@@ -142,7 +142,8 @@
         }
     }
 
-    /// The members as of an entry that the snapshot does not cover, or as of the snapshot.
+    /// Returns the membership as of an entry that the snapshot does not cover, or as of the
+    /// snapshot.
     pub(crate) fn members_at(&self, index: u64) -> &Members {
         if self.membership_index.is_none_or(|change| change <= index) {
             return self.members();
@@ -155,19 +156,19 @@
         changes.next().unwrap_or(&self.snapshot.members)
     }
 
-    /// Whether a change of the members is in the log and not committed.
+    /// Returns whether the log has a membership change that is not committed.
     pub(crate) fn has_uncommitted_membership_change(&self) -> bool {
         self.membership_index
             .is_some_and(|index| index > self.commit_index)
     }
 
-    /// Appends entries that follow the last one.
+    /// Appends entries, which have to follow the last one without a gap.
     pub(crate) fn append(&mut self, entries: Vec<Entry>) {
         self.membership_index = last_membership_change(entries.iter()).or(self.membership_index);
         self.entries.extend(entries);
     }
 
-    /// Drops the entries after `last_index`. They are not committed.
+    /// Drops the entries after `last_index`, none of which may be committed.
     pub(crate) fn truncate(&mut self, last_index: u64) {
         let kept = last_index.saturating_sub(self.snapshot.index);
         self.entries.truncate(kept as usize);
@@ -179,12 +180,12 @@
         }
     }
 
-    /// Raises the commit index, to the end of this log at most.
+    /// Raises the commit index to `index`, but not beyond the last entry.
     pub(crate) fn advance_commit_index(&mut self, index: u64) {
         self.commit_index = self.commit_index.max(index.min(self.last_index()));
     }
 
-    /// The next committed entry for the host to apply, which counts as applied from now on.
+    /// Returns the next committed entry for the host to apply and counts it as applied.
     pub(crate) fn next_committed_entry(&mut self) -> Option<Entry> {
         if self.applied_index >= self.commit_index {
             return None;
@@ -194,7 +195,8 @@
         Some(entry)
     }
 
-    /// Replaces the whole log by a snapshot from the leader, which counts as committed and applied.
+    /// Replaces the whole log with a snapshot from the leader, which counts as committed and
+    /// applied.
     pub(crate) fn restore(&mut self, snapshot: Snapshot) {
         self.entries.clear();
         self.retained.clear();
@@ -203,9 +205,10 @@
         self.snapshot = snapshot;
     }
 
-    /// Replaces the entries up to `index`, or up to the applied index if that is less, by the
-    /// host's state as of it. `None` if the snapshot covers them already. The replaced entries are
-    /// retained until [`RaftLog::trim_retained`].
+    /// Replaces the entries up to `index`, or up to the applied index if that is lower, with a
+    /// snapshot of the host's state as of that entry. Returns `None` if the current snapshot
+    /// already covers them. The replaced entries are retained until [`RaftLog::trim_retained`]
+    /// drops them.
     pub(crate) fn compact(&mut self, index: u64, data: Vec<u8>) -> Option<&Snapshot> {
         let index = index.min(self.applied_index);
         if index <= self.snapshot.index {
@@ -213,9 +216,10 @@
         }
         let term = self.term_at(index)?;
         let members = self.members_at(index).clone();
-        let covered = (index - self.snapshot.index) as usize;
+        let covered_entries = (index - self.snapshot.index) as usize;
         let prev = self.snapshot.position();
-        self.retained.extend(prev, self.entries.drain(..covered));
+        self.retained
+            .extend(prev, self.entries.drain(..covered_entries));
         self.membership_index = self.membership_index.filter(|change| *change > index);
         self.snapshot = Snapshot {
             index,
@@ -226,8 +230,8 @@
         Some(&self.snapshot)
     }
 
-    /// Drops retained entries up to `replicated_index`, which no member lacks; all that the
-    /// snapshot covers if `None`.
+    /// Drops retained entries up to `replicated_index`, which all members have. If `None`, drops
+    /// all retained entries.
     pub(crate) fn trim_retained(&mut self, replicated_index: Option<u64>) {
         let max_bytes = self
             .snapshot
@@ -238,13 +242,13 @@
         self.retained.trim(replicated_index, max_bytes);
     }
 
-    /// Drops all retained entries: only a leader needs them.
+    /// Drops all retained entries, which only a leader needs.
     pub(crate) fn clear_retained(&mut self) {
         self.retained.clear();
     }
 }
 
-/// The index of the last of these entries that changes the members.
+/// Returns the index of the last of `entries` that changes the membership.
 fn last_membership_change<'a>(
     mut entries: impl DoubleEndedIterator<Item = &'a Entry>,
 ) -> Option<u64> {
--- a/crates/raft/src/raft_log/retained_entries.rs
+++ b/crates/raft/src/raft_log/retained_entries.rs
@@ -1,14 +1,14 @@
-//! Entries that the leader's snapshot covers and that a member still lacks.
+//! Entries that the leader's snapshot covers but that some member still lacks.
 //!
-//! Without them each snapshot that is made while a member receives the one before would call for
-//! another transfer.
+//! Without them, a member that is receiving a snapshot would need another one whenever the leader
+//! makes a new snapshot in the meantime.
 
 use std::collections::VecDeque;
 
 use crate::{Entry, LogPosition};
 
-/// The retained entries, without gaps up to the last one that the snapshot covers. In memory only:
-/// a lost one costs the transfer of a snapshot.
+/// The retained entries, without gaps, up to the last one that the snapshot covers. They are held
+/// in memory only; without them a member is sent a snapshot instead.
 #[derive(Debug, Default)]
 pub(super) struct RetainedEntries {
     /// The position of the entry before the first one.
@@ -18,7 +18,7 @@
 }
 
 impl RetainedEntries {
-    /// Adds entries that a new snapshot covers. The snapshot before it ended at `prev`.
+    /// Adds the entries that a new snapshot covers. The previous snapshot ended at `prev`.
     pub(super) fn extend(&mut self, prev: LogPosition, entries: impl Iterator<Item = Entry>) {
         if self.entries.is_empty() {
             self.prev = prev;
@@ -29,13 +29,14 @@
         }
     }
 
-    /// The entry at an index.
+    /// Returns the retained entry at `index`.
     pub(super) fn entry(&self, index: u64) -> Option<&Entry> {
         let offset = index.checked_sub(self.prev.index + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// The term of the entry at an index, also of the one before the first.
+    /// Returns the term of the entry at `index`, which may also be the entry before the first
+    /// retained one.
     pub(super) fn term_at(&self, index: u64) -> Option<u64> {
         if !self.entries.is_empty() && index == self.prev.index {
             return Some(self.prev.term);
@@ -49,8 +50,8 @@
         self.size_bytes = 0;
     }
 
-    /// Drops the entries up to `replicated_index`, and the oldest while there are more than
-    /// `max_bytes`.
+    /// Drops the entries up to `replicated_index`, and then the oldest ones until at most
+    /// `max_bytes` are left.
     pub(super) fn trim(&mut self, replicated_index: u64, max_bytes: usize) {
         while let Some(first) = self.entries.front()
             && (first.index <= replicated_index || self.size_bytes > max_bytes)
--- a/crates/raft/src/raft_node.rs
+++ b/crates/raft/src/raft_node.rs
@@ -1,12 +1,15 @@
-//! The state machine of one member: its state, its clock, and the dispatch of messages to their
-//! handlers.
+//! The protocol state machine of one member: its state, its clock, and the dispatch of messages to
+//! their handlers.
 //!
-//! **Owns** the term, the vote and the role, and composes the owners of the rest: the log, the
-//! persistence pipeline, the election timer, the progress of other members, reads, quorum contact.
-//! Each handler module adds the messages of one concern. **Promises** of the Raft paper, figure 3:
-//! election safety, leader append-only, log matching, leader completeness, state machine safety.
-//! **Neighbours silent:** a leader that a majority does not answer steps down after an election
-//! timeout, and others campaign. **Neighbours wiped or gone:** see [`crate::MembershipView`].
+//! [`RaftNode`] holds the term, the vote and the role, and combines the components that hold the
+//! rest: the log, the persistence pipeline, the election timer, the progress of other members,
+//! reads, and quorum contact. Each submodule handles the messages of one concern.
+//!
+//! It guarantees the properties of figure 3 in the Raft paper: election safety, leader append-only,
+//! log matching, leader completeness and state machine safety.
+//!
+//! A leader that a majority does not answer steps down after an election timeout, and other members
+//! campaign. For members that are unreachable or lose their disks, see [`crate::MembershipView`].
 
 mod append_entries;
 mod chunked_transfer;
@@ -37,23 +40,23 @@
 };
 use election::CampaignType;
 
-/// Voters whose loss is to be tolerated, where the host sets no membership policy.
+/// The number of voter failures to tolerate if the host sets no membership policy.
 const DEFAULT_TOLERATED_LOSSES: usize = 1;
 
 /// The role of a member (Raft paper, figure 4; pre-candidate: Raft thesis, section 9.6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader, or waits for one to be elected.
     Follower,
-    /// Asks whether it would be elected, in its present term.
+    /// Asks for pre-votes, without starting a new term.
     PreCandidate,
-    /// Asks for votes.
+    /// Asks for votes in its term.
     Candidate,
-    /// Leads its term.
+    /// Leads in its term.
     Leader,
 }
 
-/// The form in which the control plane's status page shows it: operators' tools read it.
+/// Formats the role as shown on the control plane's status page, which operators' tools parse.
 impl fmt::Display for Role {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
@@ -65,7 +68,7 @@
     }
 }
 
-/// A member's state, for those who report it.
+/// A summary of a member's state for status reports.
 #[derive(Clone, Debug)]
 pub struct Status {
     /// The member's id.
@@ -87,7 +90,7 @@
 pub struct RaftNode {
     id: NodeId,
     timing: Timing,
-    /// The host's clock in milliseconds, as of the last call that told it.
+    /// The host's clock in milliseconds, as of the last call that advanced it.
     now: u64,
 
     // Persistent state (Raft paper, figure 2), together with the log.
@@ -101,14 +104,15 @@
     leader: Option<NodeId>,
     election_timer: ElectionTimer,
     votes_granted: BTreeSet<NodeId>,
-    /// The process is about to end: this member must neither campaign nor accept proposals.
+    /// Whether the process is shutting down: the member then neither campaigns nor accepts
+    /// proposals.
     shutting_down: bool,
 
     // Leader.
     tracker: ProgressTracker,
     broadcasts: Broadcasts,
-    /// The index of the leader's first entry, which covers all that earlier leaders have
-    /// acknowledged.
+    /// The index of the first entry of this leader's term, which follows all entries that earlier
+    /// leaders acknowledged.
     term_start_index: u64,
     pending_reads: PendingReads,
     applicants: Applicants,
@@ -119,14 +123,16 @@
     forwarded_reads: ForwardedReads,
     contact: ContactTracker,
 
-    /// What the host has to carry out.
+    /// The output for the host since the last [`RaftNode::take_ready`].
     ready: Ready,
 }
 
 impl RaftNode {
-    /// A member with the state that its disk holds. `initial_members` are the members before any
-    /// entry, the same at each of them; they count only where the disk holds nothing. `seed` is
-    /// that of the random election timeouts.
+    /// Creates a member from the state stored on its disk.
+    ///
+    /// `initial_members` is the membership before the first entry and has to be the same at every
+    /// initial member; it is ignored if the disk holds a snapshot. `seed` seeds the randomized
+    /// election timeouts.
     pub fn new(
         id: NodeId,
         timing: Timing,
@@ -168,12 +174,12 @@
         }
     }
 
-    /// What the host has to carry out since the last call.
+    /// Returns the output that the host has to process since the last call.
     pub fn take_ready(&mut self) -> Ready {
         std::mem::take(&mut self.ready)
     }
 
-    /// The member's state.
+    /// Returns the member's current state.
     pub fn status(&self) -> Status {
         Status {
             id: self.id,
@@ -185,33 +191,35 @@
         }
     }
 
-    /// The members as of the last entry, committed or not.
+    /// Returns the membership as of the last entry, committed or not.
     pub fn members(&self) -> &Members {
         self.log.members()
     }
 
-    /// The members as of an entry that is applied and not covered by the snapshot, or as of the
-    /// snapshot.
+    /// Returns the membership as of entry `index`, which has to be applied and not covered by the
+    /// snapshot, or else as of the snapshot.
     pub fn members_at(&self, index: u64) -> &Members {
         self.log.members_at(index)
     }
 
-    /// The number of entries since the last snapshot.
+    /// Returns the number of entries after the last snapshot.
     pub fn log_len(&self) -> usize {
         self.log.len()
     }
 
-    /// The host's state as of entry `index` replaces the log up to there, or up to the last applied
-    /// entry if that is less (Raft paper, section 7). The snapshot, which the host writes before it
-    /// drops the entries; `None` if the last snapshot covers them already.
+    /// Replaces the log up to `index`, or up to the last applied entry if that is lower, with a
+    /// snapshot of the host's state as of entry `index` (Raft paper, section 7).
+    ///
+    /// Returns the snapshot, which the host has to write before it deletes the entries, or `None`
+    /// if the last snapshot already covers them.
     pub fn compact(&mut self, index: u64, data: Vec<u8>) -> Option<Snapshot> {
         self.log.compact(index, data)?;
         self.trim_retained_entries();
         Some(self.log.snapshot().clone())
     }
 
-    /// The time is `now`, in milliseconds of a clock that never goes back. To be called often, at
-    /// the latest at [`RaftNode::next_tick_at`].
+    /// Advances the clock to `now`, in milliseconds of a monotonic clock, and runs the timers that
+    /// are due. The host calls this often, and no later than at [`RaftNode::next_tick_at`].
     pub fn tick(&mut self, now: u64) {
         self.advance_clock(now);
         if self.role == Role::Leader {
@@ -225,8 +233,8 @@
 
     fn tick_leader(&mut self) {
         if !self.has_quorum_responses() {
-            // Check-quorum (Raft thesis, section 6.2): a leader that is cut off would keep its
-            // callers waiting.
+            // Check-quorum (Raft thesis, section 6.2): a leader without contact with a majority
+            // can't commit proposals or confirm reads, and would only keep its clients waiting.
             self.become_follower(self.term, None);
         } else if self.now >= self.broadcasts.heartbeat_deadline() {
             self.broadcast_heartbeat();
@@ -236,13 +244,16 @@
         self.maybe_transfer_leadership();
     }
 
-    /// The time is `now` for the calls that follow. A host that may have been frozen since the last
-    /// tick calls this before anything else: what arrived meanwhile was not received then.
+    /// Advances the clock to `now` without running timers.
+    ///
+    /// A host that may have been suspended since the last tick calls this before it passes in
+    /// anything else, so that messages that arrived in between do not count as received at the time
+    /// of the last tick.
     pub fn advance_clock(&mut self, now: u64) {
         self.now = self.now.max(now);
     }
 
-    /// When [`RaftNode::tick`] next has something to do, by its clock.
+    /// Returns the time at which [`RaftNode::tick`] next has work to do.
     pub fn next_tick_at(&self) -> u64 {
         if self.role == Role::Leader {
             self.broadcasts.heartbeat_deadline()
@@ -253,7 +264,7 @@
 
     /// Handles a message from another member.
     pub fn step(&mut self, message: Message) {
-        if message.to != self.id || !self.admit_term_of(&message) {
+        if message.to != self.id || !self.check_term(&message) {
             return;
         }
         let Message { from, term, .. } = message;
@@ -275,19 +286,19 @@
         }
     }
 
-    /// Adopts a newer term, and refuses messages of an older one (Raft paper, section 5.1). Whether
-    /// the message is to be handled.
-    fn admit_term_of(&mut self, message: &Message) -> bool {
+    /// Adopts a newer term and rejects messages of an older one (Raft paper, section 5.1). Returns
+    /// whether the message is to be handled.
+    fn check_term(&mut self, message: &Message) -> bool {
         let leader = match &message.body {
-            // Vote requests have rules of their own. Reads and contact carry tokens, which identify
-            // their request whatever the term.
+            // Vote requests update the term in their handler. Reads and quorum contact are matched
+            // by token, regardless of the term.
             MessageBody::RequestVote(_)
             | MessageBody::ReadIndex(_)
             | MessageBody::ReadIndexResponse(_)
             | MessageBody::QuorumContact(_)
             | MessageBody::QuorumContactResponse(_) => return true,
-            // The term of a granted pre-vote is that in which the candidate would campaign: nobody
-            // has it yet.
+            // A granted pre-vote carries the term of the intended campaign, which no member has
+            // adopted yet.
             MessageBody::VoteResponse(response) if response.pre_vote && response.granted => {
                 return message.term >= self.term;
             }
@@ -307,8 +318,8 @@
         true
     }
 
-    /// Adds a request to write and sync these entries, or that snapshot in place of the log, with
-    /// the present term and vote. Its number.
+    /// Enqueues a request to write and sync `entries`, or `snapshot` in place of the log, with the
+    /// current term and vote. Returns the number of the request.
     fn persist(&mut self, entries: Vec<Entry>, snapshot: Option<Snapshot>) -> PersistSequence {
         let sequence = self.persistence.enqueue(&entries, snapshot.as_ref());
         self.ready.persist_requests.push(PersistRequest {
@@ -321,12 +332,13 @@
         sequence
     }
 
-    /// All [`PersistRequest`]s up to this number are synced.
+    /// Records that all [`PersistRequest`]s up to `sequence` are synced, and releases the messages
+    /// that waited for them.
     pub fn on_persisted(&mut self, sequence: u64) {
         let sequence = PersistSequence(sequence);
         self.persistence.complete(sequence);
         while let Some(message) = self.persistence.pop_released(sequence) {
-            // A promise of an older term is no longer wanted.
+            // Votes and acknowledgements of an older term are obsolete.
             if message.term >= self.term {
                 self.ready.messages.push(message);
             }
@@ -334,7 +346,7 @@
         self.maybe_commit();
     }
 
-    /// A message of the present term.
+    /// Builds a message of the current term.
     fn message(&self, to: NodeId, body: MessageBody) -> Message {
         Message {
             from: self.id,
@@ -344,13 +356,13 @@
         }
     }
 
-    /// Sends a message of the present term.
+    /// Sends a message of the current term.
     fn send(&mut self, to: NodeId, body: MessageBody) {
         let message = self.message(to, body);
         self.ready.messages.push(message);
     }
 
-    /// Sends a message once a persist request is synced; at once if it depends on none.
+    /// Sends a message once `request` is synced, or immediately if it is `None`.
     fn send_once_persisted(&mut self, request: Option<PersistSequence>, message: Message) {
         match request {
             Some(sequence) => self.persistence.defer(sequence, message),
@@ -358,19 +370,19 @@
         }
     }
 
-    /// The ids of the other members, voters first.
+    /// Returns the ids of the other members, voters first.
     fn other_members(&self) -> Vec<NodeId> {
         let ids = self.members().all().map(|(id, _)| id);
         ids.filter(|id| *id != self.id).collect()
     }
 
-    /// The ids of the other voters.
+    /// Returns the ids of the other voters.
     fn other_voters(&self) -> impl Iterator<Item = NodeId> {
         let ids = self.members().voters.keys().copied();
         ids.filter(|id| *id != self.id)
     }
 
-    /// Whether this member has a vote.
+    /// Returns whether this member is a voter.
     fn is_voter(&self) -> bool {
         self.members().voters.contains_key(&self.id)
     }
--- a/crates/raft/src/raft_node/append_entries.rs
+++ b/crates/raft/src/raft_node/append_entries.rs
@@ -1,6 +1,7 @@
 //! The follower's side of log replication (Raft paper, section 5.3).
 //!
-//! A member acknowledges only what its own disk has synced, and never truncates what is committed.
+//! A member acknowledges only entries that its own disk has synced, and never truncates committed
+//! entries.
 
 use super::RaftNode;
 use crate::persistence::PersistSequence;
@@ -10,19 +11,19 @@
 };
 
 impl RaftNode {
-    /// Handles entries, or a heartbeat, from the leader of this term.
+    /// Handles entries, or a heartbeat, from the leader of the current term.
     pub(super) fn handle_append_entries(&mut self, from: NodeId, request: AppendEntries) {
         self.accept_leader(from);
         self.append_from_leader(from, request);
     }
 
-    /// Appends the leader's entries where they follow this log, and acknowledges them.
+    /// Appends the leader's entries if their preceding entry is in this log, and acknowledges them.
     pub(super) fn append_from_leader(&mut self, from: NodeId, request: AppendEntries) {
         let mut prev = request.prev();
         let mut entries = request.entries;
         let snapshot = self.log.snapshot().position();
         if prev.index < snapshot.index {
-            // What the snapshot covers is committed: the leader has it too.
+            // The snapshot covers only committed entries, so the leader's log has the same ones.
             entries.retain(|entry| entry.index > snapshot.index);
             prev = snapshot;
             let follows = |first: &Entry| first.index == prev.index + 1;
@@ -42,7 +43,7 @@
         self.acknowledge(from, match_index, request.sequence, persisted);
     }
 
-    /// Replaces what the log has from the first of these entries on. The number of the request that
+    /// Replaces the log from the first of `entries` on. Returns the number of the request that
     /// persists them.
     fn overwrite_log(&mut self, entries: Vec<Entry>) -> PersistSequence {
         let last_kept = entries
@@ -54,8 +55,8 @@
         self.persist(entries, None)
     }
 
-    /// Tells the leader where this log may match its own: at the last entry at or before `prev`
-    /// whose term is not newer, and not before what is committed.
+    /// Rejects an append and suggests where the logs may match: at the last index, at or before
+    /// `prev`, whose term is not newer, and no earlier than the commit index.
     fn send_conflict(&mut self, to: NodeId, prev: LogPosition, sequence: u64) {
         let commit_index = self.log.commit_index();
         let index = self.log.find_conflict_by_term(prev, commit_index);
@@ -71,7 +72,7 @@
         self.send(to, MessageBody::AppendConflict(response));
     }
 
-    /// Tells a leader of an older term of the newer one.
+    /// Informs a leader of an older term that there is a newer one.
     pub(super) fn reject_stale_leader(&mut self, message: &Message) {
         let sequence = match &message.body {
             MessageBody::AppendEntries(request) => request.sequence,
@@ -86,9 +87,9 @@
         self.send(message.from, MessageBody::AppendResponse(response));
     }
 
-    /// The log matches the leader's up to `match_index`, and up to what is committed: acknowledges
-    /// it as far as it is synced, and the rest once it is. `persisted` is the request that writes
-    /// new entries, if there are any.
+    /// Acknowledges that the log matches the leader's up to `match_index`, or up to the commit
+    /// index if that is higher. What is already synced is acknowledged immediately, the rest once
+    /// it is synced. `persisted` is the request that writes new entries, if any.
     pub(super) fn acknowledge(
         &mut self,
         to: NodeId,
@@ -106,7 +107,8 @@
             })
         };
         if persisted.is_none() || match_index <= synced_index {
-            // Answers at once: the disk may stall, and this member is in contact all the same.
+            // Responds without waiting for the disk, which may stall: the member is still in
+            // contact.
             self.send(to, acknowledgement(match_index.min(synced_index)));
         }
         let is_deferred = || {
@@ -122,20 +124,20 @@
         }
     }
 
-    /// Replaces the log by the leader's snapshot, unless it reaches that far already (Raft paper,
-    /// section 7).
+    /// Replaces the log with the leader's snapshot, unless the log already has the entries that it
+    /// covers (Raft paper, section 7).
     pub(super) fn install_snapshot(&mut self, from: NodeId, snapshot: Snapshot, sequence: u64) {
         let index = snapshot.index;
         if self.log.contains(snapshot.position()) {
-            // The log has all that the snapshot covers; what follows may have been acknowledged
-            // already.
+            // The log already contains the entries that the snapshot covers. The entries after it
+            // are kept, since they may have been acknowledged.
             self.commit_to(index);
         }
         if index <= self.log.commit_index() {
             return self.acknowledge(from, index, sequence, None);
         }
-        // Of what is on the disk, or on its way there, only what is committed matches the leader's
-        // log.
+        // Of the entries that are synced or being written, only the committed ones are known to
+        // match the leader's log.
         self.persistence.limit_synced_index(self.log.commit_index());
         self.log.restore(snapshot.clone());
         self.ready.committed_entries.clear();
@@ -144,7 +146,7 @@
         self.acknowledge(from, index, sequence, Some(persisted));
     }
 
-    /// Entries up to `index` are committed: hands them to the host, in order.
+    /// Marks the entries up to `index` as committed and passes them to the host in order.
     pub(super) fn commit_to(&mut self, index: u64) {
         self.log.advance_commit_index(index);
         let commit_index = self.log.commit_index();
--- a/crates/raft/src/raft_node/chunked_transfer.rs
+++ b/crates/raft/src/raft_node/chunked_transfer.rs
@@ -1,9 +1,9 @@
-//! Transfer of snapshots and large entries in chunks (Raft paper, section 7), one to each member at
-//! a time.
+//! Transfer of snapshots and large entries in chunks (Raft paper, section 7), one at a time per
+//! member.
 //!
-//! The leader sends no more than the member's window allows and resumes where the member stands
-//! when messages were lost; the member keeps what it has received in memory, and accepts it only
-//! complete and with the right checksum.
+//! The leader stays within the member's flow-control window and, after messages were lost, resumes
+//! from the last acknowledged byte. The member keeps received chunks in memory and accepts the
+//! transfer only when it is complete and its checksum is correct.
 
 use std::sync::Arc;
 
@@ -15,13 +15,13 @@
     TransferContent, TransferId,
 };
 
-/// A member that has not answered for so long is not there: what it is sent once it is back is
-/// newer.
+/// The time without a response after which a transfer is abandoned. By the time the member is back,
+/// there is newer data to send.
 const ABANDON_TIMEOUT_MS: u64 = 10_000;
 
 impl RaftNode {
-    /// Begins to send a member the snapshot, if it has answered lately: one that is away is sent a
-    /// newer one once it is back.
+    /// Starts a snapshot transfer to a member that has responded recently. A member that is
+    /// unreachable is sent a newer snapshot once it is back.
     pub(super) fn start_snapshot_transfer(&self, progress: &mut Progress) {
         let since = self.now.saturating_sub(self.timing.election_timeout_ms);
         if progress.last_response_at < since {
@@ -38,7 +38,7 @@
         self.start_transfer(progress, data);
     }
 
-    /// Begins to send a member an entry that is too large for an append.
+    /// Starts the transfer of an entry that is too large for an append.
     pub(super) fn start_entry_transfer(&self, progress: &mut Progress, index: u64) {
         let (Some(entry), Some(prev_log_term)) =
             (self.log.entry(index), self.log.term_at(index - 1))
@@ -60,7 +60,7 @@
         progress.become_transfer(OutgoingTransfer::new(data, self.now));
     }
 
-    /// Sends the chunks that the window has room for. Ends the transfer if the member is not there.
+    /// Sends the chunks that fit the window, or abandons the transfer if the member is unreachable.
     pub(super) fn send_chunks(&mut self, to: NodeId, progress: &mut Progress) {
         let is_abandoned = self.now >= progress.last_response_at + ABANDON_TIMEOUT_MS;
         let sequence = self.broadcasts.sequence();
@@ -81,7 +81,7 @@
         }
     }
 
-    /// A member tells how much it has of a transfer.
+    /// Handles a member's report of how much of a transfer it has received.
     pub(super) fn handle_chunk_response(&mut self, from: NodeId, response: &ChunkResponse) {
         let Some(progress) = self.tracker.get_mut(from) else {
             return;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Handles a chunk from the leader of this term.
+    /// Handles a chunk from the leader of the current term.
     pub(super) fn handle_chunk(&mut self, from: NodeId, chunk: Chunk) {
         self.accept_leader(from);
         let id = chunk.transfer;
@@ -103,10 +103,11 @@
         if id.index <= self.log.commit_index() || self.log.contains(id.position()) {
             return self.acknowledge(from, id.index, sequence, None);
         }
-        // A chunk of another transfer ends the one before: the leader has one under way.
-        let known = self.incoming_transfer.take();
-        let mut transfer = known
-            .filter(|known| known.id() == id)
+        // A chunk of another transfer replaces the current one: the leader has only one in
+        // progress.
+        let current = self.incoming_transfer.take();
+        let mut transfer = current
+            .filter(|current| current.id() == id)
             .unwrap_or_else(|| IncomingTransfer::new(id));
         let Some(content) = transfer.add(chunk) else {
             self.send_chunk_response(from, id, transfer.received_bytes());
@@ -114,14 +115,14 @@
             return;
         };
         if !transfer.has_valid_checksum() {
-            // Asks for it from the beginning.
+            // Requests the transfer again from the start.
             return self.send_chunk_response(from, id, 0);
         }
         self.send_chunk_response(from, id, id.total_bytes);
         self.complete_transfer(from, transfer, content, leader_commit, sequence);
     }
 
-    /// Accepts a snapshot, or an entry, that has come with all its chunks.
+    /// Accepts a snapshot or an entry whose chunks have all arrived.
     fn complete_transfer(
         &mut self,
         from: NodeId,
@@ -148,7 +149,7 @@
                     index: id.index,
                     payload: Payload::Data(bytes),
                 };
-                // As if the leader had sent it in one message.
+                // Handled as if the leader had sent the entry in a single append.
                 let request = AppendEntries {
                     prev_log_index: id.index - 1,
                     prev_log_term,
--- a/crates/raft/src/raft_node/election.rs
+++ b/crates/raft/src/raft_node/election.rs
@@ -1,8 +1,8 @@
-//! Leader election, with pre-vote (Raft paper, section 5.2; Raft thesis, section 9.6).
+//! Leader election with pre-vote (Raft paper, section 5.2; Raft thesis, section 9.6).
 //!
-//! A request for votes and a granted vote are sent only once the vote is synced. Voters that hear a
-//! leader answer no vote request (Raft thesis, section 4.2.3), so that a member that was removed or
-//! cut off does not unseat it.
+//! Vote requests and granted votes are sent only after the vote is synced. Voters that have
+//! recently heard from a leader ignore vote requests (Raft thesis, section 4.2.3), so that a member
+//! that was removed or partitioned can't depose it.
 
 use std::collections::BTreeSet;
 
@@ -10,19 +10,19 @@
 use crate::persistence::PersistSequence;
 use crate::{LogPosition, Message, MessageBody, NodeId, Payload, RequestVote, VoteResponse};
 
-/// Why a member asks for votes.
+/// The kind of election that a member runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CampaignType {
-    /// To learn whether it would be elected.
+    /// A pre-vote, which tells whether the member could win an election.
     PreElection,
-    /// A majority would elect it.
+    /// An election after a majority has granted its pre-votes.
     Election,
-    /// The leader has transferred leadership to it.
+    /// An election requested by the leader, which transfers leadership.
     Transfer,
 }
 
 impl RaftNode {
-    /// Asks the other voters for their votes.
+    /// Starts an election or a pre-vote by asking the other voters for their votes.
     pub(super) fn campaign(&mut self, campaign: CampaignType) {
         let pre_vote = campaign == CampaignType::PreElection;
         if pre_vote {
@@ -40,8 +40,8 @@
             Some(self.become_candidate())
         };
         self.request_votes(campaign, persisted);
-        // Alone, a member has a majority by its own vote; as the leader it counts its entries once
-        // they are synced.
+        // The only voter has a majority by its own vote. As leader it still commits entries only
+        // once they are synced.
         self.maybe_win_election(pre_vote);
     }
 
@@ -71,7 +71,8 @@
         self.become_any_candidate(Role::PreCandidate);
     }
 
-    /// Begins a new term with a vote for itself. The number of the request that persists them.
+    /// Starts a new term and votes for itself. Returns the number of the request that persists
+    /// both.
     fn become_candidate(&mut self) -> PersistSequence {
         self.become_any_candidate(Role::Candidate);
         (self.term, self.voted_for) = (self.term + 1, Some(self.id));
@@ -85,8 +86,8 @@
         self.votes_granted = BTreeSet::from([self.id]);
     }
 
-    /// Leads the term. The first entry, without a payload, lets it commit what came before (Raft
-    /// paper, section 8).
+    /// Becomes leader of the current term. Its first entry, which is empty, allows it to commit the
+    /// entries of earlier terms (Raft paper, section 8).
     fn become_leader(&mut self) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
@@ -97,8 +98,8 @@
         self.broadcast_heartbeat();
     }
 
-    /// Follows `leader` in `term`, or waits for a leader of it. A newer term is persisted, without
-    /// a vote.
+    /// Becomes a follower of `leader` in `term`, or of no leader yet. A newer term is persisted,
+    /// without a vote.
     pub(super) fn become_follower(&mut self, term: u64, leader: Option<NodeId>) {
         if term > self.term {
             (self.term, self.voted_for) = (term, None);
@@ -111,14 +112,14 @@
         }
         self.role = Role::Follower;
         if leader != self.leader || leader.is_none() {
-            // The leader that was asked for a read may no longer lead.
+            // The leader to which reads were forwarded may no longer lead.
             self.fail_forwarded_reads();
         }
         self.leader = leader;
         self.reset_election_timer();
     }
 
-    /// Accepts the sender of entries of this term as its leader.
+    /// Follows the sender of entries of the current term as its leader.
     pub(super) fn accept_leader(&mut self, leader: NodeId) {
         self.become_follower(self.term, Some(leader));
         self.election_timer.on_leader_contact(self.now);
@@ -134,8 +135,9 @@
         }
         let granted = self.can_grant_vote(from, term, request);
         if granted && self.role == Role::PreCandidate && from > self.id {
-            // Of two that would both be elected the one with the higher id goes on: else they split
-            // the votes, which was seen to repeat for up to five seconds.
+            // Of two pre-candidates that could both be elected, only the one with the higher id
+            // continues. Otherwise they split the votes, which was seen to repeat for up to five
+            // seconds.
             self.role = Role::Follower;
         }
         let mut persisted = None;
@@ -157,8 +159,8 @@
         self.send_once_persisted(persisted, message);
     }
 
-    /// One vote a term, and only for a log that is at least as up to date (Raft paper, sections 5.2
-    /// and 5.4.1).
+    /// Returns whether the vote can be granted: once per term, and only to a candidate whose log is
+    /// at least as up to date (Raft paper, sections 5.2 and 5.4.1).
     fn can_grant_vote(&self, candidate: NodeId, term: u64, request: &RequestVote) -> bool {
         let last = LogPosition {
             index: request.last_log_index,
@@ -172,7 +174,8 @@
         has_vote && self.log.is_up_to_date(last)
     }
 
-    /// Whether a leader is known to be there, so that nobody may unseat it.
+    /// Returns whether a leader is known to be active, in which case this member ignores vote
+    /// requests from others.
     fn has_current_leader(&self) -> bool {
         self.role == Role::Leader
             || (self.leader.is_some() && self.election_timer.has_recent_leader_contact(self.now))
@@ -193,8 +196,8 @@
             return;
         }
         if !response.granted {
-            // With four voters two candidates got two votes each, and both waited for an election
-            // timeout.
+            // Retries soon after a split vote instead of waiting for an election timeout. With four
+            // voters, two candidates can get two votes each.
             if !response.pre_vote {
                 self.election_timer.schedule_pre_vote(self.now);
             }
@@ -204,7 +207,8 @@
         self.maybe_win_election(response.pre_vote);
     }
 
-    /// Goes on to the election, or to lead, if a majority has granted its votes.
+    /// Proceeds from a pre-vote to the election, or from the election to leadership, once a
+    /// majority has granted its votes.
     fn maybe_win_election(&mut self, pre_vote: bool) {
         if !self
             .members()
@@ -219,15 +223,16 @@
         }
     }
 
-    /// Waits for an election timeout, and for the turn of this member if it has heard a leader.
+    /// Restarts the election timer. If this member knows a leader, the delay depends on its
+    /// campaign slot.
     fn reset_election_timer(&mut self) {
-        let turn = self.leader.map(|leader| self.election_turn(leader));
-        self.election_timer.reset(self.now, turn);
+        let slot = self.leader.map(|leader| self.campaign_slot(leader));
+        self.election_timer.reset(self.now, slot);
     }
 
-    /// The number of voters that campaign before this member when this leader is lost: all do in
-    /// the order of their ids, beginning after the leader's.
-    fn election_turn(&self, leader: NodeId) -> u64 {
+    /// Returns the number of voters that campaign before this member if `leader` fails. Voters
+    /// campaign in the order of their ids, starting after the leader's id and wrapping around.
+    fn campaign_slot(&self, leader: NodeId) -> u64 {
         let candidates = || self.members().voters.keys().filter(|id| **id != leader);
         let rank = |id: NodeId| candidates().filter(|other| **other < id).count();
         let count = candidates().count().max(1);
--- a/crates/raft/src/raft_node/leadership_transfer.rs
+++ b/crates/raft/src/raft_node/leadership_transfer.rs
@@ -1,25 +1,26 @@
-//! Transfer of leadership by a member that is about to end (Raft thesis, section 3.10).
+//! Transfer of leadership by a member that is shutting down (Raft thesis, section 3.10).
 
 use super::election::CampaignType;
 use super::{RaftNode, Role};
 use crate::{MessageBody, NodeId};
 
 impl RaftNode {
-    /// The process is about to end. The member campaigns no more, and if it leads, it transfers
-    /// leadership once a majority of the voters has all entries without counting its own disk.
+    /// Prepares for the end of the process. The member no longer campaigns. If it leads, it
+    /// transfers leadership once a majority of the voters, not counting its own disk, has all
+    /// entries.
     pub fn begin_shutdown(&mut self) {
         self.shutting_down = true;
         self.maybe_transfer_leadership();
     }
 
-    /// Whether another member leads, as far as this one knows.
+    /// Returns whether another member is known to lead.
     pub fn has_other_leader(&self) -> bool {
         self.leader.is_some_and(|leader| leader != self.id)
     }
 
-    /// Tells the best successor to campaign at once, and steps down: from then on this member
-    /// confirms no read, so that an election before its timeout meets no leader that relies on the
-    /// timeout.
+    /// Tells the best successor to campaign immediately, and steps down. From then on this member
+    /// confirms no reads, so the early election can't conflict with a leader that relies on the
+    /// election timeout.
     pub(super) fn maybe_transfer_leadership(&mut self) {
         let has_uncommitted = self.log.commit_index() < self.log.last_index();
         if !self.shutting_down || self.role != Role::Leader || has_uncommitted {
@@ -38,13 +39,13 @@
         self.become_follower(self.term, None);
     }
 
-    /// The other voters in contact.
+    /// Returns the other voters that are in contact.
     fn voters_in_contact(&self) -> impl Iterator<Item = NodeId> {
         self.other_voters()
             .filter(|id| self.observation(*id).in_contact(&self.policy))
     }
 
-    /// Those of them whose disks have all entries, the one that answered last first.
+    /// Returns those of them whose disks have all entries, the most recently heard from first.
     fn up_to_date_voters(&self) -> Vec<NodeId> {
         let has_all = |id: &NodeId| self.match_index(*id) == self.log.last_index();
         let mut voters: Vec<NodeId> = self.voters_in_contact().filter(has_all).collect();
@@ -52,7 +53,7 @@
         voters
     }
 
-    /// The leader transfers leadership to this member.
+    /// Handles a transfer of leadership to this member.
     pub(super) fn handle_timeout_now(&mut self, from: NodeId) {
         if self.leader == Some(from) && !self.shutting_down {
             self.campaign(CampaignType::Transfer);
--- a/crates/raft/src/raft_node/membership.rs
+++ b/crates/raft/src/raft_node/membership.rs
@@ -1,51 +1,51 @@
-//! The leader's changes of the members, one at a time (Raft thesis, section 4.1). Which change
-//! comes next is decided by [`MembershipView`].
+//! Membership changes by the leader, one at a time (Raft thesis, section 4.1). [`MembershipView`]
+//! decides which change comes next.
 
 use std::collections::BTreeMap;
 
 use super::{RaftNode, Role};
 use crate::{Members, MembershipPolicy, MembershipView, NodeId, Observation, Payload};
 
-/// What the leader knows of a member.
+/// The leader's view of one member, for status reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberReport {
     /// The member's id.
     pub id: NodeId,
     /// The member's address.
     pub address: String,
-    /// Whether it is a voter; else it is a learner.
+    /// Whether the member is a voter; otherwise it is a learner.
     pub voter: bool,
-    /// Milliseconds since its last response.
+    /// Milliseconds since the member's last response.
     pub silence_ms: u64,
-    /// Whether it has answered within an election timeout.
+    /// Whether the member has responded within an election timeout.
     pub in_contact: bool,
-    /// The number of entries that are not known to be synced on its disk.
+    /// The number of entries not known to be synced on the member's disk.
     pub entries_behind: u64,
 }
 
-/// What the leader knows of the members.
+/// The leader's view of the membership, for status reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipReport {
-    /// Each member, voters first.
+    /// All members, voters first.
     pub members: Vec<MemberReport>,
-    /// The number of voters that can still be lost with a majority left.
+    /// The number of voters that can still be lost without losing the majority.
     pub tolerable_losses: usize,
 }
 
 impl RaftNode {
-    /// Sets when silent members are removed.
+    /// Sets the policy that decides when unresponsive members are removed.
     pub fn set_membership_policy(&mut self, policy: MembershipPolicy) {
         self.policy = policy;
     }
 
-    /// Whether this member has to ask the others to let it take part: it has no vote, or hears no
-    /// leader, maybe because it was removed while it was away.
+    /// Returns whether this member has to send join requests to the others: it is not a voter, or
+    /// knows no leader, possibly because it was removed while it was unreachable.
     pub fn wants_to_join(&self) -> bool {
         !self.is_voter() || self.leader.is_none()
     }
 
-    /// A machine asks to become a member. Only a leader takes it up; the machine repeats the
-    /// request until it votes.
+    /// Handles a node's request to become a member. Only a leader acts on it; the node repeats the
+    /// request until it is a voter.
     pub fn handle_join_request(&mut self, id: NodeId, address: String) {
         if self.role != Role::Leader || self.members().voters.contains_key(&id) {
             return;
@@ -54,9 +54,11 @@
         self.maybe_change_members();
     }
 
-    /// Appends the next change that is due. One at a time, so that the majorities before and after
-    /// it share a member, and only once an entry of this term is committed: else two leaders in a
-    /// row could each add a member of their own, and their majorities need not overlap.
+    /// Appends the next membership change, if one is due.
+    ///
+    /// Only one change is in progress at a time, so that the majorities before and after it
+    /// overlap. The leader also waits until an entry of its own term is committed: otherwise two
+    /// successive leaders could each add a member, and their majorities might not overlap.
     pub(super) fn maybe_change_members(&mut self) {
         let has_pending = self.log.has_uncommitted_membership_change();
         let has_committed = self.log.has_committed_in(self.term);
@@ -74,7 +76,7 @@
         }
     }
 
-    /// What is known of the members; `None` where this member does not lead.
+    /// Returns the leader's view of the membership, or `None` if this member does not lead.
     pub fn membership_report(&self) -> Option<MembershipReport> {
         if self.role != Role::Leader {
             return None;
@@ -108,7 +110,7 @@
         }
     }
 
-    /// What this leader has observed of a member.
+    /// Returns what this leader has observed of a member.
     pub(super) fn observation(&self, id: NodeId) -> Observation {
         let caught_up = self.match_index(id) >= self.log.commit_index();
         if id == self.id {
--- a/crates/raft/src/raft_node/quorum_contact.rs
+++ b/crates/raft/src/raft_node/quorum_contact.rs
@@ -1,21 +1,22 @@
-//! Quorum contact: how fresh the applied state of this member is known to be. See
-//! [`crate::contact_tracker`].
+//! Requests and responses for quorum contact, which tells how recent the applied state of this
+//! member is known to be. See [`crate::contact_tracker`].
 
 use super::{RaftNode, Role};
 use crate::{MessageBody, NodeId, QuorumContact, QuorumContactResponse};
 
 impl RaftNode {
-    /// When this member is known to have led, by the clock of [`RaftNode::tick`]: a majority has
-    /// answered what it sent then, so whoever is elected after it was elected later. `None` where
-    /// it does not lead.
+    /// Returns the latest time, by the clock of [`RaftNode::tick`], at which this member is known
+    /// to have led, or `None` if it does not lead. A majority has answered the broadcast that it
+    /// sent then, so any later leader was elected after that time.
     pub fn leadership_confirmed_at(&self) -> Option<u64> {
         self.broadcasts
             .confirmed_at()
             .filter(|_| self.role == Role::Leader)
     }
 
-    /// The moment, by the clock of [`RaftNode::tick`], up to which the applied state covers all
-    /// that was acknowledged anywhere. `None` where that is not known.
+    /// Returns the latest time, by the clock of [`RaftNode::tick`], for which the applied state is
+    /// known to include everything that had been acknowledged anywhere by then. Returns `None` if
+    /// there is no such time.
     pub fn quorum_contact_at(&self) -> Option<u64> {
         let as_leader = self
             .broadcasts
@@ -24,15 +25,16 @@
         self.contact.confirmed_at().max(as_leader)
     }
 
-    /// Whether this member leads and knows how far the log is committed: not before its own first
-    /// entry is (Raft thesis, section 6.4).
+    /// Returns whether this member leads and knows the commit index, which requires that an entry
+    /// of its own term is committed (Raft thesis, section 6.4).
     fn knows_commit_index(&self) -> bool {
         self.role == Role::Leader && self.log.has_committed_in(self.term)
     }
 
-    /// Asks the leader for its contact, so that [`RaftNode::quorum_contact_at`] moves on. The
-    /// leader responds at once, by the last broadcast that was answered: asking costs no broadcast.
-    /// For tokens see [`RaftNode::request_read`].
+    /// Asks the leader for its quorum contact, to advance [`RaftNode::quorum_contact_at`].
+    ///
+    /// The leader responds immediately, based on the last answered broadcast, so a request causes
+    /// no broadcast. For the requirements on tokens see [`RaftNode::request_read`].
     pub fn request_quorum_contact(&mut self, token: u64) {
         let Some(leader) = self.leader.filter(|leader| *leader != self.id) else {
             return;
@@ -41,7 +43,7 @@
         self.send(leader, MessageBody::QuorumContact(QuorumContact { token }));
     }
 
-    /// Only a leader that knows its commit index responds.
+    /// Responds if this member is a leader that knows its commit index.
     pub(super) fn handle_quorum_contact(&mut self, from: NodeId, request: &QuorumContact) {
         if !self.knows_commit_index() {
             return;
--- a/crates/raft/src/raft_node/read_index.rs
+++ b/crates/raft/src/raft_node/read_index.rs
@@ -1,19 +1,20 @@
 //! Linearizable reads (Raft thesis, section 6.4).
 //!
-//! A read waits for a broadcast that began after it and that a majority has answered: whoever is
-//! elected later was elected after the read was requested. One broadcast serves all reads that wait
-//! for it, and a follower has one request to the leader under way at a time, for all that wait at
-//! it.
+//! A read waits until a majority has answered a broadcast that started after the read: any later
+//! leader was then elected after the read was requested. One broadcast serves all reads that wait
+//! for it. A follower has at most one request to the leader in flight, which covers all reads
+//! waiting at the follower.
 
 use super::{RaftNode, Role};
 use crate::read_only::PendingRead;
 use crate::{MessageBody, NodeId, ReadIndex, ReadIndexResponse, ReadState};
 
 impl RaftNode {
-    /// Requests an index that covers all that was acknowledged before this call. It comes in
-    /// [`Ready::read_states`](crate::Ready::read_states). A token is never used again, not by a
-    /// later incarnation of the member either: a response to an earlier request must not pass for
-    /// the response to this one.
+    /// Requests an index that covers everything acknowledged before this call. The result is
+    /// returned in [`Ready::read_states`](crate::Ready::read_states).
+    ///
+    /// Tokens must never be reused, not even after a restart of the member: otherwise a response to
+    /// an earlier request could be taken for the response to this one.
     pub fn request_read(&mut self, token: u64) {
         match self.leader {
             Some(leader) if leader != self.id => {
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Sends the leader one request for all reads that wait here.
+    /// Sends the leader one request for all reads that wait at this member.
     fn forward_reads(&mut self, leader: NodeId) {
         if let Some(token) = self.forwarded_reads.begin_request(self.now) {
             self.send(leader, MessageBody::ReadIndex(ReadIndex { token }));
@@ -43,8 +44,8 @@
         }
     }
 
-    /// The leader that was asked may no longer lead: the reads that wait here have to be requested
-    /// again.
+    /// Fails the reads that wait at this member because the leader may no longer lead. The host has
+    /// to request them again.
     pub(super) fn fail_forwarded_reads(&mut self) {
         let tokens = self.forwarded_reads.take_all();
         self.finish_reads(tokens, None);
@@ -71,13 +72,13 @@
         self.begin_read(from, request.token);
     }
 
-    /// Begins a read of this member or of a follower.
+    /// Starts a read of this member or of a follower.
     fn begin_read(&mut self, from: NodeId, token: u64) {
         if self.role != Role::Leader {
             return self.respond_to_read(from, token, None);
         }
-        // A broadcast that is under way began before this read: the next one serves all reads that
-        // come until then.
+        // An unanswered broadcast started before this read. The next broadcast serves all reads
+        // that arrive until then.
         let is_under_way = !self.is_answered_by_majority(self.broadcasts.sequence());
         if !is_under_way {
             self.broadcast_heartbeat();
@@ -85,7 +86,7 @@
         self.pending_reads.push_back(PendingRead {
             from,
             token,
-            // What earlier leaders have acknowledged comes before this leader's first entry.
+            // This leader's first entry follows everything that earlier leaders acknowledged.
             read_index: self.log.commit_index().max(self.term_start_index),
             sequence: self.broadcasts.sequence() + u64::from(is_under_way),
         });
@@ -93,7 +94,7 @@
     }
 
     /// Confirms the broadcasts that a majority has answered, responds to the reads that waited for
-    /// them, and begins another broadcast if reads wait for it.
+    /// them, and starts another broadcast if reads wait for one.
     pub(super) fn confirm_broadcasts(&mut self) {
         while let Some(sequence) = self.broadcasts.oldest_unconfirmed()
             && self.is_answered_by_majority(sequence)
@@ -131,8 +132,8 @@
         self.send(from, MessageBody::ReadIndexResponse(response));
     }
 
-    /// The leader steps down: the reads that wait here have to be requested again. The contact that
-    /// it had still holds.
+    /// Fails the reads that wait at this member because it steps down; they have to be requested
+    /// again. The quorum contact that it had proven remains valid.
     pub(super) fn fail_pending_reads(&mut self) {
         self.contact.set_confirmed_at(self.quorum_contact_at());
         for read in std::mem::take(&mut self.pending_reads) {
--- a/crates/raft/src/raft_node/replication.rs
+++ b/crates/raft/src/raft_node/replication.rs
@@ -1,11 +1,10 @@
 //! The leader's side of log replication (Raft paper, section 5.3).
 //!
-//! A leader finds out where a member's log matches its own ([`ProgressState::Probe`]), then sends
-//! entries without waiting for responses as far as the member's window allows
-//! ([`ProgressState::Replicate`]), or a snapshot or a large entry in chunks
-//! ([`ProgressState::Transfer`]). Heartbeats carry no entries and go to every member whatever else
-//! is in flight. The leader's own disk counts like any other, once it has synced (Raft thesis,
-//! section 10.2.1).
+//! A leader finds the index at which a member's log matches its own ([`ProgressState::Probe`]). It
+//! then pipelines entries within the member's flow-control window ([`ProgressState::Replicate`]),
+//! or sends a snapshot or a large entry in chunks ([`ProgressState::Transfer`]). Heartbeats carry
+//! no entries and are sent to every member regardless of what else is in flight. The leader's own
+//! disk counts toward a majority like any other, once it has synced (Raft thesis, section 10.2.1).
 
 use super::{RaftNode, Role};
 use crate::entry::ENTRY_OVERHEAD_BYTES;
@@ -14,13 +13,13 @@
     AppendConflict, AppendEntries, AppendResponse, Entry, LogPosition, MessageBody, NodeId, Payload,
 };
 
-/// Entries that one append carries at the most.
+/// The maximum number of entries in one append.
 const MAX_BATCH_ENTRIES: usize = 64;
-/// The payload bytes that one append carries at the most. A larger entry is sent by itself, in
-/// chunks.
+/// The maximum payload of one append, in bytes. A larger entry is sent by itself, in chunks.
 const MAX_BATCH_BYTES: usize = 16 << 10;
-/// A leader whose disk stalls goes on with the disks of others, but what waits for its own takes
-/// memory: beyond this it accepts no proposals.
+/// The size of unsynced entries, in bytes, beyond which the leader rejects proposals. While the
+/// leader's disk stalls, entries can still commit on the disks of others, but those that its own
+/// disk has not synced stay in memory.
 const MAX_UNSYNCED_BYTES: usize = 8 << 20;
 
 /// The entries of one append.
@@ -30,8 +29,9 @@
 }
 
 impl RaftNode {
-    /// Proposes a command. The index that it has if it is ever committed, in the present term;
-    /// `None` where this member does not lead, is shutting down, or its disk is far behind.
+    /// Proposes a command. Returns the index that it will have if it is committed in the current
+    /// term, or `None` if this member does not lead, is shutting down, or has too many bytes not
+    /// yet synced to its disk.
     pub fn propose(&mut self, data: Vec<u8>) -> Option<u64> {
         let is_disk_behind = self.persistence.unsynced_bytes() > MAX_UNSYNCED_BYTES;
         if self.role != Role::Leader || self.shutting_down || is_disk_behind {
@@ -42,7 +42,7 @@
         Some(index)
     }
 
-    /// Appends an entry of this term to the leader's log. Its index.
+    /// Appends an entry of the current term to the leader's log and returns its index.
     pub(super) fn append(&mut self, payload: Payload) -> u64 {
         let index = self.log.last_index() + 1;
         let entry = Entry {
@@ -55,15 +55,15 @@
         index
     }
 
-    /// Sends each member what it lacks, and at least a heartbeat. Begins a broadcast that confirms
-    /// reads.
+    /// Sends every member its missing entries, or at least a heartbeat. Starts a new broadcast,
+    /// whose responses confirm reads.
     pub(super) fn broadcast_heartbeat(&mut self) {
         let interval = self.timing.heartbeat_interval_ms;
         self.broadcasts.begin(self.now, interval);
         self.replicate_to_all(true);
     }
 
-    /// Sends each member what it lacks.
+    /// Sends every member its missing entries.
     pub(super) fn broadcast_entries(&mut self) {
         self.replicate_to_all(false);
     }
@@ -71,7 +71,8 @@
     fn replicate_to_all(&mut self, with_heartbeat: bool) {
         let ids = self.other_members();
         self.tracker.retain(&ids);
-        // Most logs match up to the leader's newest entry, which is sent with the first append.
+        // Most logs match up to the entry before the leader's last one, so the first append carries
+        // just that last entry.
         let next_index = self.log.last_index().max(1);
         for id in ids {
             self.tracker.track(id, next_index, self.now);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Sends a member what it lacks and its window has room for, and at least a heartbeat if
+    /// Sends a member the missing entries that fit its window, and at least a heartbeat if
     /// `with_heartbeat`.
     pub(super) fn replicate(&mut self, to: NodeId, with_heartbeat: bool) {
         let Some(mut progress) = self.tracker.take(to) else {
@@ -103,7 +104,8 @@
         self.tracker.put(to, progress);
     }
 
-    /// Sends an append whose response tells whether the logs match there. Whether it could.
+    /// Sends an append whose response tells whether the logs match at the preceding entry. Returns
+    /// whether it was sent.
     fn send_probe(&mut self, to: NodeId, progress: &mut Progress) -> bool {
         let Some(prev) = self.position_at(progress.next_index - 1) else {
             return false;
@@ -116,7 +118,7 @@
         true
     }
 
-    /// Sends entries as far as the window allows. Whether it sent any.
+    /// Sends entries until the window is full. Returns whether any were sent.
     fn send_entries(&mut self, to: NodeId, progress: &mut Progress) -> bool {
         let mut sent_any = false;
         while progress.next_index <= self.log.last_index() && progress.inflights.has_capacity() {
@@ -126,7 +128,7 @@
             } = self.batch_from(progress.next_index);
             let prev = self.position_at(progress.next_index - 1);
             let (Some(last), Some(prev)) = (entries.last(), prev) else {
-                // A large entry is sent once the member has all before it.
+                // A large entry is sent once the member has all entries before it.
                 if progress.inflights.is_empty() {
                     self.start_entry_transfer(progress, progress.next_index);
                 }
@@ -140,7 +142,8 @@
         sent_any
     }
 
-    /// The entries from `index` on that one append carries; none if the first is a large one.
+    /// Returns the entries from `index` on that fit into one append; none if the first one has to
+    /// be sent in chunks.
     fn batch_from(&self, index: u64) -> Batch {
         let mut batch = Batch {
             entries: Vec::new(),
@@ -149,8 +152,8 @@
         let entries = (index..).map_while(|index| self.log.entry(index));
         for entry in entries.take(MAX_BATCH_ENTRIES) {
             let size_bytes = batch.size_bytes + entry.size_bytes();
-            let can_wait = matches!(entry.payload, Payload::Data(_)) || !batch.entries.is_empty();
-            if size_bytes > MAX_BATCH_BYTES + ENTRY_OVERHEAD_BYTES && can_wait {
+            let can_defer = matches!(entry.payload, Payload::Data(_)) || !batch.entries.is_empty();
+            if size_bytes > MAX_BATCH_BYTES + ENTRY_OVERHEAD_BYTES && can_defer {
                 break;
             }
             batch.size_bytes = size_bytes;
@@ -178,8 +181,9 @@
         self.send(to, MessageBody::AppendEntries(request));
     }
 
-    /// Sends an append without entries: at the end of what was sent, whose response tells whether
-    /// that arrived; beside a transfer, at the end of what the member is known to have.
+    /// Sends an append without entries. Its preceding entry is the last one sent, so that the
+    /// response tells whether that one arrived; during a transfer, it is the last one that the
+    /// member is known to have.
     fn send_heartbeat(&mut self, to: NodeId, progress: &mut Progress) {
         let prev_index = match progress.state {
             ProgressState::Transfer(_) => progress.match_index,
@@ -189,14 +193,14 @@
         self.send_append(to, progress, prev, Vec::new());
     }
 
-    /// The position of the entry at an index, if its term is still known.
+    /// Returns the position of the entry at `index` if its term is still known.
     fn position_at(&self, index: u64) -> Option<LogPosition> {
         let term = self.log.term_at(index)?;
         Some(LogPosition { index, term })
     }
 
-    /// A member has synced the leader's log up to an entry; or, not accepted, it knows of a newer
-    /// term.
+    /// Handles a response to an append: the member has synced the log up to an entry or, if not
+    /// accepted, knows of a newer term.
     pub(super) fn handle_append_response(&mut self, from: NodeId, response: &AppendResponse) {
         if self.role != Role::Leader || !response.accepted {
             return;
@@ -215,8 +219,8 @@
         self.maybe_change_members();
     }
 
-    /// A member's log has no such entry before the sent ones. Goes back to where the logs may match
-    /// (Raft paper, end of section 5.3).
+    /// Handles a rejected append: the member's log does not contain the preceding entry. Continues
+    /// from the last index at which the logs may match (Raft paper, end of section 5.3).
     pub(super) fn handle_append_conflict(&mut self, from: NodeId, response: &AppendConflict) {
         if self.role != Role::Leader {
             return;
@@ -236,8 +240,8 @@
         self.replicate(from, false);
     }
 
-    /// Tells a member the commit index once it has the entries, if it lacked them when others were
-    /// told.
+    /// Sends the commit index to a member that has since received committed entries which it lacked
+    /// when the commit index was last sent to it.
     fn send_missed_commit_index(&mut self, to: NodeId) {
         let Some(mut progress) = self.tracker.take(to) else {
             return;
@@ -250,9 +254,9 @@
         self.tracker.put(to, progress);
     }
 
-    /// Commits what a majority has synced, if the last of it is an entry of this term: one of an
-    /// earlier term may still be overwritten although a majority has it (Raft paper, section
-    /// 5.4.2).
+    /// Commits the entries that a majority has synced, if the last of them is of the current term:
+    /// an entry of an earlier term may still be overwritten even if a majority has it (Raft paper,
+    /// section 5.4.2).
     pub(super) fn maybe_commit(&mut self) {
         if self.role != Role::Leader {
             return;
@@ -269,8 +273,8 @@
         }
     }
 
-    /// Whether a majority of the voters has synced the log up to an entry. The leader's own disk
-    /// counts like any other.
+    /// Returns whether a majority of the voters has synced the log up to `index`. The leader's own
+    /// disk counts like any other.
     fn is_synced_by_majority(&self, index: u64) -> bool {
         self.members().is_majority(|id| {
             if id == self.id {
@@ -281,7 +285,7 @@
         })
     }
 
-    /// The last entry known to be synced on a member's disk.
+    /// Returns the index of the last entry known to be synced on a member's disk.
     pub(super) fn match_index(&self, id: NodeId) -> u64 {
         if id == self.id {
             return self.persistence.synced_index().min(self.log.last_index());
@@ -289,7 +293,7 @@
         self.tracker.match_index(id)
     }
 
-    /// Whether a majority has answered within the election timeout.
+    /// Returns whether a majority has answered within the election timeout.
     pub(super) fn has_quorum_responses(&self) -> bool {
         let since = self.now.saturating_sub(self.timing.election_timeout_ms);
         let has_answered = |id| {
@@ -299,7 +303,7 @@
         self.members().is_majority(has_answered)
     }
 
-    /// Drops entries that the snapshot covers and that no member lacks.
+    /// Drops retained entries that the snapshot covers and that no member lacks.
     pub(super) fn trim_retained_entries(&mut self) {
         let replicated_index = match self.role {
             Role::Leader => self.tracker.min_replicated_index(),
--- a/crates/raft/src/read_only.rs
+++ b/crates/raft/src/read_only.rs
@@ -1,67 +1,69 @@
-//! Linearizable reads that wait: at the leader for a majority, at a follower for the leader (Raft
-//! thesis, section 6.4).
+//! Linearizable reads in progress. At the leader they wait for a majority, at a follower for the
+//! leader (Raft thesis, section 6.4).
 
 use std::collections::VecDeque;
 
 use crate::NodeId;
 
-/// A read that waits at the leader until a majority has answered a broadcast that began after it.
+/// A read at the leader that waits until a majority has answered a broadcast that started after the
+/// read.
 #[derive(Debug)]
 pub(crate) struct PendingRead {
-    /// The member that asked for it.
+    /// The member that requested the read.
     pub(crate) from: NodeId,
     pub(crate) token: u64,
-    /// What has to be applied before the read.
+    /// The index that has to be applied before the read.
     pub(crate) read_index: u64,
-    /// The broadcast that confirms it. It may not have begun.
+    /// The number of the broadcast that confirms the read, which may not have started yet.
     pub(crate) sequence: u64,
 }
 
 /// The reads that wait at the leader, in the order of their broadcasts.
 pub(crate) type PendingReads = VecDeque<PendingRead>;
 
-/// The reads of a follower. One request to the leader is under way at a time and stands for all
-/// reads that waited when it was sent.
+/// The reads of a follower. At most one request to the leader is in flight; it covers all reads
+/// that were waiting when it was sent.
 #[derive(Debug, Default)]
 pub(crate) struct ForwardedReads {
-    /// The reads that the request stands for. Its token is that of the last one.
+    /// The reads covered by the request in flight. The request carries the token of the last one.
     in_flight: Vec<u64>,
     sent_at: u64,
-    /// The reads that came after it was sent: its response proves nothing for them.
+    /// The reads that arrived after the request was sent, for which its response proves nothing.
     waiting: Vec<u64>,
 }
 
 impl ForwardedReads {
-    /// Adds a read; whether no request is under way.
+    /// Adds a read. Returns whether no request is in flight.
     pub(crate) fn push(&mut self, token: u64) -> bool {
         self.waiting.push(token);
         self.in_flight.is_empty()
     }
 
-    /// Begins a request that stands for all reads here. Its token, if there are any.
+    /// Starts a request that covers all reads. Returns its token, or `None` if there are no reads.
     pub(crate) fn begin_request(&mut self, now: u64) -> Option<u64> {
         self.in_flight.append(&mut self.waiting);
         self.sent_at = now;
         self.in_flight.last().copied()
     }
 
-    /// Whether the request under way has had no response for a heartbeat: it may be lost.
+    /// Returns whether the request in flight has had no response for a heartbeat interval and may
+    /// be lost.
     pub(crate) fn is_overdue(&self, now: u64, heartbeat_interval_ms: u64) -> bool {
         !self.in_flight.is_empty() && now >= self.sent_at + heartbeat_interval_ms
     }
 
-    /// Ends the request under way. The reads that it stood for; none if the token is that of
-    /// another request.
+    /// Ends the request in flight and returns the reads that it covered, or `None` if `token` is
+    /// not that of the request.
     pub(crate) fn complete(&mut self, token: u64) -> Option<Vec<u64>> {
         (self.in_flight.last() == Some(&token)).then(|| std::mem::take(&mut self.in_flight))
     }
 
-    /// Whether reads wait for the next request.
+    /// Returns whether reads wait for the next request.
     pub(crate) fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Takes out all reads.
+    /// Removes and returns all reads.
     pub(crate) fn take_all(&mut self) -> impl Iterator<Item = u64> + use<> {
         let Self {
             in_flight, waiting, ..
--- a/crates/raft/src/storage.rs
+++ b/crates/raft/src/storage.rs
@@ -1,28 +1,28 @@
-//! What a member keeps on disk, and the requests by which the host brings it there.
+//! A member's persistent state, and the requests by which the host updates it.
 //!
-//! Term, vote and log have to be on stable storage before a member answers a request (Raft paper,
-//! figure 2). The host writes each [`PersistRequest`] in the order given, syncs, and calls
+//! Term, vote and log have to be on stable storage before a member responds to a request (Raft
+//! paper, figure 2). The host writes each [`PersistRequest`] in the given order, syncs, and calls
 //! [`RaftNode::on_persisted`](crate::RaftNode::on_persisted).
 
 use crate::{Entry, NodeId, Snapshot};
 
-/// What has to be written and synced before the member may promise it to others.
+/// A write that has to be synced before the member makes a promise based on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PersistRequest {
-    /// The number of the request, to be passed to
+    /// The number of the request, to pass to
     /// [`RaftNode::on_persisted`](crate::RaftNode::on_persisted).
     pub sequence: u64,
     /// The current term.
     pub term: u64,
     /// The vote in that term.
     pub voted_for: Option<NodeId>,
-    /// Entries that replace all that the stored log has from the index of the first of them on.
+    /// Entries that replace the stored log from the index of the first one on.
     pub entries: Vec<Entry>,
     /// A snapshot from the leader that replaces the whole stored log.
     pub snapshot: Option<Snapshot>,
 }
 
-/// What the disk of a member holds, as read at a start.
+/// A member's state as read from disk at startup.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistentState {
     /// The latest term known to the member.
@@ -36,7 +36,7 @@
 }
 
 impl PersistentState {
-    /// The state once a request is synced.
+    /// Applies a request, giving the state after it is synced.
     pub fn apply(&mut self, request: PersistRequest) {
         (self.term, self.voted_for) = (request.term, request.voted_for);
         if let Some(snapshot) = request.snapshot {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The state once a snapshot that [`RaftNode::compact`](crate::RaftNode::compact) returned is
-    /// synced: it replaces the entries that it covers.
+    /// Replaces the entries that a snapshot covers, giving the state after a snapshot returned by
+    /// [`RaftNode::compact`](crate::RaftNode::compact) is synced.
     pub fn compact(&mut self, snapshot: Snapshot) {
         self.entries.retain(|entry| entry.index > snapshot.index);
         self.snapshot = Some(snapshot);
--- a/crates/raft/src/timing.rs
+++ b/crates/raft/src/timing.rs
@@ -1,13 +1,16 @@
-//! Intervals and timeouts of the log.
+//! Intervals and timeouts of the protocol.
 
-/// Intervals and timeouts, in milliseconds of the clock that
-/// [`RaftNode::tick`](crate::RaftNode::tick) is given. The election timeout is to be several
-/// heartbeats, and a heartbeat more than a round trip and a disk sync (Raft paper, section 5.6).
+/// Intervals and timeouts, in milliseconds of the clock passed to
+/// [`RaftNode::tick`](crate::RaftNode::tick).
+///
+/// The election timeout should be several heartbeat intervals, and a heartbeat interval longer than
+/// a round trip plus a disk sync (Raft paper, section 5.6).
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// The leader sends each member a message at least this often.
+    /// The maximum time between two messages from the leader to each member.
     pub heartbeat_interval_ms: u64,
-    /// A member that has not heard from a leader for this long campaigns, at up to twice this time.
-    /// A leader that a majority has not answered for this long steps down.
+    /// The time without a message from a leader after which a member campaigns, after an additional
+    /// delay of up to the same time. A leader steps down if a majority has not responded to it for
+    /// this long.
     pub election_timeout_ms: u64,
 }
--- a/crates/raft/src/tracker.rs
+++ b/crates/raft/src/tracker.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of the other members.
+//! The leader's view of the progress of the other members.
 
 mod inflights;
 mod outgoing_transfer;
@@ -13,7 +13,8 @@
 
 use crate::{LogPosition, NodeId};
 
-/// The progress of each other member. It outlasts the leadership, until the member leads again.
+/// The progress of each other member. It is kept after this member loses leadership, until it
+/// becomes leader again.
 #[derive(Debug, Default)]
 pub(crate) struct ProgressTracker {
     by_id: BTreeMap<NodeId, Progress>,
@@ -28,13 +29,13 @@
         self.by_id.get_mut(&id)
     }
 
-    /// Takes a member's progress out, while messages to it are made from it and from the rest of
-    /// the node.
+    /// Removes a member's progress, so that messages can be built from it while the rest of the
+    /// node is borrowed.
     pub(crate) fn take(&mut self, id: NodeId) -> Option<Progress> {
         self.by_id.remove(&id)
     }
 
-    /// Puts back what was taken.
+    /// Puts back progress removed by [`ProgressTracker::take`].
     pub(crate) fn put(&mut self, id: NodeId, progress: Progress) {
         self.by_id.insert(id, progress);
     }
@@ -43,30 +44,30 @@
         self.by_id.clear();
     }
 
-    /// Forgets all but these members.
+    /// Stops tracking all but the given members.
     pub(crate) fn retain(&mut self, ids: &[NodeId]) {
         self.by_id.retain(|id, _| ids.contains(id));
     }
 
-    /// Tracks a member from now on, unless it is tracked already.
+    /// Starts to track a member unless it is tracked already.
     pub(crate) fn track(&mut self, id: NodeId, next_index: u64, now: u64) {
         self.by_id
             .entry(id)
             .or_insert_with(|| Progress::new(next_index, now));
     }
 
-    /// The last entry known to be synced on a member's disk.
+    /// Returns the index of the last entry known to be synced on a member's disk.
     pub(crate) fn match_index(&self, id: NodeId) -> u64 {
         self.get(id).map_or(0, |progress| progress.match_index)
     }
 
-    /// The last entry that all members have, or will have once a transfer under way is complete.
-    /// `None` without other members.
+    /// Returns the index of the last entry that all other members have, or will have once their
+    /// transfers are complete. Returns `None` if there are no other members.
     pub(crate) fn min_replicated_index(&self) -> Option<u64> {
         self.by_id.values().map(Progress::replicated_index).min()
     }
 
-    /// What another member is sent already, if it is this.
+    /// Returns the transfer data for `position` if it is already being sent to another member.
     pub(crate) fn transfer_data(&self, position: LogPosition) -> Option<Arc<TransferData>> {
         self.by_id
             .values()
--- a/crates/raft/src/tracker/inflights.rs
+++ b/crates/raft/src/tracker/inflights.rs
@@ -1,36 +1,35 @@
-//! Bounds what is in flight to a member by the time that its responses take, so that heartbeats
-//! never wait long behind it.
+//! Limits the bytes in flight to a member, based on response times, so that heartbeats are not
+//! queued for long behind them.
 
 use std::collections::VecDeque;
 
-/// The bytes that may be in flight to a member at first and at the least: a quarter of a second on
-/// a link of 1 Mbit/s. Heartbeats wait no longer than that behind it.
+/// The initial and minimum window: a quarter of a second on a link of 1 Mbit/s, which is the
+/// longest that a heartbeat waits behind it.
 const MIN_WINDOW_BYTES: usize = 32 << 10;
-/// The bytes that may be in flight at the most: a link of 100 Mbit/s is full with it at a round
-/// trip of 80 ms.
+/// The maximum window, which saturates a link of 100 Mbit/s at a round trip of 80 ms.
 pub(crate) const MAX_WINDOW_BYTES: usize = 1 << 20;
-/// Messages in flight at the most, however small.
+/// The maximum number of messages in flight, regardless of their size.
 const MAX_INFLIGHT_MESSAGES: usize = 128;
-/// A response that is later than the fastest one by no more than this met no queue: the window
-/// grows.
-const NO_QUEUE_DELAY_MS: u64 = 100;
-/// A response that is later than the fastest one by more than this met a long queue: the window
-/// shrinks.
-const LONG_QUEUE_DELAY_MS: u64 = 250;
+/// The response delay, relative to the fastest response, up to which messages are considered not
+/// queued and the window grows.
+const LOW_QUEUE_DELAY_MS: u64 = 100;
+/// The response delay, relative to the fastest response, above which messages are considered to be
+/// in a long queue and the window shrinks.
+const HIGH_QUEUE_DELAY_MS: u64 = 250;
 
-/// What was sent to a member and is not answered yet, and how much may be.
+/// The unanswered messages to a member, and the window that limits them.
 #[derive(Debug)]
 pub(crate) struct Inflights {
     window_bytes: usize,
     inflight_bytes: usize,
     messages: VecDeque<InflightMessage>,
-    /// The shortest time from a message to its response.
+    /// The shortest time between a message and its response.
     min_delay_ms: Option<u64>,
 }
 
 #[derive(Debug)]
 struct InflightMessage {
-    /// The index of its last entry, or the offset of the end of its chunk.
+    /// The index of the message's last entry, or the end offset of its chunk.
     end: u64,
     size_bytes: usize,
     sent_at: u64,
@@ -48,7 +47,7 @@
 }
 
 impl Inflights {
-    /// Whether another message may be sent.
+    /// Returns whether another message may be sent.
     pub(crate) fn has_capacity(&self) -> bool {
         self.inflight_bytes < self.window_bytes && self.messages.len() < MAX_INFLIGHT_MESSAGES
     }
@@ -57,7 +56,7 @@
         self.messages.is_empty()
     }
 
-    /// A message is sent that ends at `end`.
+    /// Records a message that ends at `end`.
     pub(crate) fn add(&mut self, end: u64, size_bytes: usize, now: u64) {
         self.inflight_bytes += size_bytes;
         self.messages.push_back(InflightMessage {
@@ -67,8 +66,8 @@
         });
     }
 
-    /// All messages that end at or before `end` are answered. Adapts the window to the time that
-    /// this took.
+    /// Removes the messages that end at or before `end`, which are answered now, and adapts the
+    /// window to their response time.
     pub(crate) fn free_to(&mut self, end: u64, now: u64) {
         let half_full = self.inflight_bytes * 2 >= self.window_bytes;
         let (mut freed_bytes, mut delay) = (0, None);
@@ -78,22 +77,24 @@
         }
         self.inflight_bytes -= freed_bytes;
         let Some(delay) = delay else { return };
-        let min_delay = self.min_delay_ms.map_or(delay, |known| known.min(delay));
+        let min_delay = self
+            .min_delay_ms
+            .map_or(delay, |previous| previous.min(delay));
         self.min_delay_ms = Some(min_delay);
         let queue_delay = delay - min_delay;
-        if queue_delay > LONG_QUEUE_DELAY_MS {
+        if queue_delay > HIGH_QUEUE_DELAY_MS {
             self.shrink_window();
-        } else if half_full && queue_delay <= NO_QUEUE_DELAY_MS {
+        } else if half_full && queue_delay <= LOW_QUEUE_DELAY_MS {
             self.window_bytes = (self.window_bytes + freed_bytes).min(MAX_WINDOW_BYTES);
         }
     }
 
-    /// Halves the window, where messages seem lost or queued.
+    /// Halves the window after messages were lost or queued for too long.
     pub(crate) fn shrink_window(&mut self) {
         self.window_bytes = (self.window_bytes / 2).max(MIN_WINDOW_BYTES);
     }
 
-    /// Nothing counts as in flight any more.
+    /// Removes all messages from the window.
     pub(crate) fn clear(&mut self) {
         self.messages.clear();
         self.inflight_bytes = 0;
--- a/crates/raft/src/tracker/outgoing_transfer.rs
+++ b/crates/raft/src/tracker/outgoing_transfer.rs
@@ -1,23 +1,23 @@
-//! A snapshot or a large entry on its way to a member, in chunks: no more of it in flight than the
-//! window allows, and resumed where it stood when messages were lost.
+//! Sends a snapshot or a large entry to a member in chunks, within the flow-control window, and
+//! resumes from the last acknowledged byte after messages were lost.
 
 use std::sync::Arc;
 
 use super::inflights::Inflights;
 use crate::{Chunk, LogPosition, TransferContent, TransferId};
 
-/// The size of a chunk: a tenth of a second on a link of 1 Mbit/s.
+/// The size of a chunk, in bytes: a tenth of a second on a link of 1 Mbit/s.
 const CHUNK_BYTES: usize = 8 << 10;
-/// Chunks in flight are sent again after so long without a response, then after twice as long, and
-/// so on.
+/// The time without progress after which the chunks in flight are sent again. It doubles after each
+/// resend.
 const INITIAL_RESEND_TIMEOUT_MS: u64 = 1000;
-/// The resend timeout doubles up to this.
+/// The upper limit of the resend timeout.
 const MAX_RESEND_TIMEOUT_MS: u64 = 8000;
-/// A response that the member has nothing, this long after one that it has something, means that
-/// the member has restarted. One that comes sooner was overtaken.
+/// A response that reports no received bytes, this long after one that reported progress, means
+/// that the member has restarted. A response that arrives sooner was reordered in transit.
 const RESTART_DETECTION_MS: u64 = 500;
 
-/// What is transferred. Shared by the transfers to several members.
+/// The data of a transfer, shared by the transfers to several members.
 #[derive(Debug)]
 pub(crate) struct TransferData {
     id: TransferId,
@@ -26,7 +26,7 @@
 }
 
 impl TransferData {
-    /// The entry at that position, or the snapshot that ends there.
+    /// Creates the data for the entry at `position`, or for the snapshot that ends there.
     pub(crate) fn new(
         position: LogPosition,
         content: TransferContent,
@@ -46,15 +46,15 @@
 #[derive(Debug)]
 pub(crate) struct OutgoingTransfer {
     data: Arc<TransferData>,
-    /// Bytes that the member has.
+    /// The number of bytes that the member has received.
     received_bytes: usize,
-    /// Bytes that the member was sent.
+    /// The number of bytes that were sent to the member.
     sent_bytes: usize,
-    /// Whether the last chunk was sent. It exists even where there are no bytes.
+    /// Whether the last chunk was sent. An empty transfer has one, too.
     sent_last_chunk: bool,
-    /// When the member last had more than before.
+    /// When the member last reported progress.
     last_progress_at: u64,
-    /// When the member last had more than before, or chunks were last sent again.
+    /// When the member last reported progress, or chunks were last sent again.
     resend_timer_start: u64,
     resend_timeout_ms: u64,
 }
@@ -76,12 +76,12 @@
         self.data.id
     }
 
-    /// The entry up to which the member has the log once the transfer is complete.
+    /// Returns the index up to which the member has the log once the transfer is complete.
     pub(crate) fn index(&self) -> u64 {
         self.data.id.index
     }
 
-    /// The position of that entry.
+    /// Returns the position of that entry.
     pub(crate) fn position(&self) -> LogPosition {
         self.data.id.position()
     }
@@ -90,14 +90,14 @@
         &self.data
     }
 
-    /// Goes back to what the member has, if it had no more for the resend timeout: messages were
-    /// lost.
+    /// Rewinds to the last acknowledged byte if there was no progress for the resend timeout, which
+    /// means that messages were lost.
     pub(crate) fn resume_if_stalled(&mut self, inflights: &mut Inflights, now: u64) {
         if now < self.resend_timer_start + self.resend_timeout_ms {
             return;
         }
-        // The last chunk is sent again even to a member that has all bytes: the response to it may
-        // be lost.
+        // The last chunk is sent again even if the member has all bytes, since the response to it
+        // may have been lost.
         let last_chunk = self.data.bytes.len().saturating_sub(1) / CHUNK_BYTES * CHUNK_BYTES;
         self.rewind(self.received_bytes.min(last_chunk), inflights);
         inflights.shrink_window();
@@ -111,7 +111,7 @@
         inflights.clear();
     }
 
-    /// The next chunk to send, if there is one.
+    /// Returns the next chunk to send, if any.
     pub(crate) fn next_chunk(&mut self, leader_commit: u64, sequence: u64) -> Option<Chunk> {
         if self.sent_last_chunk {
             return None;
@@ -129,7 +129,7 @@
         })
     }
 
-    /// The member has so many bytes.
+    /// Handles a response that reports `received_bytes`.
     pub(crate) fn on_response(&mut self, received_bytes: u64, inflights: &mut Inflights, now: u64) {
         let received_bytes = usize::try_from(received_bytes)
             .map_or(0, |received| received.min(self.data.bytes.len()));
@@ -137,7 +137,7 @@
         if restarted && self.received_bytes > 0 {
             return self.rewind(0, inflights);
         }
-        // A response with less than a response before it was overtaken by that.
+        // A response that reports fewer bytes than an earlier one was reordered and is ignored.
         if received_bytes > self.received_bytes {
             (self.received_bytes, self.last_progress_at) = (received_bytes, now);
             self.sent_bytes = self.sent_bytes.max(received_bytes);
--- a/crates/raft/src/tracker/progress.rs
+++ b/crates/raft/src/tracker/progress.rs
@@ -1,47 +1,48 @@
-//! How far a member has the leader's log, and how it is brought up to date.
+//! How much of the leader's log a member has, and how it is brought up to date.
 
 use super::inflights::Inflights;
 use super::outgoing_transfer::OutgoingTransfer;
 use crate::{AppendConflict, AppendResponse};
 
-/// How a leader brings a member up to date.
+/// How the leader brings a member up to date.
 #[derive(Debug)]
 pub(crate) enum ProgressState {
-    /// It is not known where the member's log matches the leader's: one append at a time.
+    /// The index at which the member's log matches the leader's is unknown. One append is sent at a
+    /// time.
     Probe {
-        /// An append is sent and not answered.
+        /// Whether an append is sent and not answered yet.
         awaiting_response: bool,
     },
-    /// Entries are sent without waiting for responses, as far as the window allows.
+    /// Entries are pipelined within the flow-control window.
     Replicate,
     /// A snapshot or a large entry is sent in chunks.
     Transfer(OutgoingTransfer),
 }
 
-/// What a leader knows of another member. `match_index < next_index` but during a transfer.
+/// The progress of another member. `match_index < next_index` except during a transfer.
 #[derive(Debug)]
 pub(crate) struct Progress {
     pub(crate) state: ProgressState,
-    /// The next entry to send.
+    /// The index of the next entry to send.
     pub(crate) next_index: u64,
-    /// The last entry known to be synced on the member's disk.
+    /// The index of the last entry known to be synced on the member's disk.
     pub(crate) match_index: u64,
-    /// The last broadcast with whose response the member reported it.
+    /// The latest broadcast whose response reported `match_index`.
     match_sequence: u64,
-    /// Conflicts in response to this broadcast or an earlier one are known.
+    /// Conflicts in response to this broadcast or an earlier one have already been handled.
     reset_sequence: u64,
-    /// When the member last answered.
+    /// When the member last responded.
     pub(crate) last_response_at: u64,
-    /// The last broadcast that the member has answered.
+    /// The latest broadcast that the member has answered.
     pub(crate) answered_sequence: u64,
-    /// The commit index that the member was last sent, up to what it had been sent.
+    /// The commit index last sent to the member, limited to the entries sent to it by then.
     pub(crate) sent_commit_index: u64,
     pub(crate) inflights: Inflights,
 }
 
 impl Progress {
-    /// The progress of a member of which nothing is known. It is given the time of an election to
-    /// answer.
+    /// Creates the progress of a member about which nothing is known. Its time of last response is
+    /// set to `now`, which gives it an election timeout to respond.
     pub(super) fn new(next_index: u64, now: u64) -> Self {
         Self {
             state: ProgressState::Probe {
@@ -58,13 +59,14 @@
         }
     }
 
-    /// The member has answered a broadcast.
+    /// Records that the member has answered a broadcast.
     pub(crate) fn on_response(&mut self, sequence: u64, now: u64) {
         self.last_response_at = now;
         self.answered_sequence = self.answered_sequence.max(sequence);
     }
 
-    /// The member has synced the leader's log up to an entry, at most to the leader's last one.
+    /// Records that the member has synced the log up to an entry, which is at most the leader's
+    /// last one.
     pub(crate) fn on_match(&mut self, response: &AppendResponse, last_index: u64, now: u64) {
         let match_index = response.match_index.min(last_index);
         if match_index >= self.match_index {
@@ -90,13 +92,13 @@
         self.inflights.clear();
     }
 
-    /// Begins a transfer.
+    /// Starts a transfer.
     pub(crate) fn become_transfer(&mut self, transfer: OutgoingTransfer) {
         self.inflights.clear();
         self.state = ProgressState::Transfer(transfer);
     }
 
-    /// Whether a conflict is older than what is known.
+    /// Returns whether a conflict is outdated by later responses or was handled already.
     pub(crate) fn is_stale_conflict(&self, response: &AppendConflict) -> bool {
         let AppendConflict {
             rejected_index,
@@ -113,7 +115,8 @@
         matched_since || repeated
     }
 
-    /// The logs match up to `index` if `matches`, else at most up to there. `sequence` is the last
+    /// Restarts replication after `index`. If `matches`, the logs match up to there; otherwise they
+    /// match at most up to there and have to be probed. `sequence` is the number of the last
     /// broadcast.
     pub(crate) fn reset(&mut self, index: u64, matches: bool, sequence: u64) {
         self.state = if matches {
@@ -124,13 +127,14 @@
             }
         };
         self.next_index = index + 1;
-        // Only a disk that lost what it had synced brings it below what was acknowledged.
+        // This is below the acknowledged index only if the member's disk has lost synced entries.
         self.match_index = self.match_index.min(index);
         self.reset_sequence = sequence;
         self.inflights.clear();
     }
 
-    /// The last entry that the member has, or will have once a transfer under way is complete.
+    /// Returns the index of the last entry that the member has, or will have once a transfer in
+    /// progress is complete.
     pub(super) fn replicated_index(&self) -> u64 {
         match &self.state {
             ProgressState::Transfer(transfer) => transfer.index().max(self.match_index),
