--- a/crates/load-balancing/src/policy/admission.rs
+++ b/crates/load-balancing/src/policy/admission.rs
@@ -1,27 +1,28 @@
-//! Admission: which requests are queued, and which are rejected at once.
+//! Admission control: decides which requests are queued and which are rejected on arrival.
 //!
-//! The paper rejects a request when queued and in-flight ones reach the sum of N_i = T_QoS / (2*TP_i + TS_i). Here
-//! T_QoS is one for all: the wait that even the tightest class can bear, or long latency targets would fill the
-//! queue and starve short ones. Classes of less value for their work, and tenants beyond their quota, may use a
-//! smaller part of it.
+//! The paper rejects a request when the number of queued and in-flight requests reaches the sum of N_i = T_QoS /
+//! (2*TP_i + TS_i). This implementation uses one T_QoS for all classes, derived from the wait that the tightest class
+//! can tolerate; otherwise requests with long latency targets would fill the queue and starve those with short ones.
+//! Classes with a low value per unit of work and tenants over their quota may use only part of that wait.
 
 use super::Balancer;
 use super::state::request::PendingRequest;
 use crate::interface::{Action, Request, RequestClass, RequestId, Span, Time};
 
-/// Share of the latency target that queue and service may take for a request to be admitted: the rest is for the
-/// spread of service times.
+/// Share of the latency target that queueing plus mean service may take for a request to be admitted. The rest absorbs
+/// the variance of service times.
 const MAX_WAIT_SHARE_OF_TARGET: f64 = 0.7;
-/// Part of the bearable wait that the class of least value for its work may use.
+/// Share of the maximum queue wait that the class with the lowest value per unit of work may use.
 const MIN_QUEUE_SHARE: f64 = 0.2;
-/// A class that asks for less than this share of what another does can't fill the queue of both.
+/// A class whose traffic share is below this fraction of another class's is not ranked against it: it can't fill the
+/// queue that both use.
 const MIN_RIVAL_SHARE: f64 = 0.1;
-/// A request leaves the queue so many sweeps before its latency target: its rejection must come while it is still
-/// harmless.
+/// Number of sweep intervals before its latency target at which a request leaves the queue, so that its rejection still
+/// arrives early enough to be harmless.
 const SWEEPS_BEFORE_TARGET: i64 = 2;
 
 impl Balancer {
-    /// A client's request has arrived; it is sent, queued or rejected.
+    /// Handles a new client request: sends, queues or rejects it.
     pub(super) fn on_request(&mut self, now: Time, request: &Request, actions: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(request.class) else {
             actions.push(Action::Reject {
@@ -66,8 +67,8 @@
         class: &RequestClass,
     ) -> PendingRequest {
         let target = request.deadline.min(now.plus(class.latency_target));
-        // A queued request is worth its place only while its latency target can be met, also where a late answer
-        // keeps some value: else, in lasting overload, the whole queue is served late.
+        // A request is queued only while it can still meet its latency target, even if a late answer keeps some value.
+        // Otherwise the whole queue would be served late during sustained overload.
         let margin = Span(-SWEEPS_BEFORE_TARGET * self.settings.sweep_interval().0);
         PendingRequest {
             class: request.class,
@@ -86,10 +87,10 @@
         }
     }
 
-    /// The paper's check: queued and in-flight requests stay under the sum of N_i.
+    /// Applies the paper's admission check: the number of queued and in-flight requests must stay below the sum of N_i.
     fn is_admitted(&self, class: usize, is_within_quota: bool, is_client_retry: bool) -> bool {
-        // Over quota there is no part of the wait: a tenant that sent three times its quota took the others' part
-        // of a full fleet.
+        // A request over quota may not use any of the queue wait: otherwise a tenant that sent three times its quota
+        // took other tenants' share of a full fleet.
         let queue_share = if is_within_quota {
             self.queue_share(class)
         } else {
@@ -98,18 +99,19 @@
         let pool = self.capacity.of_class(class);
         let qos_time = self.fleet.service_time + self.fleet.max_queue_wait * queue_share;
         let mut limit = pool.queue_limit_per_us * qos_time;
-        // The headroom for bursts is for first tries: in overload it went to clients' retries, who can only be late,
-        // and first tries were rejected for it and came again.
+        // The burst headroom is reserved for first tries. During overload it was used up by clients' retries, which are
+        // late anyway, and the first tries rejected in their place came back as more retries.
         if is_client_retry {
             limit *= pool.even_share;
         }
-        // With no list yet there is no N to sum: queue until an upstream shows or time is up.
+        // Before the first membership list there is no N_i to sum, so requests queue until an upstream appears or they
+        // expire.
         limit == 0.0 || ((pool.queued + pool.in_flight) as f64) < limit.max(1.0)
     }
 
-    /// The part of the bearable wait that a class may use, by the rank of its value for its work among the classes
-    /// that ask for as much. Ranked among all, the route with all the traffic had the least part beside routes
-    /// hardly asked for.
+    /// Returns the share of the maximum queue wait that a class may use, by the rank of its value per unit of work
+    /// among the classes with comparable traffic. When all classes were ranked, a route that carried all the traffic
+    /// got the smallest share because of routes that were hardly used.
     fn queue_share(&self, class: usize) -> f64 {
         let fleet = &self.fleet;
         let value_of_work =
@@ -131,20 +133,20 @@
         MIN_QUEUE_SHARE + (1.0 - MIN_QUEUE_SHARE) * rank.min(1.0)
     }
 
-    /// The longest wait that each class in use can bear.
+    /// Recomputes the longest queue wait that every class in use can tolerate.
     pub(super) fn refresh_max_queue_wait(&mut self) {
         let fleet = &mut self.fleet;
         let classes = self.settings.classes.iter().zip(&fleet.classes);
         let in_use = classes.filter(|(class, _)| !class.retired);
-        let waits = in_use.map(|(class, known)| {
-            class.latency_target.as_micros() * MAX_WAIT_SHARE_OF_TARGET - known.mean
+        let waits = in_use.map(|(class, estimate)| {
+            class.latency_target.as_micros() * MAX_WAIT_SHARE_OF_TARGET - estimate.mean
         });
         fleet.max_queue_wait = waits.fold(f64::MAX, f64::min).max(0.0);
     }
 
-    /// Ends a request unserved, with advice on when to retry.
+    /// Rejects a request and advises the client when to retry.
     pub(super) fn reject(&mut self, request: RequestId, actions: &mut Vec<Action>) {
-        // By then all that is queued now has ended: who comes sooner stands behind the same queue.
+        // By then everything queued now has ended; a client that retries sooner waits behind the same queue.
         let queue_time = Span::from_micros(self.fleet.service_time + self.fleet.max_queue_wait);
         actions.push(Action::Reject {
             request,
--- a/crates/load-balancing/src/policy/attempts.rs
+++ b/crates/load-balancing/src/policy/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts: which upstream a request may be sent to, and what an outcome means for its request and its upstream.
+//! Attempts: which upstream a request may be sent to, and how the outcome of an attempt affects the request and the
+//! upstream.
 
 use super::Balancer;
 use super::state::circuit_breaker::CircuitBreaker;
@@ -10,15 +11,17 @@
     Time,
 };
 
-/// An upstream that rejected a request or can't be reached is paused for this share of the mean service time.
+/// Pause after an upstream rejected a request or could not be reached, as a multiple of the mean service time.
 const PAUSE_IN_SERVICE_TIMES: f64 = 0.5;
-/// Most doublings of that: some thirty service times between trials of a dead upstream.
+/// Maximum number of times that this pause doubles: a dead upstream is retried about every thirty service times.
 const MAX_PAUSE_DOUBLINGS: u32 = 6;
-/// Most doublings where one class goes unanswered: a trial costs a request, and no pause outlasts the fault.
+/// Maximum number of doublings for a class that goes unanswered. It is higher since each retry costs a request and no
+/// pause is longer than the fault itself.
 pub(super) const MAX_CLASS_PAUSE_DOUBLINGS: u32 = 10;
 
 impl Balancer {
-    /// The one place that says whether a request may be sent (again), to this upstream, now.
+    /// Returns whether a request may be sent, for the first time or again, to this upstream now. Every send has to pass
+    /// this check.
     pub(super) fn may_send(
         &self,
         now: Time,
@@ -31,7 +34,8 @@
             && self.slow_start_allows(now, &self.upstreams[upstream])
     }
 
-    /// Zones and kinds that a class is bound to; with `None` for the class, all.
+    /// Returns whether an upstream is in the zones and of the kinds that a class is bound to. Every upstream is allowed
+    /// for `None`.
     pub(super) fn is_allowed_for(&self, class: Option<usize>, upstream: &Upstream) -> bool {
         let Some(class) = class.map(|class| &self.settings.classes[class]) else {
             return true;
@@ -41,7 +45,8 @@
         is_allowed(&class.zones, &upstream.zone) && is_allowed(&class.kinds, &upstream.kind)
     }
 
-    /// What does not pass by waiting: draining, binding, number of attempts, retry budget, effect.
+    /// Returns whether a request may be sent to this upstream, apart from conditions that pass by waiting. Checks
+    /// draining, zone and kind bindings, the number of attempts, the retry budget and the effect of the request.
     pub(super) fn is_eligible(
         &self,
         now: Time,
@@ -65,9 +70,10 @@
         if attempts > 0 && !self.fleet.retry_budget.allows_retry(now, &self.settings) {
             return false;
         }
-        let is_there = |a: &Attempt| a.state == AttemptState::InFlight && a.upstream == upstream;
+        let is_in_flight_there =
+            |a: &Attempt| a.state == AttemptState::InFlight && a.upstream == upstream;
         if request.has_attempt_in_flight()
-            && (!limits.hedging || request.attempts.iter().any(is_there))
+            && (!limits.hedging || request.attempts.iter().any(is_in_flight_there))
         {
             return false;
         }
@@ -82,7 +88,7 @@
         }
     }
 
-    /// Whether `upstream` would drop a repeat of this attempt of a keyed request.
+    /// Returns whether `upstream` would deduplicate a repeat of this attempt of a keyed request.
     fn is_repeat_dropped(
         &self,
         now: Time,
@@ -99,7 +105,8 @@
         now.since(attempt.sent_at) < class.dedup_window && is_same_group
     }
 
-    /// The one place that says whether a request may be rejected: whether a repeat by its client does no harm.
+    /// Returns whether a request may be rejected, that is, whether it is harmless if the client repeats it. Every
+    /// rejection after an attempt has to pass this check.
     pub(super) fn may_reject(&self, request: &PendingRequest) -> bool {
         let class = &self.settings.classes[request.class];
         let is_dropped_anywhere =
@@ -152,7 +159,7 @@
         self.dispatch(now, actions);
     }
 
-    /// Blocks a key after an attempt that may still be running.
+    /// Blocks an ordering key after an attempt that may still be running.
     fn block_key(&mut self, now: Time, key: u64, outcome: AttemptOutcome) {
         let may_be_running = matches!(
             outcome,
@@ -166,8 +173,8 @@
         }
     }
 
-    /// Opens and closes the breakers of an upstream by an outcome, where the mean latency of its class is
-    /// `class_mean` microseconds.
+    /// Updates the breakers of an upstream after an outcome. `class_mean` is the mean latency of the class in
+    /// microseconds.
     pub(super) fn update_breakers(
         &mut self,
         now: Time,
--- a/crates/load-balancing/src/policy/concurrency.rs
+++ b/crates/load-balancing/src/policy/concurrency.rs
@@ -1,7 +1,7 @@
-//! Trials of how many requests upstreams run concurrently, where nobody tells.
+//! Trials that find out how many requests upstreams run concurrently, where the host does not report it.
 //!
-//! A trial gives an upstream some slots more or fewer than its kind has, for a few service times; what gets done at
-//! each level decides ([`ConcurrencyEstimate`]).
+//! A trial gives an upstream some slots more or fewer than its kind has, for a few service times. The throughput at
+//! each level decides which level is used ([`ConcurrencyEstimate`]).
 
 use super::Balancer;
 use super::state::concurrency::{ConcurrencyEstimate, MAX_CONCURRENCY};
@@ -10,19 +10,20 @@
 use super::subset;
 use crate::interface::Time;
 
-/// A longer wait for the next answer, in service times, tells of a fault, not of the level.
+/// Time until the next answer, in service times, that counts at most: a longer gap indicates a fault rather than the
+/// throughput of the level.
 const MAX_ANSWER_GAP_IN_SERVICE_TIMES: f64 = 5.0;
-/// How long a trial runs, in service times: a few answers at each level.
+/// Duration of a trial in service times, enough for a few answers at each level.
 const TRIAL_DURATION_IN_SERVICE_TIMES: f64 = 4.0;
-/// Share of the upstreams that are tried with a higher level while nothing is known of it.
+/// Share of the upstreams that try a higher level while nothing is known of it.
 const FIRST_TRIAL_SHARE: f64 = 0.5;
-/// Share of the upstreams that are tried with a higher level once enough is known of it.
+/// Share of the upstreams that try a higher level once enough is known of it.
 const LATER_TRIAL_SHARE: f64 = 1.0 / 96.0;
-/// An upstream this many times slower than the mean is an outlier.
+/// Slowness, relative to the mean, above which an upstream is an outlier.
 const OUTLIER_SLOWNESS: f64 = 2.0;
 
 impl Balancer {
-    /// Requests that an upstream runs concurrently: as told, or as learned of its kind.
+    /// Returns how many requests an upstream runs concurrently: as reported, or else as estimated for its kind.
     pub(super) fn concurrency(&self, upstream: &Upstream) -> f64 {
         if upstream.has_reported_slots() {
             return f64::from(upstream.slots);
@@ -34,8 +35,8 @@
         &self.fleet.concurrency[upstream.kind as usize]
     }
 
-    /// Books the time that an upstream had so many in flight, and the work of the served request of class
-    /// `served` that ends it.
+    /// Records how long an upstream had its current number of attempts in flight. `served` is the class of the request
+    /// that was served at the end of that time, if any; its work is recorded too.
     pub(super) fn record_concurrency(
         &mut self,
         now: Time,
@@ -44,11 +45,11 @@
     ) {
         let i = upstream;
         let upstream = &self.upstreams[i];
-        let most = self.service_time(upstream) * MAX_ANSWER_GAP_IN_SERVICE_TIMES;
+        let max_time = self.service_time(upstream) * MAX_ANSWER_GAP_IN_SERVICE_TIMES;
         let time = now
             .since(upstream.in_flight_changed_at)
             .as_micros()
-            .min(most);
+            .min(max_time);
         let (kind, in_flight) = (upstream.kind as usize, upstream.in_flight as usize);
         if self.is_representative(now, upstream) && (1..=MAX_CONCURRENCY).contains(&in_flight) {
             let work = served.map_or(0.0, |class| {
@@ -59,16 +60,17 @@
         self.upstreams[i].in_flight_changed_at = now;
     }
 
-    /// Upstreams in slow start and outliers say nothing of their kind.
+    /// Returns whether an upstream is representative of its kind, which excludes upstreams in slow start and outliers.
     fn is_representative(&self, now: Time, upstream: &Upstream) -> bool {
         upstream.estimate.slowness <= OUTLIER_SLOWNESS
             && self.slow_start_capacity(now, upstream).is_none()
     }
 
-    /// Ends the trials that have run long enough and begins others: at one own upstream at a time, or at half of them
-    /// while nothing is known of a higher level. (With upstreams of six cores learned one by one, a quarter of the
-    /// requests was rejected for the first minute of a quiet day.) Not beyond one's own subset: there the trials of
-    /// several balancers would meet.
+    /// Ends trials that have run long enough and starts new ones: at one upstream of the balancer's own subset at a
+    /// time, or at half of them while nothing is known of a higher level. When levels of upstreams with six cores were
+    /// tried at one upstream at a time from the start, a quarter of the requests was rejected during the first minute,
+    /// even under light load. Upstreams outside the subset are excluded, since trials of several balancers would
+    /// overlap there.
     pub(super) fn refresh_concurrency_trials(&mut self, now: Time) {
         let age = now.since(self.fleet.trials_started_at).as_micros();
         if age < self.fleet.service_time * TRIAL_DURATION_IN_SERVICE_TIMES {
@@ -101,7 +103,7 @@
             && self.is_representative(now, upstream)
     }
 
-    /// Tries a higher level at half of the upstreams of whose kind nothing is known of it.
+    /// Tries a higher level at half of the upstreams for whose kind nothing is known of that level.
     fn start_first_trials(&mut self, own: &[UpstreamIndex]) {
         for &i in own {
             let estimate = self.estimate_of_kind(&self.upstreams[i]);
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Tries, at one upstream, a higher level now and then, else a lower one.
+    /// Tries a higher level at one upstream occasionally, and otherwise a lower level at one.
     fn start_later_trial(&mut self, own: &[UpstreamIndex]) {
         let higher = self.random_of(own);
         let lower = self.random_of(own);
--- a/crates/load-balancing/src/policy/dispatch.rs
+++ b/crates/load-balancing/src/policy/dispatch.rs
@@ -1,7 +1,8 @@
-//! Dispatch: which queued request goes to which upstream.
+//! Dispatch: decides which queued request is sent to which upstream.
 //!
-//! The paper's rule is to send only below K_i attempts in flight. Among several upstreams with a free slot the first
-//! in the order of cost is taken; where upstreams report their load, the one from which an answer is expected first.
+//! Following the paper, an upstream gets requests only while it has fewer than K_i attempts in flight. Among the
+//! upstreams with a free slot, the one with the lowest cost is chosen; where upstreams report their load, the one
+//! expected to answer first.
 
 use std::cell::LazyCell;
 
@@ -12,21 +13,23 @@
 use super::subset;
 use crate::interface::{Action, RequestId, Span, Time};
 
-/// With so large a share of the fleet closed to a class it is the fleet that is slow, and none is closed to it.
+/// Share of the fleet whose breakers are open for a class above which these breakers are ignored: then the fleet as a
+/// whole is slow.
 const PANIC_THRESHOLD: f64 = 0.75;
-/// How many mean service times longer an answer may take within the zone than from another zone or region, where
-/// upstreams report their load.
+/// How much longer, in mean service times, an answer from the own zone may take before an upstream in another zone or
+/// region is preferred, where upstreams report their load.
 const OTHER_ZONE_PENALTY: f64 = 0.25;
 const OTHER_REGION_PENALTY: f64 = 1.0;
-/// The same for an upstream outside the subset that this balancer knows by its answers.
+/// The same penalty for an upstream outside the subset whose answers keep this balancer's estimates up to date.
 const OUTSIDE_SUBSET_PENALTY: f64 = 0.5;
 
 impl Balancer {
-    /// First come, first served, while some upstream has a free slot. One that waits for its key's turn, or finds
-    /// no slot among the upstreams it is bound to, holds up only its like.
+    /// Sends queued requests in order of arrival while upstreams have free slots. A request that waits for its key's
+    /// turn, or that finds no free slot among the upstreams it is bound to, delays only requests with the same
+    /// restriction.
     pub(super) fn dispatch(&mut self, now: Time, actions: &mut Vec<Action>) {
         let mut i = 0;
-        // By capacity pool: a new request has found no free slot there.
+        // By capacity pool: whether a new request found no free slot in it.
         let mut is_exhausted = vec![false; self.capacity.pools.len()];
         while let Some(&id) = self.queue.get(i) {
             let Some(request) = self.requests.get(&id).filter(|r| r.is_queued) else {
@@ -45,7 +48,8 @@
                 self.send(now, id, upstream, actions);
                 continue;
             }
-            // Nothing is free. A retry may merely be bound to other upstreams: look behind it.
+            // No slot is free for this request. If it is a retry it may merely be bound to other upstreams, so the
+            // requests behind it are still considered.
             is_exhausted[pool] |= is_new;
             if is_exhausted.iter().all(|is_exhausted| *is_exhausted) {
                 break;
@@ -54,8 +58,8 @@
         }
     }
 
-    /// The upstream with a free slot that a request goes to, if there is one. An upstream that has already failed
-    /// this request comes last.
+    /// Returns the upstream with a free slot that a request should be sent to, if there is one. Upstreams that have
+    /// already failed this request come last.
     fn choose_upstream(
         &self,
         now: Time,
@@ -63,15 +67,16 @@
         request: &PendingRequest,
         is_pool_full: bool,
     ) -> Option<UpstreamIndex> {
-        // Looked at only where needed, and once: for every class again and again, a thousand routes took all the
-        // time of a small machine.
+        // Evaluated lazily and at most once: evaluating it for every class each time used all the CPU time of a small
+        // machine with a thousand routes.
         let is_panicking = LazyCell::new(|| self.is_panicking(now, request.class));
         let owner = request.shard.map(|key| self.key_owners.owner_of(now, key));
         let mut best: Option<(bool, f64, UpstreamIndex)> = None;
         for &i in &self.by_cost {
             let upstream = &self.upstreams[i];
             let has_attempted = request.has_attempted(i);
-            // Each request goes to its owner once: where no owner had its keys any more, each went there twice.
+            // Each request goes to its key's owner only once: when an upstream no longer owned the keys, every request
+            // was sent to it twice.
             if owner.is_some_and(|owner| owner != Some(upstream.id) || has_attempted) {
                 continue;
             }
@@ -94,33 +99,35 @@
             } else {
                 0.0
             };
-            if best.is_none_or(|(attempted, least, _)| (has_attempted, cost) < (attempted, least)) {
+            if best.is_none_or(|(attempted, lowest, _)| (has_attempted, cost) < (attempted, lowest))
+            {
                 best = Some((has_attempted, cost, i));
             }
         }
         best.map(|(.., upstream)| upstream)
     }
 
-    /// Whether an upstream is below its K_i. Slots on trial are filled once the ordinary slots of the pool are all
-    /// taken.
+    /// Returns whether an upstream has fewer than K_i attempts in flight. Trial slots are used only once all ordinary
+    /// slots of the pool are taken.
     fn has_free_slot(&self, now: Time, upstream: &Upstream, is_pool_full: bool) -> bool {
-        // A balancer at its limit sends on trial only to upstreams that it fills: not to those that it had left
-        // idle as slow.
+        // While the pool is full, trial slots are used only at upstreams whose ordinary slots are all taken, not at
+        // those that this balancer left idle because they are slow.
         if is_pool_full && upstream.in_flight < self.max_in_flight(upstream, 0) {
             return false;
         }
-        // One at a time, or in overload all that found no slot elsewhere went to the upstreams of a lost zone.
-        let most = if upstream.is_unresponsive() {
+        // An unresponsive upstream gets one attempt at a time. Otherwise, during overload, every request that found no
+        // other slot went to the upstreams of a lost zone.
+        let limit = if upstream.is_unresponsive() {
             1
         } else {
             let trial = upstream.concurrency_trial;
             self.max_in_flight(upstream, if is_pool_full { trial } else { trial.min(0) })
         };
         let load = f64::from(upstream.in_flight) + self.peers_in_flight(now, upstream);
-        load < f64::from(most)
+        load < f64::from(limit)
     }
 
-    /// Whether so much of the fleet is closed to a class that it is open to it all the same.
+    /// Returns whether the breakers of so large a share of the fleet are open for a class that they are ignored.
     fn is_panicking(&self, now: Time, class: usize) -> bool {
         let (mut all, mut closed) = (0.0, 0.0);
         for &i in &self.by_cost {
@@ -133,15 +140,16 @@
         closed > all * PANIC_THRESHOLD
     }
 
-    /// Peers' requests at an upstream, as far as those that it reported have not ended by now.
+    /// Returns the number of other balancers' requests at an upstream, of those in its last report, that are expected
+    /// to be still running.
     fn peers_in_flight(&self, now: Time, upstream: &Upstream) -> f64 {
         let age = now.since(upstream.reported.at).as_micros();
         upstream.reported.peers * (-age / self.service_time(upstream)).exp()
     }
 
-    /// The time to an answer of an upstream that reports its load, in mean service times, with the peers' requests
-    /// that are expected to have come since, and with penalties for distance. One's own subset comes first: its
-    /// answers are known.
+    /// Returns the expected time until an upstream that reports its load answers, in mean service times, plus penalties
+    /// for distance. It includes the requests of other balancers expected to have arrived since the report. The own
+    /// subset is preferred because its estimates are the most recent.
     fn reported_cost(&self, now: Time, upstream: &Upstream) -> f64 {
         let concurrency = self.concurrency(upstream);
         let load = f64::from(upstream.in_flight)
@@ -168,10 +176,10 @@
                 upstream.subset_distance - subset::OTHER_ZONE_DISTANCE,
             )
         };
-        let outside = (subset_distance - subset::KNOWN_SUBSET_DISTANCE).clamp(0.0, 1.0);
+        let outside_subset = (subset_distance - subset::KNOWN_SUBSET_DISTANCE).clamp(0.0, 1.0);
         upstream.estimate.slowness * (1.0 + load / concurrency)
             + zone_penalty
-            + OUTSIDE_SUBSET_PENALTY * outside
+            + OUTSIDE_SUBSET_PENALTY * outside_subset
     }
 
     fn send(
@@ -208,7 +216,7 @@
         });
     }
 
-    /// Takes or frees slots of an upstream, in every capacity pool that it belongs to.
+    /// Adds to or subtracts from the in-flight count of an upstream and of every capacity pool that it belongs to.
     pub(super) fn count_in_flight(&mut self, upstream: UpstreamIndex, change: i32) {
         let in_flight = &mut self.upstreams[upstream].in_flight;
         *in_flight = in_flight.saturating_add_signed(change);
--- a/crates/load-balancing/src/policy/estimates.rs
+++ b/crates/load-balancing/src/policy/estimates.rs
@@ -1,7 +1,7 @@
-//! Estimates: TP_i, TS_i, K_i and N_i of each upstream, and what the fleet sustains for this balancer.
+//! Estimates of TP_i, TS_i, K_i and N_i for each upstream, and of the capacity that the fleet offers this balancer.
 //!
-//! Every outcome of an attempt is taken in by [`Balancer::learn`]; what follows for the fleet as a whole is
-//! reckoned anew at each sweep and each change of the list.
+//! [`Balancer::learn`] updates the estimates with every outcome of an attempt. Values for the whole fleet are
+//! recomputed at each sweep and each membership change.
 
 use super::Balancer;
 use super::state::latency_estimate::SERVICE_TIME_GAIN;
@@ -13,38 +13,38 @@
 use crate::interface::{AttemptOutcome, AttemptResult, Time};
 
 impl Balancer {
-    /// TS_i in microseconds.
+    /// Returns TS_i in microseconds.
     pub(super) fn service_time(&self, upstream: &Upstream) -> f64 {
         self.fleet.service_time * upstream.estimate.slowness
     }
 
-    /// 2*TP_i in microseconds; the fleet's mean where it is not known.
+    /// Returns 2*TP_i in microseconds, or the fleet's mean where it is not known.
     fn propagation(&self, upstream: &Upstream) -> f64 {
         let known = upstream.estimate.propagation;
         known.unwrap_or(self.fleet.propagation)
     }
 
-    /// K_i = 2*TP_i / TS_i + 1 for an upstream that runs one request at a time, and one more for each further one
-    /// that it runs concurrently; N_i at most.
+    /// Returns K_i = 2*TP_i / TS_i + 1 for an upstream that runs one request at a time, plus one for each further
+    /// request that it runs concurrently. The result is at most N_i.
     fn exact_max_in_flight(&self, upstream: &Upstream) -> f64 {
         let k =
             self.propagation(upstream) / self.service_time(upstream) + self.concurrency(upstream);
         k.min(self.admission_limit_per_us(upstream) * self.qos_time)
     }
 
-    /// K_i in whole requests, with concurrency on trial. Below one it still is one, or nothing would ever be learned
-    /// of the upstream.
+    /// Returns K_i as a whole number of requests, including the concurrency on trial. It is at least 1, since nothing
+    /// would be learned about the upstream otherwise.
     pub(super) fn max_in_flight(&self, upstream: &Upstream, trial: i32) -> u32 {
         (self.exact_max_in_flight(upstream) as i32 + trial).max(1) as u32
     }
 
-    /// N_i per microsecond of T_QoS: 1 / (2*TP_i + TS_i) for each request that the upstream runs concurrently.
+    /// Returns N_i per microsecond of T_QoS: 1 / (2*TP_i + TS_i) for each request that the upstream runs concurrently.
     pub(super) fn admission_limit_per_us(&self, upstream: &Upstream) -> f64 {
         let round_trip = self.propagation(upstream) + self.service_time(upstream);
         self.concurrency(upstream) / round_trip
     }
 
-    /// Takes in the outcome of an attempt.
+    /// Updates all estimates with the outcome of an attempt.
     pub(super) fn learn(
         &mut self,
         now: Time,
@@ -53,14 +53,14 @@
         result: &AttemptResult,
     ) {
         let is_served = result.outcome == AttemptOutcome::Ok;
-        // Clamped: one absurd latency put the mean of its class out of reach for good.
+        // Clamped, since a single implausible latency would make the mean of its class unusable for good.
         let latency = result
             .latency
             .as_micros()
             .clamp(1.0, self.settings.classes[class].deadline.as_micros());
         self.record_concurrency(now, attempt.upstream, is_served.then_some(class));
-        // With more in flight than usual, by way of trial, answers are slower: taken in, they made an upstream look
-        // slow, and drove its balancer into the subsets of others.
+        // Answers are slower while a trial has more requests in flight than usual. When they were included, the
+        // upstream looked slow and its balancer moved its requests into the subsets of other balancers.
         let upstream = &self.upstreams[attempt.upstream];
         let is_on_trial = upstream.in_flight > self.max_in_flight(upstream, 0);
         if is_served {
@@ -88,7 +88,7 @@
         self.learn_reported_load(now, attempt.upstream, result);
     }
 
-    /// Takes in how many requests of its peers an upstream reported.
+    /// Records how many requests of other balancers an upstream reported.
     fn learn_reported_load(&mut self, now: Time, upstream: UpstreamIndex, result: &AttemptResult) {
         let Some(running) = result.report.inflight else {
             return;
@@ -101,7 +101,8 @@
         self.fleet.peer_load.learn(now, peers_per_slot);
     }
 
-    /// Reckons anew what follows from the estimates: the sums of K_i and N_i, the order of cost, the longest wait.
+    /// Recomputes everything derived from the estimates: the sums of K_i and N_i, the order of cost and the maximum
+    /// queue wait.
     pub(super) fn refresh_estimates(&mut self) {
         self.refresh_mean_propagation();
         for pool in 0..self.capacity.pools.len() {
@@ -123,9 +124,9 @@
         }
     }
 
-    /// This balancer's share of the sums of K_i and N_i over the live upstreams of a pool. Unresponsive ones are
-    /// left out: with them, the sums counted a lost zone for as long as the list did, and queues outgrew the latency
-    /// target.
+    /// Recomputes this balancer's share of the sums of K_i and N_i over the live upstreams of a pool. Unresponsive
+    /// upstreams are excluded: otherwise the sums included a lost zone for as long as it was listed, and queues grew
+    /// past the latency target.
     fn refresh_capacity_pool(&mut self, pool: usize) {
         let class = self.capacity.pools[pool].class;
         self.capacity.pools[pool].all_unresponsive = !self
@@ -141,12 +142,12 @@
             }
         }
         let share = FairShare::new(slots, self.fleet.tolerance, self.settings.balancers);
-        // Only where slots are told: where they are learned, a fleet of balancers that shrank rejected retries that
-        // it could serve.
-        let are_slots_told = self.upstreams.iter().any(Upstream::has_reported_slots);
+        // Only where upstreams report their slots. With estimated slots, balancers rejected retries that they could
+        // have served after the number of balancers had shrunk.
+        let are_slots_reported = self.upstreams.iter().any(Upstream::has_reported_slots);
         let pool = &mut self.capacity.pools[pool];
         pool.slots = slots * share.of_slots;
         pool.queue_limit_per_us = per_us * share.of_slots;
-        pool.even_share = if are_slots_told { share.even } else { 1.0 };
+        pool.even_share = if are_slots_reported { share.even } else { 1.0 };
     }
 }
--- a/crates/load-balancing/src/policy/hedging.rs
+++ b/crates/load-balancing/src/policy/hedging.rs
@@ -1,49 +1,52 @@
-//! Overdue attempts: faults of their upstreams, hedges, and slots that are given back.
+//! Overdue attempts: they count as faults of their upstreams, may cause hedges, and release their slots when lost.
 //!
-//! Guards against hung and vanished upstreams, lost answers, stalls, a class that goes unanswered, dead connections.
-//! May hurt where requests of one class differ widely: a heavy one looks lost.
+//! This guards against upstreams that hang or vanish, lost answers, stalls, a class that goes unanswered, and dead
+//! connections. It can do harm where the work of requests within a class varies widely, since an expensive request
+//! looks lost.
 
 use super::Balancer;
 use super::attempts::MAX_CLASS_PAUSE_DOUBLINGS;
 use super::state::request::{Attempt, AttemptId, AttemptState, PendingRequest};
 use crate::interface::{AttemptOutcome, Span, Time};
 
-/// An attempt is overdue so many mean deviations past its class's mean latency.
+/// Number of mean deviations above the mean latency of its class at which an attempt is overdue.
 const OVERDUE_DEVIATIONS: f64 = 3.0;
-/// A hedge goes no sooner than after so many times the mean latency.
+/// Minimum delay before a hedge, as a multiple of the mean latency.
 const MIN_HEDGE_DELAY_IN_MEANS: f64 = 1.5;
-/// And only where more than this share of the attempts so late were never answered: a slow fleet needs no more load.
+/// A hedge is sent only if more than this share of the attempts that were this late were never answered. A fleet that
+/// is merely slow needs no additional load.
 const MIN_UNANSWERED_SHARE: f64 = 0.4;
-/// Hedges per first attempt: more is a storm on a fleet that is slow.
+/// Hedges allowed per first attempt. More would overload a fleet that is already slow.
 const HEDGES_PER_REQUEST: f64 = 0.3;
 
-/// When an attempt is late.
+/// Points in time from which an attempt counts as late.
 struct LatenessTimes {
-    /// It is overdue, past its class's latency.
+    /// When the attempt is overdue by the latency of its class.
     overdue_at: Time,
-    /// A hedge must go to be in time.
+    /// When a hedge must be sent to meet the latency target.
     hedge_at: Time,
 }
 
-/// What a look at an attempt in flight gives.
+/// Result of checking an attempt in flight.
 struct AttemptCheck {
     is_overdue: bool,
     is_hedge_due: bool,
-    /// A hedge goes now.
+    /// Whether a hedge should be sent now.
     needs_hedge: bool,
-    /// Its answer is taken for lost, and its slot is given back.
+    /// Whether the answer is considered lost, so that the slot is released.
     is_lost: bool,
 }
 
 impl Balancer {
-    /// A first attempt allows for some hedges, up to one for each slot.
+    /// Adds the hedge tokens that a first attempt earns, up to one token per slot.
     pub(super) fn earn_hedge_tokens(&mut self) {
-        let most = self.capacity.fleet().slots.max(1.0);
-        self.hedge_tokens = (self.hedge_tokens + HEDGES_PER_REQUEST).min(most);
+        let max_tokens = self.capacity.fleet().slots.max(1.0);
+        self.hedge_tokens = (self.hedge_tokens + HEDGES_PER_REQUEST).min(max_tokens);
     }
 
-    /// Looks at all attempts in flight. What is overdue is a fault of its upstream in its class; in time for a hedge,
-    /// it is sent elsewhere too where that is allowed, promises something and the tokens last.
+    /// Checks all attempts in flight. An overdue attempt counts as a fault of its upstream for its class. When a hedge
+    /// is due, the request is also sent to another upstream if that is allowed, is likely to help, and hedge tokens are
+    /// left.
     pub(super) fn check_overdue_attempts(&mut self, now: Time) {
         for id in std::mem::take(&mut self.in_flight) {
             let Some(request) = self.requests.get(&id.request) else {
@@ -73,9 +76,10 @@
         let is_overdue = attempt.is_overdue || now >= overdue_at;
         let is_hedge_due = attempt.is_hedge_due || now >= hedge_at;
         let is_newly_due = is_hedge_due && !attempt.is_hedge_due;
-        // Lost answers held their slots for two latency targets, and requests were rejected for it. What is overtaken
-        // is lost. With a K_i of one nothing overtakes (silent connections held all slots), so between two answers of
-        // an upstream one is given up on time alone.
+        // Lost answers used to hold their slots for two latency targets, which caused rejections. An overdue attempt is
+        // considered lost once its upstream has answered an attempt sent later. With a K_i of 1 no attempt is ever sent
+        // later, and connections that had fallen silent held all slots; so one attempt may also be given up by time
+        // alone, and the next only after the upstream has answered again.
         let last_answered = self.upstreams[attempt.upstream].last_answered_sent_at;
         let is_overtaken = last_answered > attempt.sent_at;
         let lateness = overdue_at.since(attempt.sent_at);
@@ -88,10 +92,10 @@
         }
     }
 
-    /// When an attempt is overdue, and when a hedge must go to be in time.
+    /// Returns when an attempt is overdue and when a hedge must be sent to meet the latency target.
     fn lateness_times(&self, request: &PendingRequest, attempt: &Attempt) -> LatenessTimes {
-        let known = &self.fleet.classes[request.class];
-        if known.mean == 0.0 {
+        let estimate = &self.fleet.classes[request.class];
+        if estimate.mean == 0.0 {
             let target = self.settings.classes[request.class].latency_target;
             let at = attempt.sent_at.plus(target);
             return LatenessTimes {
@@ -99,18 +103,18 @@
                 hedge_at: at,
             };
         }
-        let overdue_after = known.mean + OVERDUE_DEVIATIONS * known.deviation;
-        let time_left = request.queue_until.since(attempt.sent_at).as_micros() - known.mean;
+        let overdue_after = estimate.mean + OVERDUE_DEVIATIONS * estimate.deviation;
+        let time_left = request.queue_until.since(attempt.sent_at).as_micros() - estimate.mean;
         let hedge_after = overdue_after
             .min(time_left)
-            .max(known.mean * MIN_HEDGE_DELAY_IN_MEANS);
+            .max(estimate.mean * MIN_HEDGE_DELAY_IN_MEANS);
         LatenessTimes {
             overdue_at: attempt.sent_at.plus(Span::from_micros(overdue_after)),
             hedge_at: attempt.sent_at.plus(Span::from_micros(hedge_after)),
         }
     }
 
-    /// Whether a hedge is allowed, promises something, and takes nothing from others.
+    /// Returns whether a hedge is allowed, is likely to help, and takes no capacity from other requests.
     fn may_hedge(&self, now: Time, request: &PendingRequest) -> bool {
         let pool = self.capacity.of_class(request.class);
         let is_idle = pool.queued == 0 && (pool.in_flight as f64) < pool.slots;
--- a/crates/load-balancing/src/policy/membership.rs
+++ b/crates/load-balancing/src/policy/membership.rs
@@ -1,8 +1,8 @@
-//! Membership: the list of upstreams, as told by the host.
+//! Membership: the list of upstreams that the host provides.
 //!
-//! An upstream that drains or is gone gets nothing new from the moment the host tells. One that is gone is kept
-//! while a request was sent there. When the list goes silent the last one stays in use; where it comes on request
-//! only, it is requested again, with growing waits after failures.
+//! An upstream that is draining or gone gets no new requests from the moment the host reports it. A gone upstream is
+//! kept while an open request has an attempt there. If updates stop, the last list stays in use. Where the list is only
+//! sent on request, it is requested again, with exponential backoff after failures.
 
 use rustc_hash::FxHashSet;
 
@@ -14,12 +14,12 @@
 use crate::fleet::ring;
 use crate::interface::{Action, Endpoint, MembershipKind, Span, Status, Time};
 
-/// Longest first wait before the list is requested, as a share of the poll interval: restarts must not swamp its
-/// source.
+/// Maximum random delay before the list is requested, as a share of the poll interval, so that restarts don't overload
+/// its source.
 const POLL_JITTER_SHARE: f64 = 0.05;
-/// A call for the list unanswered for this share of the poll interval is made again.
+/// Time without an answer after which the list is requested again, as a share of the poll interval.
 const POLL_RETRY_SHARE: f64 = 0.5;
-/// Most doublings of the wait after a failed call.
+/// Maximum number of times that the wait doubles after failed requests.
 const MAX_POLL_BACKOFF_DOUBLINGS: i32 = 3;
 
 impl Balancer {
@@ -74,8 +74,8 @@
         let classes = self.settings.classes.len();
         let new = || Upstream::new(endpoint, classes, now);
         let index = self.upstreams.index_or_insert(endpoint.id, new);
-        // Spread over the balancers: a part of the first send is already earned.
-        let credit = if self.is_slow_start_rate_told() {
+        // Balancers start with different credit, so that their first sends to the upstream are spread out.
+        let credit = if self.has_configured_slow_start_rate() {
             ring::slow_start_phase(self.settings.position, endpoint.identity)
         } else {
             self.rng.rand_float()
@@ -88,8 +88,9 @@
             .resize_with(kinds, ConcurrencyEstimate::new);
     }
 
-    /// Drops upstreams that are gone, unless a request was sent there: whether that may be repeated elsewhere is
-    /// judged by them. Without this, where machines come and go, all there ever were stayed on every walk.
+    /// Removes upstreams that are gone, unless an open request has an attempt there: the upstream's zone and cell
+    /// decide whether that request may be repeated elsewhere. Without this, where machines come and go, every iteration
+    /// would cover all upstreams there ever were.
     fn remove_gone_upstreams(&mut self, now: Time) {
         let attempts = self.requests.values().flat_map(|r| &r.attempts);
         let attempted: FxHashSet<UpstreamIndex> =
@@ -105,9 +106,9 @@
         }
     }
 
-    /// Closes idle connections to an upstream that drains or is gone, where a rule asks for it: on the notice, after
-    /// each outcome there, and once a sweep for as long as the rule allows, since a connection may come free a moment
-    /// after the outcome that used it was told.
+    /// Closes idle connections to an upstream that is draining or gone, if the rules ask for it. This is done on the
+    /// membership change, after each outcome there, and at every sweep until the rule's timeout, since a connection may
+    /// become idle shortly after the outcome that used it was reported.
     pub(super) fn close_idle(
         &mut self,
         now: Time,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Closes idle connections again, wherever the rule still asks for it.
+    /// Closes idle connections again wherever the rule's timeout has not passed.
     pub(super) fn repeat_close_idle(&mut self, now: Time, actions: &mut Vec<Action>) {
         for index in self.upstreams.indexes() {
             if now <= self.upstreams[index].close_idle_until {
@@ -136,14 +137,14 @@
         }
     }
 
-    /// Whether an upstream is in the sums of a pool: not if unresponsive beside others that respond. Slots that are
-    /// learned and not told have followed by themselves.
+    /// Returns whether an upstream is included in the sums of a pool. An upstream that reports its slots is excluded
+    /// while it is unresponsive and others respond; estimated slots adapt by themselves.
     pub(super) fn is_counted(&self, pool: &CapacityPool, upstream: &Upstream) -> bool {
         (!upstream.has_reported_slots() || !upstream.is_unresponsive() || pool.all_unresponsive)
             && self.is_allowed_for(pool.class, upstream)
     }
 
-    /// Counts anew what is in flight in each pool, after upstreams have entered or left its sums.
+    /// Recounts the attempts in flight in each pool after upstreams have entered or left its sums.
     pub(super) fn recount_in_flight(&mut self) {
         for i in 0..self.capacity.pools.len() {
             let pool = &self.capacity.pools[i];
@@ -157,7 +158,7 @@
             now.plus(self.random_share_of_poll_interval(POLL_JITTER_SHARE));
     }
 
-    /// Requests the list, where it comes only on request and is due.
+    /// Requests the list if it is only sent on request and a request is due.
     pub(super) fn request_membership(&mut self, now: Time, actions: &mut Vec<Action>) {
         let poll = &self.membership_poll;
         if !self.settings.membership_by_request || poll.is_subscribed || now < poll.next_request {
@@ -171,7 +172,7 @@
             .plus(self.random_share_of_poll_interval(POLL_JITTER_SHARE));
     }
 
-    /// A random part of this share of the poll interval.
+    /// Returns a random duration of up to this share of the poll interval.
     fn random_share_of_poll_interval(&mut self, share: f64) -> Span {
         let interval = self.settings.rules.membership_poll_interval.as_micros();
         Span::from_micros(self.rng.rand_float() * share * interval)
--- a/crates/load-balancing/src/policy/mod.rs
+++ b/crates/load-balancing/src/policy/mod.rs
@@ -1,25 +1,30 @@
-//! The balancer: every decision on requests, and nothing else. No clock, no I/O, no threads.
+//! The balancer: all decisions about requests, without clock, I/O or threads.
 //!
-//! The ordinary path is the mechanism of Ould Deye et al.:
+//! The basic algorithm is that of Ould Deye et al.:
 //!
 //! - A request joins a first-come, first-served queue (`queue`).
 //! - It is sent once an upstream has fewer than `K_i = 2*TP_i/TS_i + 1` of this balancer's attempts in flight, where
 //!   TP_i is the propagation time to upstream i and TS_i its service time (`dispatch`, `estimates`).
-//! - It is rejected at once when queued and in-flight requests reach the sum of `N_i = T_QoS / (2*TP_i + TS_i)`,
-//!   where T_QoS is the time that a request may take (`admission`).
+//! - It is rejected on arrival when the number of queued and in-flight requests reaches the sum of `N_i = T_QoS /
+//!   (2*TP_i + TS_i)`, where T_QoS is the time that a request may take (`admission`).
 //! - Every answer updates TP_i and TS_i (`state::latency_estimate`).
 //!
-//! The paper has one balancer, equal requests, and upstreams that run one request at a time and never fail. What
-//! goes beyond it has a module each: `fair_share` and `subset` (many balancers), `concurrency` (upstreams that
-//! run several), `attempts`, `retries` and `hedging` (failures), `slow_start` and `membership` (upstreams
-//! come and go), `tenants` (quotas).
+//! The paper assumes one balancer, equal requests, and upstreams that run one request at a time and never fail. Each
+//! extension has a module of its own: `fair_share` and `subset` (many balancers), `concurrency` (upstreams that run
+//! several requests at a time), `attempts`, `retries` and `hedging` (failures), `slow_start` and `membership`
+//! (upstreams that come and go), `tenants` (quotas).
 //!
-//! State: [`Balancer`] owns all of it, in memory only; the records are in `state`. After a restart it begins with
-//! a list of upstreams and estimates that hold for none of them, and learns from the first answers. What it promises:
-//! each request that it was told of gets one final action at most ([`Action::Reject`], [`Action::Fail`], or an attempt
-//! whose answer the host passes on); a request that may have run is never rejected where a repeat could do harm, and
-//! never sent again where its effect forbids that. When an upstream goes silent its attempts are overdue, its
-//! breakers open, and its slots leave the sums; when the list goes silent the last one is used.
+//! [`Balancer`] owns all state and keeps it in memory only; the records are in `state`. After a restart it knows at
+//! most a list of upstreams, starts with default estimates and learns from the first answers.
+//!
+//! Guarantees:
+//!
+//! - Each request gets at most one final action: [`Action::Reject`], [`Action::Fail`], or an attempt whose answer the
+//!   host passes on.
+//! - A request that may have run is never rejected if a repeat could do harm, and never sent again if its effect
+//!   forbids that.
+//! - When an upstream stops responding, its attempts become overdue, its breakers open and its slots are excluded from
+//!   the sums. When membership updates stop, the last list stays in use.
 
 use std::collections::VecDeque;
 
@@ -51,32 +56,32 @@
 mod subset;
 mod tenants;
 
-/// TS of an upstream before any answer from any upstream, as a share of T_QoS.
+/// Initial TS_i before any answer from any upstream, as a share of T_QoS.
 const INITIAL_SERVICE_TIME_SHARE_OF_QOS: f64 = 0.25;
-/// Token of the one timer: housekeeping.
+/// Token of the only timer, which triggers the periodic sweep.
 const SWEEP_TIMER_TOKEN: u64 = 1;
 
-/// One balancer of the fleet: all its decisions and all it has learned.
+/// One balancer of the fleet, with all its settings and state.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
     /// T_QoS, in microseconds.
     qos_time: f64,
     rng: Rand64,
-    /// Whether the first event has come, which starts the timers.
+    /// Whether the first event has been handled, which starts the timer.
     has_started: bool,
     upstreams: UpstreamTable,
-    /// Live upstreams in the order of cost.
+    /// Live upstreams, ordered by cost.
     by_cost: Vec<UpstreamIndex>,
     requests: FxHashMap<RequestId, PendingRequest>,
-    /// In the order of arrival, retries first. Also holds requests that have left the queue since.
+    /// Queued requests in order of arrival, with retries first. May contain requests that are no longer queued.
     queue: VecDeque<RequestId>,
-    /// By key, the requests that run one at a time.
+    /// By ordering key, the requests that run one at a time.
     ordered_queues: FxHashMap<u64, OrderedQueue>,
     capacity: CapacityPools,
-    /// Attempts that may be overdue.
+    /// Attempts to check for being overdue.
     in_flight: Vec<AttemptId>,
-    /// Hedges that may still be sent.
+    /// Number of hedges that may still be sent.
     hedge_tokens: f64,
     fleet: FleetEstimate,
     key_owners: KeyOwners,
@@ -85,23 +90,23 @@
     membership_poll: MembershipPoll,
 }
 
-/// What one upstream may hold, for metrics.
+/// Limits of one upstream, for metrics.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UpstreamLimits {
-    /// Attempts of this balancer that are in flight there.
+    /// Attempts of this balancer in flight at the upstream.
     pub in_flight: u32,
-    /// K_i: it gets no more while so many are.
+    /// K_i: the upstream gets no further attempts while this many are in flight.
     pub max_in_flight: u32,
-    /// N_i within the time asked for.
+    /// N_i within the requested time.
     pub max_admitted: f64,
 }
 
 impl Balancer {
-    /// A balancer that knows its settings and nothing else yet. Its first event starts its timers: give it what
-    /// list there is right away, if only an empty [`MembershipKind::Restored`](crate::interface::MembershipKind).
+    /// Creates a balancer with no knowledge of upstreams. Its first event starts its timer. Provide the membership list
+    /// immediately, even if it is only an empty [`MembershipKind::Restored`](crate::interface::MembershipKind).
     ///
     /// # Errors
-    /// Where the settings have no safe reading; see [`Settings::into_validated`].
+    /// Returns an error if the settings can't be corrected to safe values; see [`Settings::into_validated`].
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         let settings = settings.into_validated()?;
         let qos_time = settings.qos_time();
@@ -135,11 +140,12 @@
         })
     }
 
-    /// Takes over other settings in service; classes keep what was learned of them by their index. The host keeps
-    /// an index for as long as a request of that class is open.
+    /// Replaces the settings at run time. Estimates are kept by class index, so the host must not reuse an index while
+    /// a request of that class is open.
     ///
     /// # Errors
-    /// Where the settings have no safe reading, or fewer classes than before; the old ones stay in force.
+    /// Returns an error if the settings can't be corrected to safe values, or have fewer classes than before. The old
+    /// settings stay in force then.
     pub fn reconfigure(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let settings = settings.into_validated()?;
         let classes_before = self.settings.classes.len();
@@ -164,7 +170,7 @@
         Ok(())
     }
 
-    /// Takes in what happened and appends what is to be done about it, in order.
+    /// Handles an event and appends the resulting actions in order.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if !self.has_started {
             self.has_started = true;
@@ -185,8 +191,8 @@
         }
     }
 
-    /// What holds for one upstream now: K_i, and N_i within the time `qos_time`; for metrics. `None` where it is
-    /// not known.
+    /// Returns the current limits of one upstream for metrics: K_i, and N_i within `qos_time`. Returns `None` if the
+    /// upstream is not known.
     pub fn upstream_limits(&self, id: ServerId, qos_time: Span) -> Option<UpstreamLimits> {
         let upstream = &self.upstreams[self.upstreams.index_of(id)?];
         Some(UpstreamLimits {
@@ -196,7 +202,7 @@
         })
     }
 
-    /// Time is kept, and the list requested, from the first event on.
+    /// Starts the sweep timer and schedules the first request for the membership list.
     fn start(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.schedule_first_list_request(now);
         self.set_sweep_timer(now, actions);
@@ -209,7 +215,7 @@
         });
     }
 
-    /// The housekeeping, once a sweep interval.
+    /// Runs the periodic housekeeping, once per sweep interval.
     fn on_sweep_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.check_overdue_attempts(now);
         self.refresh_warm_rates(now);
--- a/crates/load-balancing/src/policy/queue.rs
+++ b/crates/load-balancing/src/policy/queue.rs
@@ -1,6 +1,6 @@
-//! The queue: first come, first served, with the order of requests that share a key.
+//! The queue: first come, first served, with strict ordering of requests that share a key.
 //!
-//! A request that leaves the queue is only marked; its entry is passed over when the queue is next walked. The
+//! A request that leaves the queue is only marked; its entry is skipped the next time the queue is traversed. The
 //! counts of queued requests in [`CapacityPools`](super::state::capacity::CapacityPools) follow the mark.
 
 use super::Balancer;
@@ -8,7 +8,7 @@
 use crate::interface::{RequestId, Time};
 
 impl Balancer {
-    /// Queues a request: a retry ahead of all others, a new one behind them.
+    /// Queues a request: retries at the head, new requests at the tail.
     pub(super) fn enqueue(&mut self, id: RequestId, at_head: bool) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes a request out of the count of the queue; its entry there is passed over.
+    /// Marks a request as no longer queued; its entry in the queue is skipped from then on.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         let queued = self.requests.get_mut(&id).filter(|r| r.is_queued);
         if let Some(request) = queued {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A request of an ordered class goes to the back of its key's queue.
+    /// Appends a request of an ordered class to the queue of its key.
     pub(super) fn join_ordered_queue(&mut self, now: Time, id: RequestId) {
         let Some(key) = self.requests.get(&id).and_then(|r| r.ordering_key) else {
             return;
@@ -43,7 +43,7 @@
             .push_back(id);
     }
 
-    /// Whether it is the first of its key and the key is not blocked; always, once it was sent.
+    /// Returns whether a request is the first of its key and the key is not blocked. Always true once it has been sent.
     pub(super) fn has_turn(&self, now: Time, id: RequestId, request: &PendingRequest) -> bool {
         let Some(queue) = request
             .ordering_key
--- a/crates/load-balancing/src/policy/retries.rs
+++ b/crates/load-balancing/src/policy/retries.rs
@@ -1,17 +1,20 @@
-//! Retries and ends: what becomes of a request after an attempt that did not serve it, or after too long a wait.
+//! Retries and ends of requests: what happens after an attempt that did not serve the request, or after too long a
+//! wait.
 //!
-//! A request ends in one of three ways: rejected ([`Balancer::reject`], it may safely come again), failed (it may have
-//! run), or finished (its client has the answer or has left). Its record stays while attempts are in flight.
+//! A request ends in one of three ways: rejected ([`Balancer::reject`]: the client may safely repeat it), failed (it
+//! may have run), or finished (the client has the answer or has disconnected). Its record is kept while attempts are in
+//! flight.
 
 use super::Balancer;
 use super::state::request::{AttemptState, PendingRequest};
 use crate::interface::{Action, Effect, RequestId, Span, Time};
 
-/// A rejection within this share of the latency target is harmless: it leaves time for another try.
+/// Share of the latency target within which a rejection is harmless, because it leaves the client time for another try.
 const HARMLESS_SHARE_OF_TARGET: f64 = 0.25;
 
 impl Balancer {
-    /// After an attempt that did not serve: back to the head of the queue if it may be sent again, else an end.
+    /// Handles an attempt that did not serve its request: puts the request back at the head of the queue if it may be
+    /// sent again, and ends it otherwise.
     pub(super) fn retry_or_give_up(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -26,14 +29,14 @@
         }
     }
 
-    /// Whether some upstream may get it, now or after a wait.
+    /// Returns whether the request may be sent to some upstream, now or after a wait.
     pub(super) fn is_eligible_anywhere(&self, now: Time, request: &PendingRequest) -> bool {
         self.by_cost
             .iter()
             .any(|&upstream| self.is_eligible(now, request, upstream))
     }
 
-    /// Gives up what was queued for too long.
+    /// Gives up requests that were queued for too long.
     pub(super) fn give_up_expired(&mut self, now: Time, actions: &mut Vec<Action>) {
         let is_expired = |id: &&RequestId| {
             self.requests
@@ -42,7 +45,7 @@
         };
         let expired: Vec<RequestId> = self.queue.iter().filter(is_expired).copied().collect();
         for id in expired {
-            // One with an attempt in flight waited for a hedge; the first may still be answered.
+            // A request with an attempt in flight was waiting for a hedge; that attempt may still be answered.
             let request = self.requests.get(&id);
             if request.is_some_and(PendingRequest::has_attempt_in_flight) {
                 self.dequeue(id);
@@ -52,8 +55,8 @@
         }
     }
 
-    /// When a queued request is given up. One whose key has no owner, or was rejected by it, is rejected while that is
-    /// harmless: nobody knows when there is another owner.
+    /// Returns when a queued request is given up. If its key has no owner, or its owner has already been tried, it is
+    /// rejected while that is still harmless, since it is unknown when there will be another owner.
     fn expires_at(&self, now: Time, request: &PendingRequest) -> Time {
         let Some(key) = request.shard else {
             return request.queue_until;
@@ -73,7 +76,7 @@
         request.queue_until.plus(Span::from_micros(-wait))
     }
 
-    /// Ends a request unserved: rejected where its client may safely repeat it, else failed.
+    /// Ends a request that was not served: rejects it if its client may safely repeat it, and fails it otherwise.
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -86,8 +89,8 @@
         }
     }
 
-    /// The client has its answer, or has left: nobody reads what further attempts bring. Those of a request that may
-    /// be repeated are cancelled; what may run only once goes on, since it may be done already.
+    /// Ends a request whose client has the answer or has disconnected, so that further answers are of no use. Attempts
+    /// of a safe request are cancelled; others continue, since they may already have taken effect.
     pub(super) fn finish_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(request) = self
             .requests
@@ -105,7 +108,7 @@
         self.end_request(id);
     }
 
-    /// Nothing is owed to the client any more. The record goes once no attempt is in flight.
+    /// Ends a request for its client. The record is removed once no attempt is in flight.
     pub(super) fn end_request(&mut self, id: RequestId) {
         self.dequeue(id);
         let Some(request) = self.requests.get_mut(&id) else {
--- a/crates/load-balancing/src/policy/slow_start.rs
+++ b/crates/load-balancing/src/policy/slow_start.rs
@@ -1,8 +1,8 @@
-//! Slow start: at which pace upstreams that have just started get work.
+//! Slow start: limits the rate at which recently started upstreams get requests.
 //!
-//! An upstream begins at a share of its capacity and falls over when it is sent more than a multiple of what it has.
-//! Each balancer earns credit for sends to it: at the rate that the site tells, or else at the rate at which
-//! comparable upstreams past their slow start were seen to answer.
+//! An upstream starts with a fraction of its capacity and fails if it is sent more than a multiple of the current one.
+//! Each balancer earns send credit for such an upstream, either at the configured rate or at the rate at which
+//! comparable warm upstreams, those past their slow start, were observed to answer.
 
 use super::Balancer;
 use super::state::upstream::Upstream;
@@ -11,13 +11,13 @@
 use crate::fleet::send_credit::SendCredit;
 use crate::interface::{Span, Time};
 
-/// Pace to an upstream of one's own subset, as a share of the stated multiple of its capacity: few balancers own the
-/// same one.
+/// Rate towards an upstream of the own subset, as a share of the configured multiple of its capacity: an upstream is in
+/// the own subset of only a few balancers.
 const OWNER_RATE_SHARE: f64 = 1.0 / 3.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
 impl Balancer {
-    /// Share of its capacity that an upstream in slow start has for certain, 0 to 1; `None` once it is warm.
+    /// Returns the share of its capacity, 0 to 1, that an upstream in slow start has at least; `None` once it is warm.
     pub(super) fn slow_start_capacity(&self, now: Time, upstream: &Upstream) -> Option<f64> {
         let age = now.since(upstream.started?);
         let rules = &self.settings.rules;
@@ -25,35 +25,35 @@
             return None;
         }
         let progress = (age.as_micros() / rules.slow_start_duration.as_micros()).max(0.0);
-        let least = rules.slow_start_min_capacity;
-        Some(least + (1.0 - least) * progress)
+        let min_capacity = rules.slow_start_min_capacity;
+        Some(min_capacity + (1.0 - min_capacity) * progress)
     }
 
-    /// Whether an upstream is warm or has earned a send.
+    /// Returns whether an upstream is warm or this balancer has earned a send to it.
     pub(super) fn slow_start_allows(&self, now: Time, upstream: &Upstream) -> bool {
         self.send_credit(now, upstream)
             .is_none_or(|credit| credit >= 1.0)
     }
 
-    /// Sends that an upstream in slow start has earned by now; `None` once it is warm.
+    /// Returns the number of sends earned by now for an upstream in slow start; `None` once it is warm.
     fn send_credit(&self, now: Time, upstream: &Upstream) -> Option<f64> {
         let capacity = self.slow_start_capacity(now, upstream)?;
         let rate = self.warm_rate(upstream) * capacity;
         let ttl = self
-            .is_slow_start_rate_told()
+            .has_configured_slow_start_rate()
             .then_some(self.settings.rules.slow_start_credit_ttl);
         Some(upstream.send_credit.at(now, rate, ttl))
     }
 
-    pub(super) fn is_slow_start_rate_told(&self) -> bool {
+    pub(super) fn has_configured_slow_start_rate(&self) -> bool {
         self.settings.rules.slow_start_rate_per_s > 0.0
     }
 
-    /// Sends per microsecond that one upstream like this may get from this balancer once it is warm.
+    /// Returns the number of sends per microsecond that an upstream may get from this balancer once it is warm.
     fn warm_rate(&self, upstream: &Upstream) -> f64 {
         let rules = &self.settings.rules;
         let balancers = f64::from(self.settings.balancers);
-        if self.is_slow_start_rate_told() {
+        if self.has_configured_slow_start_rate() {
             return rules.slow_start_rate_per_s / MICROS_PER_SECOND / balancers;
         }
         let fleet = &self.fleet;
@@ -66,11 +66,13 @@
                 fleet.overall_warm_rate
             };
         let multiple = rules.overload_multiple.max(1.0);
-        // With every upstream young, or nothing observed yet, none would get any work.
-        let least = multiple / balancers / fleet.service_time;
-        let rate = if observed > 0.0 { observed } else { least };
-        // Its owners bring it on: with the pace of an even spread over all balancers, while only those whose subset
-        // it was in sent it anything, a fleet that grew fourfold kept rejecting.
+        // Used when no rate has been observed yet or every upstream is in slow start: otherwise no upstream would get
+        // any requests.
+        let min_rate = multiple / balancers / fleet.service_time;
+        let rate = if observed > 0.0 { observed } else { min_rate };
+        // Balancers that have the upstream in their own subset send at a higher rate. When they used the rate of an
+        // even spread over all balancers, but no other balancer sent anything, a fleet that had grown fourfold kept
+        // rejecting requests.
         let owner_rate = if upstream.subset_distance <= subset::OWN_SUBSET_DISTANCE {
             multiple * OWNER_RATE_SHARE * self.concurrency(upstream) / fleet.service_time
         } else {
@@ -86,8 +88,8 @@
         self.upstreams[upstream].send_credit = SendCredit::new(credit - 1.0, now);
     }
 
-    /// Counts what warm upstreams served, not what they were sent: in a storm of rejections the sends of a fleet
-    /// add up to a multiple of what any upstream can do.
+    /// Counts what warm upstreams served rather than what they were sent: while many requests are rejected, the fleet's
+    /// sends add up to a multiple of any upstream's capacity.
     pub(super) fn count_served(&mut self, now: Time, upstream: UpstreamIndex) {
         let upstream = &self.upstreams[upstream];
         if self.slow_start_capacity(now, upstream).is_some() {
@@ -99,7 +101,7 @@
         served[kind] += 1.0;
     }
 
-    /// Brings the credit of upstreams in slow start, and the rates of warm ones, up to now.
+    /// Updates the send credit of upstreams in slow start and the rates of warm upstreams to the current time.
     pub(super) fn refresh_warm_rates(&mut self, now: Time) {
         let elapsed = now.since(self.fleet.warm_counted_at).as_micros();
         self.fleet.warm_counted_at = now;
@@ -112,8 +114,8 @@
             *served *= (-elapsed / window).exp();
         }
         fleet.warm_rate.resize(warm_weight.len(), 0.0);
-        // A peak is kept: when the warm upstreams slowed down, the young ones, who did not, were held back with
-        // them.
+        // Keeps a decaying peak: when warm upstreams slowed down, those in slow start would otherwise be limited along
+        // with them although they were still fast.
         let keep_peak = |peak: &mut f64, served: f64, weight: f64| {
             let observed = if weight > 0.0 && served >= 1.0 {
                 served / window / weight
@@ -133,7 +135,8 @@
         }
     }
 
-    /// Brings the credit of upstreams in slow start up to now; the total weight of warm ones, by kind.
+    /// Updates the send credit of upstreams in slow start to the current time. Returns the total weight of warm
+    /// upstreams by kind.
     fn refresh_send_credit(&mut self, now: Time) -> Vec<f64> {
         let mut warm_weight = vec![0.0; self.fleet.warm_served.len()];
         for &i in &self.by_cost {
--- a/crates/load-balancing/src/policy/state/capacity.rs
+++ b/crates/load-balancing/src/policy/state/capacity.rs
@@ -1,35 +1,35 @@
-//! What a set of upstreams holds and can hold.
+//! Current load and capacity of sets of upstreams.
 
-/// What the upstreams that one set of classes may be sent to hold and can hold. The first pool is the whole fleet;
-/// classes bound to zones or kinds have a pool of their own. Admitted by the sums of the whole fleet, requests of
-/// a bound class queued behind slots that they could never have.
+/// Load and capacity of the upstreams that a set of classes may be sent to. The first pool is the whole fleet; classes
+/// bound to zones or kinds have a pool of their own. When requests of a bound class were admitted by the sums of the
+/// whole fleet, they queued for slots that they could never use.
 #[derive(Debug, Default)]
 pub(in crate::policy) struct CapacityPool {
-    /// A class that is bound so; `None` for the whole fleet.
+    /// A class with this pool's binding; `None` for the whole fleet.
     pub(in crate::policy) class: Option<usize>,
-    /// Requests queued for it.
+    /// Queued requests of the classes that use this pool.
     pub(in crate::policy) queued: usize,
-    /// Attempts in flight at its upstreams.
+    /// Attempts in flight at the pool's upstreams.
     pub(in crate::policy) in_flight: usize,
-    /// Whether all its upstreams are unresponsive: then none is left out of the sums.
+    /// Whether all upstreams of the pool are unresponsive; in that case none is excluded from the sums.
     pub(in crate::policy) all_unresponsive: bool,
-    /// This balancer's share of the sum of K_i over live upstreams: attempts in flight.
+    /// This balancer's share of the sum of K_i over live upstreams, in attempts in flight.
     pub(in crate::policy) slots: f64,
     /// This balancer's share of the sum of N_i over live upstreams, per microsecond of the time that a request may
     /// take: `1 / (2*TP_i + TS_i)`.
     pub(in crate::policy) queue_limit_per_us: f64,
-    /// The share of both that is not there for bursts, 0 to 1.
+    /// The share of `slots` and `queue_limit_per_us`, 0 to 1, that is not headroom for bursts.
     pub(in crate::policy) even_share: f64,
 }
 
 impl CapacityPool {
-    /// Whether this balancer uses all its slots.
+    /// Returns whether this balancer uses all its slots.
     pub(in crate::policy) fn is_full(&self) -> bool {
         self.in_flight as f64 >= self.slots.max(1.0)
     }
 }
 
-/// All pools, and which of them each class has.
+/// All pools, and which of them each class uses.
 #[derive(Debug)]
 pub(in crate::policy) struct CapacityPools {
     /// The first is the whole fleet.
@@ -39,7 +39,7 @@
 }
 
 impl CapacityPools {
-    /// The pool of the whole fleet.
+    /// Returns the pool of the whole fleet.
     pub(in crate::policy) fn fleet(&self) -> &CapacityPool {
         &self.pools[0]
     }
@@ -48,7 +48,7 @@
         &self.pools[self.by_class[class]]
     }
 
-    /// Changes the number of queued requests of a class, in the fleet's pool and in its own.
+    /// Changes the number of queued requests of a class, in the pool of the whole fleet and in its own.
     pub(in crate::policy) fn count_queued(&mut self, class: usize, change: isize) {
         let own = self.by_class[class];
         for (i, pool) in self.pools.iter_mut().enumerate() {
--- a/crates/load-balancing/src/policy/state/circuit_breaker.rs
+++ b/crates/load-balancing/src/policy/state/circuit_breaker.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{Span, Time};
 
-/// Opens at a fault, and for twice as long at each further one in a row.
+/// A breaker that opens at a fault, for twice as long at each consecutive fault.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::policy) struct CircuitBreaker {
     open_until: Time,
@@ -23,9 +23,9 @@
         now < self.open_until
     }
 
-    /// Opens the breaker for `pause_us` microseconds, doubled for each earlier fault in a row, `max_doublings`
-    /// times at most. Without the doubling, the upstreams of a lost zone, long still on the list, were tried every
-    /// few milliseconds by every balancer, and most attempts of the fleet ended there.
+    /// Opens the breaker for `pause_us` microseconds, doubled for each earlier consecutive fault, at most
+    /// `max_doublings` times. Without the doubling, every balancer retried the upstreams of a lost zone, which stayed
+    /// listed for long, every few milliseconds, and most attempts of the fleet were lost there.
     pub(in crate::policy) fn trip(&mut self, now: Time, pause_us: f64, max_doublings: u32) {
         if self.is_open(now) {
             return; // Sent before the pause began: the same fault, already counted.
@@ -35,7 +35,7 @@
         self.consecutive_faults = (self.consecutive_faults + 1).min(max_doublings);
     }
 
-    /// Forgets earlier faults; a pause that has begun goes on.
+    /// Resets the count of faults; a pause that has begun continues.
     pub(in crate::policy) fn reset_faults(&mut self) {
         self.consecutive_faults = 0;
     }
--- a/crates/load-balancing/src/policy/state/concurrency.rs
+++ b/crates/load-balancing/src/policy/state/concurrency.rs
@@ -1,43 +1,43 @@
-//! How many requests an upstream of one kind runs concurrently. The paper's upstreams run one at a time; here nobody
-//! tells, so it is learned from how often answers come while so many of this balancer's requests are in flight.
+//! Estimate of how many requests an upstream of one kind runs concurrently. The paper's upstreams run one at a time;
+//! here the number is estimated from the throughput at each number of this balancer's requests in flight.
 //!
-//! Judged instead by how long answers take at each level, one core looked like two: attempts that end before
-//! their neighbour does are the short ones.
+//! Estimating it from the latency at each level made one core look like two: attempts that end before those sent
+//! alongside them are the short ones.
 
-/// Most requests that an upstream is tried with concurrently.
+/// Highest concurrency that is tried.
 pub(in crate::policy) const MAX_CONCURRENCY: usize = 32;
-/// An unseen level weighs as so many answers that no more gets done at it than one below, as the paper has it.
+/// Weight, in answers, of the prior that a level has no more throughput than the one below it, as the paper assumes.
 const LEVEL_PRIOR_ANSWERS: f64 = 16.0;
-/// Answers that what is known of a level reaches back over.
+/// Number of answers after which the totals of a level are halved, so that old observations fade.
 const LEVEL_MEMORY_ANSWERS: f64 = 128.0;
-/// Answers at the level in use that others are measured against, each round.
+/// Answers needed at the level in use, per round, to compare other levels with it.
 const ROUND_ANSWERS: f64 = 8.0;
-/// The lowest level that reaches this share of the best throughput is taken: more is bought with latency.
+/// The lowest level with this share of the best throughput is used, since a higher one increases latency.
 const SUFFICIENT_THROUGHPUT_SHARE: f64 = 0.75;
 
-/// What is known of so many requests in flight at upstreams of one kind.
+/// Observations of one level, that is, of one number of requests in flight at upstreams of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct ConcurrencyLevel {
-    /// This round: time spent at the level, in microseconds.
+    /// In this round: time spent at the level, in microseconds.
     round_time: f64,
-    /// This round: work done at it, in requests of mean work.
+    /// In this round: work completed at the level, in requests of mean work.
     round_work: f64,
-    /// Of all rounds: work done at it.
+    /// In all rounds: work completed at the level.
     total_work: f64,
-    /// Of all rounds: what the level in use would have done in that time. A fleet that slows down as a whole
-    /// changes neither against the other.
+    /// In all rounds: work that the level in use would have completed in the same time. The ratio of both does not
+    /// change when the fleet as a whole slows down.
     expected_work: f64,
 }
 
-/// A level to try, beside the one in use.
+/// A higher level to try instead of the one in use.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::policy) struct NextLevel {
     pub(in crate::policy) level: usize,
-    /// Whether enough is known of it.
+    /// Whether enough is known about the level.
     pub(in crate::policy) is_known: bool,
 }
 
-/// The concurrency of upstreams of one kind, with what is known of each level.
+/// Estimated concurrency of upstreams of one kind, with the observations of each level.
 #[derive(Clone, Debug)]
 pub(in crate::policy) struct ConcurrencyEstimate {
     /// The level in use.
@@ -53,21 +53,21 @@
         }
     }
 
-    /// Books time spent, and work done, with so many requests in flight at an upstream.
+    /// Records time spent and work completed with a number of requests in flight at an upstream.
     pub(in crate::policy) fn record(&mut self, in_flight: usize, time_us: f64, work: f64) {
         let level = &mut self.levels[in_flight];
         level.round_time += time_us;
         level.round_work += work;
     }
 
-    /// Ends a round, if enough was seen, and takes the lowest level that gets enough done.
+    /// Ends the round if enough was observed, and selects the lowest level with sufficient throughput.
     pub(in crate::policy) fn end_round(&mut self) {
         let in_use = self.levels[self.level];
         if in_use.round_work < ROUND_ANSWERS {
             return;
         }
         let work_rate = in_use.round_work / in_use.round_time.max(1.0);
-        // By level: work done over what the level in use would have done.
+        // By level: completed work divided by the work that the level in use would have completed.
         let mut gain = [1.0; MAX_CONCURRENCY + 1];
         let mut highest_known = 1;
         let mut best_gain = 0.0;
@@ -92,8 +92,9 @@
         }
     }
 
-    /// The level to try next: twice the one in use, a step that wins more than [`SUFFICIENT_THROUGHPUT_SHARE`]
-    /// asks. With steps of one, upstreams of six cores stuck at three for good.
+    /// Returns the level to try next: twice the one in use, so that the gain can exceed what
+    /// [`SUFFICIENT_THROUGHPUT_SHARE`] requires. With steps of one, estimates for upstreams with six cores never rose
+    /// above three.
     pub(in crate::policy) fn next_level(&self) -> NextLevel {
         let level = (2 * self.level).min(MAX_CONCURRENCY);
         NextLevel {
@@ -104,7 +105,7 @@
 }
 
 impl ConcurrencyLevel {
-    /// Adds the round to the totals, where the level in use did `work_rate` per microsecond.
+    /// Adds the round to the totals. `work_rate` is the work per microsecond at the level in use.
     fn fold_round(&mut self, work_rate: f64) {
         self.total_work += self.round_work;
         self.expected_work += self.round_time * work_rate;
--- a/crates/load-balancing/src/policy/state/fleet_estimate.rs
+++ b/crates/load-balancing/src/policy/state/fleet_estimate.rs
@@ -1,62 +1,62 @@
-//! What the fleet of upstreams as a whole sustains for this balancer. Times are in microseconds.
+//! Estimates over the whole fleet of upstreams. Times are in microseconds.
 
 use crate::fleet::peer_load::PeerLoad;
 use crate::fleet::retry_budget::RetryBudget;
 use crate::interface::Time;
 use crate::policy::state::concurrency::ConcurrencyEstimate;
 
-/// Weight of a new answer in the fleet's means.
+/// Weight of a new answer in the fleet-wide means.
 const MEAN_GAIN: f64 = 0.02;
 
-/// What is known of one class.
+/// Estimates for one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub(in crate::policy) struct ClassEstimate {
-    /// Mean latency; 0 before any answer.
+    /// Mean latency; 0 before the first answer.
     pub(in crate::policy) mean: f64,
-    /// Mean deviation from it.
+    /// Mean absolute deviation from the mean latency.
     pub(in crate::policy) deviation: f64,
-    /// Share of the attempts for which a hedge was due and that were never answered, 0 to 1.
+    /// Share, 0 to 1, of the attempts for which a hedge was due that were never answered.
     pub(in crate::policy) unanswered_share: f64,
 }
 
 /// Estimates over all upstreams.
 #[derive(Debug, Default)]
 pub(in crate::policy) struct FleetEstimate {
-    /// TS, the mean service time of all upstreams.
+    /// TS: the mean service time of all upstreams.
     pub(in crate::policy) service_time: f64,
-    /// The mean of 2*TP_i over the upstreams where it is known.
+    /// The mean of 2*TP_i over the upstreams for which it is known.
     pub(in crate::policy) propagation: f64,
     /// By class.
     pub(in crate::policy) classes: Vec<ClassEstimate>,
-    /// By class, its share in the recent answers, 0 to 1. By itself since every answer moves all of them, and
-    /// there may be a thousand.
+    /// By class, its share of recent answers, 0 to 1. Stored apart from `classes` because every answer changes all of
+    /// the shares, and there may be a thousand.
     pub(in crate::policy) class_share: Vec<f64>,
-    /// The longest wait that each class can bear.
+    /// The longest queue wait that every class can tolerate.
     pub(in crate::policy) max_queue_wait: f64,
     /// By kind of upstream.
     pub(in crate::policy) concurrency: Vec<ConcurrencyEstimate>,
-    /// When the trials of other levels of concurrency began.
+    /// When the current concurrency trials began.
     pub(in crate::policy) trials_started_at: Time,
-    /// This balancer's limit in even parts of the fleet.
+    /// This balancer's limit as a multiple of its even share of the fleet's slots.
     pub(in crate::policy) tolerance: f64,
-    /// TS as it was in good times. Judged by the TS of the moment, a whole fleet of balancers that crowds the
-    /// upstreams never looks crowded.
+    /// TS under light load. Compared with the current TS, upstreams that all balancers crowd at once would never look
+    /// crowded.
     pub(in crate::policy) uncrowded_service_time: f64,
     pub(in crate::policy) peer_load: PeerLoad,
-    /// Retries that it may still make.
+    /// Limits the retries that may still be sent.
     pub(in crate::policy) retry_budget: RetryBudget,
-    /// Answers of upstreams past their slow start, a decaying count by kind.
+    /// By kind, a decaying count of answers from warm upstreams, those past their slow start.
     pub(in crate::policy) warm_served: Vec<f64>,
-    /// The highest rate of these per unit of weight that was seen lately, per microsecond, by kind.
+    /// By kind, the decaying peak rate of these answers per unit of weight, per microsecond.
     pub(in crate::policy) warm_rate: Vec<f64>,
-    /// The same over all kinds.
+    /// The same peak over all kinds.
     pub(in crate::policy) overall_warm_rate: f64,
-    /// When these were last counted.
+    /// When the counts and rates of warm upstreams were last updated.
     pub(in crate::policy) warm_counted_at: Time,
 }
 
 impl FleetEstimate {
-    /// Before any answer: `service_time` for every upstream, and nothing known of any class.
+    /// Creates the estimate before any answer: `service_time` for every upstream, and nothing known about any class.
     pub(in crate::policy) fn new(
         classes: usize,
         uncrowded_service_time: f64,
@@ -79,34 +79,34 @@
         }
     }
 
-    /// Makes place for more classes, of which nothing is known.
+    /// Adds classes of which nothing is known yet.
     pub(in crate::policy) fn resize_classes(&mut self, classes: usize) {
         self.classes.resize(classes, ClassEstimate::default());
         self.class_share.resize(classes, 0.0);
     }
 
-    /// The mean latency of a class; before any answer of it, that of the fleet.
+    /// Returns the mean latency of a class, or the fleet's service time before the first answer of that class.
     pub(in crate::policy) fn class_mean(&self, class: usize) -> f64 {
         let mean = self.classes[class].mean;
         if mean > 0.0 { mean } else { self.service_time }
     }
 
-    /// Takes in the latency of a served request of this class.
+    /// Updates the means with the latency of a served request of this class.
     pub(in crate::policy) fn learn_latency(&mut self, class: usize, latency: f64) {
         self.service_time += (latency - self.service_time) * MEAN_GAIN;
         for share in &mut self.class_share {
             *share -= *share * MEAN_GAIN;
         }
         self.class_share[class] += MEAN_GAIN;
-        let known = &mut self.classes[class];
-        let is_first = known.mean == 0.0;
+        let estimate = &mut self.classes[class];
+        let is_first = estimate.mean == 0.0;
         let gain = if is_first { 1.0 } else { MEAN_GAIN };
         let deviation = if is_first {
             latency / 2.0
         } else {
-            (latency - known.mean).abs()
+            (latency - estimate.mean).abs()
         };
-        known.deviation += (deviation - known.deviation) * gain;
-        known.mean += (latency - known.mean) * gain;
+        estimate.deviation += (deviation - estimate.deviation) * gain;
+        estimate.mean += (latency - estimate.mean) * gain;
     }
 }
--- a/crates/load-balancing/src/policy/state/latency_estimate.rs
+++ b/crates/load-balancing/src/policy/state/latency_estimate.rs
@@ -1,33 +1,34 @@
-//! The paper's estimator for one upstream: answers to TP_i and TS_i.
+//! The paper's estimator of TP_i and TS_i for one upstream.
 
 use crate::interface::AttemptOutcome;
 
-/// Weight of a new round trip in the estimate of TS_i, per answer: about the last eight answers count.
+/// Weight of a new answer in the estimate of TS_i: about the last eight answers count.
 pub(in crate::policy) const SERVICE_TIME_GAIN: f64 = 0.125;
-/// An attempt that failed counts as this many mean service times at least.
+/// Minimum slowness recorded for a failed attempt.
 const MIN_FAULT_SLOWNESS: f64 = 5.0;
-/// One answer counts as this many mean service times at most: a heavy request must not condemn the upstream that
-/// drew it.
+/// Maximum slowness recorded for one answer, so that one expensive request doesn't make its upstream look slow.
 pub(in crate::policy) const MAX_SLOWNESS: f64 = 10.0;
 
-/// What the answers of one upstream told: the round trip is split into 2*TP_i + TS_i.
+/// Latency estimates of one upstream: the round trip is split into 2*TP_i + TS_i.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::policy) struct LatencyEstimate {
-    /// 2*TP_i, twice the propagation time, in microseconds: the least round trip of an answer that did no work.
+    /// 2*TP_i, twice the propagation time, in microseconds: the shortest round trip of an answer without any work, that
+    /// is, of a rejection.
     pub(in crate::policy) propagation: Option<f64>,
-    /// Service time, waiting at the upstream included, over the fleet's mean for the same class. TS_i is this
-    /// times the fleet's mean, whatever mix of classes the upstream drew.
+    /// Service time, including the wait at the upstream, divided by the fleet's mean for the same class. TS_i is this
+    /// times the fleet's mean, independent of the mix of classes that the upstream got.
     pub(in crate::policy) slowness: f64,
 }
 
 impl LatencyEstimate {
-    /// Before any answer: as fast as the fleet's mean.
-    pub(in crate::policy) const NONE: Self = Self {
+    /// The estimate before any answer: as fast as the fleet's mean.
+    pub(in crate::policy) const INITIAL: Self = Self {
         propagation: None,
         slowness: 1.0,
     };
 
-    /// Takes in an outcome after `latency` microseconds, where the fleet's mean for its class is `mean`.
+    /// Updates the estimate with an outcome after `latency` microseconds. `mean` is the fleet's mean latency of the
+    /// class.
     pub(in crate::policy) fn learn(&mut self, outcome: AttemptOutcome, latency: f64, mean: f64) {
         if outcome == AttemptOutcome::Rejected {
             self.propagation = Some(self.propagation.map_or(latency, |known| known.min(latency)));
@@ -35,7 +36,7 @@
         let slowness = (latency - self.propagation.unwrap_or(0.0)).max(1.0) / mean;
         let slowness = match outcome {
             AttemptOutcome::Ok => slowness,
-            // A quick error must not look like a fast upstream: it would earn slots.
+            // A fast error must not make the upstream look fast, since that would earn it slots.
             AttemptOutcome::Error | AttemptOutcome::Timeout | AttemptOutcome::Reset => {
                 slowness.max(MIN_FAULT_SLOWNESS)
             }
--- a/crates/load-balancing/src/policy/state/membership_poll.rs
+++ b/crates/load-balancing/src/policy/state/membership_poll.rs
@@ -1,13 +1,13 @@
-//! When to request the list of upstreams, where it comes only on request.
+//! Schedule of requests for the membership list, where it is only sent on request.
 
 use crate::interface::Time;
 
-/// State of the subscription to the list.
+/// State of the subscription to the membership list.
 #[derive(Debug)]
 pub(in crate::policy) struct MembershipPoll {
     pub(in crate::policy) is_subscribed: bool,
     pub(in crate::policy) next_request: Time,
-    /// Failed calls in a row, as far as they lengthen the wait.
+    /// Consecutive failed requests, up to the maximum number of doublings of the wait.
     pub(in crate::policy) consecutive_failures: i32,
 }
 
--- a/crates/load-balancing/src/policy/state/mod.rs
+++ b/crates/load-balancing/src/policy/state/mod.rs
@@ -1,7 +1,7 @@
-//! The records that the balancer keeps: of requests, of upstreams, of sets of upstreams, of the fleet as a whole.
+//! State records of the balancer: requests, upstreams, sets of upstreams, and the fleet as a whole.
 //!
-//! No decision is made here: records know how to take in an observation, and nothing of each other's owner. The
-//! arrow goes one way, from the decisions in [`crate::policy`] to these records.
+//! No decisions are made here: records only update themselves with observations. Dependencies go one way, from the
+//! decisions in [`crate::policy`] to these records.
 
 pub(super) mod capacity;
 pub(super) mod circuit_breaker;
--- a/crates/load-balancing/src/policy/state/request.rs
+++ b/crates/load-balancing/src/policy/state/request.rs
@@ -1,31 +1,31 @@
-//! A request that the balancer holds, with its attempts.
+//! A pending request and its attempts.
 
 use std::collections::VecDeque;
 
 use crate::interface::{RequestId, Time};
 use crate::policy::state::upstream_table::UpstreamIndex;
 
-/// Where an attempt stands, as far as it bears on sending the request again.
+/// State of an attempt, as far as it matters for sending the request again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::policy) enum AttemptState {
     InFlight,
-    /// Ended with proof that it has not run.
+    /// Ended with proof that the request has not run.
     NotRun,
     /// Ended without such proof.
     MayHaveRun,
 }
 
-/// One sending of a request to one upstream.
+/// One send of a request to one upstream.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::policy) struct Attempt {
     pub(in crate::policy) upstream: UpstreamIndex,
     pub(in crate::policy) sent_at: Time,
     pub(in crate::policy) state: AttemptState,
-    /// Unanswered for longer than its class explains.
+    /// Whether it has been in flight for longer than the latencies of its class explain.
     pub(in crate::policy) is_overdue: bool,
-    /// Still in flight at the time when a hedge has to be sent to be in time.
+    /// Whether it was still in flight when a hedge had to be sent to meet the latency target.
     pub(in crate::policy) is_hedge_due: bool,
-    /// Its slot was given back before its outcome came.
+    /// Whether its slot was released before its outcome was known.
     pub(in crate::policy) is_slot_released: bool,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Names an attempt of a request by its index.
+/// Identifies an attempt by its request and its index there.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::policy) struct AttemptId {
     pub(in crate::policy) request: RequestId,
@@ -55,17 +55,17 @@
     pub(in crate::policy) class: usize,
     /// When the client gives up.
     pub(in crate::policy) deadline: Time,
-    /// When an answer stops being worth anything.
+    /// When an answer loses its value.
     pub(in crate::policy) value_until: Time,
-    /// When it must be given up if it is still queued.
+    /// When the request is given up if it is still queued.
     pub(in crate::policy) queue_until: Time,
     pub(in crate::policy) is_queued: bool,
-    /// Nothing is owed to the client any more; kept for the attempts in flight.
+    /// Whether the client needs no answer any more; the record is kept for the attempts in flight.
     pub(in crate::policy) is_ended: bool,
     pub(in crate::policy) attempts: Vec<Attempt>,
-    /// The key whose turn it waits for, if its class is ordered.
+    /// The ordering key, if its class is ordered: requests with the same key run one at a time.
     pub(in crate::policy) ordering_key: Option<u64>,
-    /// The key whose owner alone may run it.
+    /// The sharding key; only the owner of this key may run the request.
     pub(in crate::policy) shard: Option<u16>,
 }
 
@@ -76,7 +76,7 @@
             .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Whether every attempt has ended with proof that it has not run.
+    /// Returns whether every attempt has ended with proof that the request has not run.
     pub(in crate::policy) fn has_not_run(&self) -> bool {
         self.attempts
             .iter()
@@ -90,12 +90,12 @@
     }
 }
 
-/// The requests of one key that run one at a time.
+/// Requests with the same ordering key, which run one at a time.
 #[derive(Debug)]
 pub(in crate::policy) struct OrderedQueue {
-    /// In the order of arrival; the first may run.
+    /// Requests in order of arrival; only the first may run.
     pub(in crate::policy) waiting: VecDeque<RequestId>,
-    /// Until when an earlier attempt may still be running, so that none may start.
+    /// No request may start before this time, since an earlier attempt may still be running.
     pub(in crate::policy) blocked_until: Time,
 }
 
--- a/crates/load-balancing/src/policy/state/settings.rs
+++ b/crates/load-balancing/src/policy/state/settings.rs
@@ -1,14 +1,15 @@
-//! What follows from the settings alone.
+//! Values derived from the settings alone.
 
 use crate::interface::{RequestClass, Settings, Span};
 use crate::policy::state::capacity::{CapacityPool, CapacityPools};
 
-/// Housekeeping period as a share of the shortest latency target: queued requests are rejected close to their
-/// limit.
+/// Sweep interval as a share of the shortest latency target, short enough that queued requests are rejected close to
+/// their limit.
 const SWEEP_SHARE_OF_TARGET: f64 = 1.0 / 32.0;
 
 impl Settings {
-    /// One pool for the whole fleet, and one for each set of upstreams that some class is bound to.
+    /// Returns the capacity pools: one for the whole fleet, and one for each set of upstreams that some class is bound
+    /// to.
     pub(in crate::policy) fn capacity_pools(&self) -> CapacityPools {
         let mut pools = vec![CapacityPool::default()];
         let mut by_class = Vec::new();
@@ -32,13 +33,13 @@
         CapacityPools { pools, by_class }
     }
 
-    /// The classes that new requests have. Without this, a route that was moved or dropped went on to bind those
-    /// left at its former service by its latency target.
+    /// Returns the classes that new requests may have. Without this filter, a route that had been moved or removed kept
+    /// constraining the remaining routes of its former service by its latency target.
     pub(in crate::policy) fn active_classes(&self) -> impl Iterator<Item = &RequestClass> {
         self.classes.iter().filter(|class| !class.retired)
     }
 
-    /// T_QoS in microseconds: one target for all, the mean of the classes' latency targets.
+    /// Returns T_QoS in microseconds: the mean of the classes' latency targets, used for all classes.
     pub(in crate::policy) fn qos_time(&self) -> f64 {
         let (count, sum) = self.active_classes().fold((0.0, 0.0), |(count, sum), c| {
             (count + 1.0, sum + c.latency_target.as_micros())
@@ -50,7 +51,7 @@
         }
     }
 
-    /// How often the balancer does its housekeeping.
+    /// Returns the interval of the periodic housekeeping.
     pub(in crate::policy) fn sweep_interval(&self) -> Span {
         let targets = self.classes.iter().map(|class| class.latency_target.0);
         let shortest = targets.min().unwrap_or(0);
--- a/crates/load-balancing/src/policy/state/tenant_quota.rs
+++ b/crates/load-balancing/src/policy/state/tenant_quota.rs
@@ -1,8 +1,8 @@
-//! Token buckets of tenants.
+//! Token buckets for tenant quotas.
 
 use crate::interface::Time;
 
-/// A tenant's quota at this balancer, as a token bucket of requests.
+/// A tenant's quota at this balancer: a token bucket counted in requests.
 #[derive(Debug)]
 pub(in crate::policy) struct TenantQuota {
     pub(in crate::policy) tokens: f64,
@@ -10,7 +10,7 @@
 }
 
 impl TenantQuota {
-    /// A bucket with one token.
+    /// Creates a bucket with one token.
     pub(in crate::policy) fn new(now: Time) -> Self {
         Self {
             tokens: 1.0,
--- a/crates/load-balancing/src/policy/state/upstream.rs
+++ b/crates/load-balancing/src/policy/state/upstream.rs
@@ -1,4 +1,4 @@
-//! What the balancer knows of one upstream.
+//! State of one upstream.
 
 use crate::fleet::peer_load::ReportedLoad;
 use crate::fleet::send_credit::SendCredit;
@@ -6,12 +6,13 @@
 use crate::policy::state::circuit_breaker::CircuitBreaker;
 use crate::policy::state::latency_estimate::LatencyEstimate;
 
-/// An upstream that failed so many in a row is unresponsive; a single one may have been a heavy request.
+/// Number of consecutive failures after which an upstream is unresponsive; a single one may be due to an expensive
+/// request.
 const UNRESPONSIVE_AFTER_FAILURES: u32 = 2;
-/// Machine kinds beyond this are taken as one: what is learned of each takes memory.
+/// Machine kinds above this number share one estimate, to bound the memory used for estimates per kind.
 const MAX_KIND: u32 = 255;
 
-/// An upstream of the list.
+/// An upstream from the membership list.
 #[derive(Debug)]
 pub(in crate::policy) struct Upstream {
     pub(in crate::policy) id: ServerId,
@@ -21,35 +22,35 @@
     pub(in crate::policy) cell: u32,
     pub(in crate::policy) status: Status,
     pub(in crate::policy) weight: f64,
-    /// Requests that it runs concurrently, if it tells; else 0.
+    /// Requests that it runs concurrently, if it reports that; 0 otherwise.
     pub(in crate::policy) slots: u32,
     pub(in crate::policy) started: Option<Time>,
-    /// Attempts of this balancer.
+    /// Attempts of this balancer in flight.
     pub(in crate::policy) in_flight: u32,
     pub(in crate::policy) in_flight_changed_at: Time,
     /// Open after it rejected an attempt or was unreachable.
     pub(in crate::policy) breaker: CircuitBreaker,
-    /// By class, open after attempts went unanswered or ended in error.
+    /// By class, open after attempts went unanswered or ended in an error.
     pub(in crate::policy) class_breakers: Vec<CircuitBreaker>,
-    /// Attempts in a row that found it unreachable or that it left unanswered.
+    /// Consecutive attempts that could not connect, went unanswered, or ended in an error.
     pub(in crate::policy) consecutive_failures: u32,
-    /// When the latest-sent of its answered attempts was sent.
+    /// Send time of the most recently sent attempt that was answered.
     pub(in crate::policy) last_answered_sent_at: Time,
     pub(in crate::policy) estimate: LatencyEstimate,
-    /// Sends that it may still get during its slow start.
+    /// Number of sends that it may still get during its slow start.
     pub(in crate::policy) send_credit: SendCredit,
-    /// Requests of other balancers there, as its last answer reported.
+    /// Requests of other balancers, from its last load report.
     pub(in crate::policy) reported: ReportedLoad,
-    /// Concurrency above or below that of its kind, by way of trial.
+    /// Difference between its concurrency on trial and that of its kind.
     pub(in crate::policy) concurrency_trial: i32,
-    /// How far it is from this balancer's point of the ring, in even parts of the fleet.
+    /// Distance from this balancer's point on the ring, in even shares of the fleet.
     pub(in crate::policy) subset_distance: f64,
-    /// Until when idle connections to it are closed again and again, where a rule asks for it.
+    /// Until when idle connections to it are closed repeatedly, if the rules ask for it.
     pub(in crate::policy) close_idle_until: Time,
 }
 
 impl Upstream {
-    /// One of which only the list is known.
+    /// Creates an upstream of which only the list entry is known.
     pub(in crate::policy) fn new(endpoint: &Endpoint, classes: usize, now: Time) -> Self {
         Self {
             id: endpoint.id,
@@ -67,7 +68,7 @@
             class_breakers: vec![CircuitBreaker::default(); classes],
             consecutive_failures: 0,
             last_answered_sent_at: Time(i64::MIN),
-            estimate: LatencyEstimate::NONE,
+            estimate: LatencyEstimate::INITIAL,
             send_credit: SendCredit::new(0.0, now),
             reported: ReportedLoad {
                 peers: 0.0,
@@ -79,12 +80,12 @@
         }
     }
 
-    /// Takes over what the list says. An upstream that has restarted begins with `credit` for its slow start, and
-    /// without what was learned of its earlier incarnation.
+    /// Updates the upstream from its list entry. If it has restarted, it starts with `credit` for its slow start, and
+    /// its slowness and breakers are reset.
     pub(in crate::policy) fn update(&mut self, endpoint: &Endpoint, credit: f64, now: Time) {
         if self.started != endpoint.started && endpoint.started.is_some() {
             self.send_credit = SendCredit::new(credit, now);
-            self.estimate.slowness = LatencyEstimate::NONE.slowness;
+            self.estimate.slowness = LatencyEstimate::INITIAL.slowness;
             self.breaker = CircuitBreaker::default();
             self.class_breakers.fill(CircuitBreaker::default());
         }
@@ -109,12 +110,12 @@
         self.consecutive_failures >= UNRESPONSIVE_AFTER_FAILURES
     }
 
-    /// Whether it tells how many requests it runs concurrently.
+    /// Returns whether it reports how many requests it runs concurrently.
     pub(in crate::policy) fn has_reported_slots(&self) -> bool {
         self.slots > 0
     }
 
-    /// Schedules the closing of idle connections until `within` from now.
+    /// Makes idle connections to it be closed repeatedly until `within` from now.
     pub(in crate::policy) fn close_idle_within(&mut self, now: Time, within: Span) {
         self.close_idle_until = now.plus(within);
     }
--- a/crates/load-balancing/src/policy/state/upstream_table.rs
+++ b/crates/load-balancing/src/policy/state/upstream_table.rs
@@ -1,4 +1,4 @@
-//! All upstreams that the balancer knows.
+//! Table of all known upstreams.
 
 use std::ops::{Index, IndexMut};
 
@@ -11,8 +11,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(in crate::policy) struct UpstreamIndex(usize);
 
-/// The upstreams of the list, and those that are gone while a request is judged by them, in the order in which they
-/// were first listed.
+/// Upstreams of the list, plus those that are gone but still needed by open requests, in the order in which they were
+/// first listed.
 #[derive(Debug, Default)]
 pub(in crate::policy) struct UpstreamTable {
     upstreams: Vec<Upstream>,
@@ -28,7 +28,7 @@
         self.upstreams.iter_mut()
     }
 
-    /// All positions, in order.
+    /// Returns all positions in order.
     pub(in crate::policy) fn indexes(&self) -> impl Iterator<Item = UpstreamIndex> + use<> {
         (0..self.upstreams.len()).map(UpstreamIndex)
     }
@@ -37,7 +37,7 @@
         self.by_id.get(&id).copied()
     }
 
-    /// The position of an upstream; a new one gets the next.
+    /// Returns the position of an upstream; a new upstream is appended.
     pub(in crate::policy) fn index_or_insert(
         &mut self,
         id: ServerId,
@@ -51,7 +51,8 @@
         index
     }
 
-    /// Removes the upstreams that are not to be kept; the new position of each that is.
+    /// Removes the upstreams for which `is_kept` is false. Returns the new position, by the old one, of each upstream
+    /// kept.
     pub(in crate::policy) fn retain(
         &mut self,
         is_kept: impl Fn(UpstreamIndex, &Upstream) -> bool,
--- a/crates/load-balancing/src/policy/subset.rs
+++ b/crates/load-balancing/src/policy/subset.rs
@@ -1,26 +1,27 @@
-//! Subsetting: which part of the fleet of upstreams is this balancer's own.
+//! Subsetting: determines which part of the fleet of upstreams this balancer prefers.
 //!
-//! The live upstreams of each zone lie on a ring, and so does each balancer, at its own point of it
-//! ([`ring`]). The nearer an upstream, the sooner it gets this balancer's requests; so
-//! balancers spread over the upstreams without a message between them.
+//! The live upstreams of each zone are placed on a ring, and so is each balancer, at a point of its own ([`ring`]). The
+//! closer an upstream is to that point, the earlier it is chosen. Balancers are thereby spread over the upstreams
+//! without communicating. Distances are measured in even shares: the part of the ring that each balancer would have if
+//! it were divided equally.
 
 use super::Balancer;
 use super::state::upstream::Upstream;
 use super::state::upstream_table::UpstreamIndex;
 use crate::fleet::ring;
 
-/// Upstreams within half an even part of the fleet to either side are this balancer's own.
+/// Maximum distance of upstreams in the balancer's own subset: half an even share to either side.
 pub(super) const OWN_SUBSET_DISTANCE: f64 = 0.5;
-/// Upstreams within so many even parts to either side are known by their answers.
+/// Maximum distance of upstreams whose estimates are kept up to date by this balancer's own traffic.
 pub(super) const KNOWN_SUBSET_DISTANCE: f64 = 1.0;
-/// An upstream in another zone is so many even parts further away.
+/// Distance added to an upstream in another zone.
 pub(super) const OTHER_ZONE_DISTANCE: f64 = 1.0;
-/// Added to the distance, in even parts, so that slowness tells among one's own upstreams.
+/// Distance added to every upstream, so that slowness makes a difference among the closest ones too.
 const MIN_DISTANCE: f64 = 0.1;
 
 impl Balancer {
-    /// Lays the live upstreams of each zone on a ring and takes their distances from this balancer's point. Without
-    /// a price on crossing zones, all zones are one.
+    /// Places the live upstreams of each zone on a ring and computes their distances from this balancer's point. All
+    /// zones share one ring if crossing zones has no price.
     pub(super) fn assign_subset(&mut self) {
         let has_zones = self.settings.prices.cross_zone > 0.0;
         let zone = |upstream: &Upstream| if has_zones { upstream.zone } else { 0 };
@@ -57,7 +58,7 @@
         self.by_cost = live;
     }
 
-    /// Puts the upstreams in the order of cost: the near and the fast first.
+    /// Sorts the upstreams by cost: close and fast ones first.
     pub(super) fn sort_by_cost(&mut self) {
         let upstreams = &self.upstreams;
         let cost = |i: UpstreamIndex| {
--- a/crates/load-balancing/src/policy/tenants.rs
+++ b/crates/load-balancing/src/policy/tenants.rs
@@ -1,6 +1,6 @@
-//! Quotas of tenants.
+//! Tenant quotas.
 //!
-//! Each balancer has an even part of every tenant's quota. What is over quota is admitted only while the fleet is
+//! Each balancer has an even share of every tenant's quota. Requests over quota are admitted only while the fleet is
 //! not full ([`admission`](super::admission)).
 
 use super::Balancer;
@@ -9,7 +9,7 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 
 impl Balancer {
-    /// Whether one more request of this tenant is within its quota; what is rejected uses up none.
+    /// Returns whether one more request of this tenant is within its quota. Rejected requests use up no quota.
     pub(super) fn is_within_quota(&mut self, now: Time, tenant: usize) -> bool {
         let Some(quota) = self.tenant_quotas.get_mut(tenant) else {
             return true;
@@ -17,11 +17,11 @@
         let rate = self.settings.tenants[tenant].quota_rps
             / MICROS_PER_SECOND
             / f64::from(self.settings.balancers);
-        // A quota unused for the life of a request is gone: the fleet did not wait for it.
+        // Unused quota expires after the longest deadline, since the capacity it stood for has passed unused.
         let deadlines = self.settings.classes.iter().map(|c| c.deadline.as_micros());
-        let most = rate * deadlines.fold(0.0, f64::max);
+        let max_tokens = rate * deadlines.fold(0.0, f64::max);
         let elapsed = now.since(quota.refilled_at).as_micros();
-        quota.tokens = (quota.tokens + rate * elapsed).min(most.max(1.0));
+        quota.tokens = (quota.tokens + rate * elapsed).min(max_tokens.max(1.0));
         quota.refilled_at = now;
         quota.tokens >= 1.0
     }
