--- a/crates/load-balancing/src/policy/concurrency.rs
+++ b/crates/load-balancing/src/policy/concurrency.rs
@@ -67,10 +67,9 @@
     }
 
     /// Ends trials that have run long enough and starts new ones: at one upstream of the balancer's own subset at a
-    /// time, or at half of them while nothing is known of a higher level. When levels of upstreams with six cores were
-    /// tried at one upstream at a time from the start, a quarter of the requests was rejected during the first minute,
-    /// even under light load. Upstreams outside the subset are excluded, since trials of several balancers would
-    /// overlap there.
+    /// time, or at half of them while nothing is known of a higher level. When upstreams with six cores were tried one
+    /// after the other from the start, a quarter of the requests was rejected during the first minute, even under light
+    /// load. Upstreams outside the subset are excluded, since trials of several balancers would overlap there.
     pub(super) fn refresh_concurrency_trials(&mut self, now: Time) {
         let age = now.since(self.fleet.trials_started_at).as_micros();
         if age < self.fleet.service_time * TRIAL_DURATION_IN_SERVICE_TIMES {
--- a/crates/load-balancing/src/policy/mod.rs
+++ b/crates/load-balancing/src/policy/mod.rs
@@ -5,8 +5,8 @@
 //! - A request joins a first-come, first-served queue (`queue`).
 //! - It is sent once an upstream has fewer than `K_i = 2*TP_i/TS_i + 1` of this balancer's attempts in flight, where
 //!   TP_i is the propagation time to upstream i and TS_i its service time (`dispatch`, `estimates`).
-//! - It is rejected on arrival when the number of queued and in-flight requests reaches the sum of `N_i = T_QoS /
-//!   (2*TP_i + TS_i)`, where T_QoS is the time that a request may take (`admission`).
+//! - It is rejected on arrival when the number of queued and in-flight requests reaches the sum of
+//!   `N_i = T_QoS / (2*TP_i + TS_i)`, where T_QoS is the time that a request may take (`admission`).
 //! - Every answer updates TP_i and TS_i (`state::latency_estimate`).
 //!
 //! The paper assumes one balancer, equal requests, and upstreams that run one request at a time and never fail. Each
