--- a/crates/load-balancing/src/fleet/fair_share.rs
+++ b/crates/load-balancing/src/fleet/fair_share.rs
@@ -1,24 +1,25 @@
-//! A balancer's fair share of the slots of the whole fleet.
+//! A balancer's fair share of all upstream slots.
 
-/// A balancer has so many times the square root of its even part of the slots beside that part, for bursts. Bursts
-/// outlast a slot, and at this value all but a few in a hundred fit. With even parts alone, a hundred balancers
-/// with less than one slot each rejected a third of the traffic beside a half idle fleet.
-const BURST_ROOTS: f64 = 2.0;
+/// Slots that a balancer may use for bursts on top of its even share, as a multiple of the square root of that
+/// share. Bursts last longer than one request occupies a slot; at this value all but a few percent of them fit. With
+/// even shares alone, a hundred balancers with less than one slot each rejected a third of the traffic while half of
+/// the upstream capacity was idle.
+const BURST_SQRT_FACTOR: f64 = 2.0;
 
-/// What a balancer may take of the slots of all upstreams.
+/// The part of all upstream slots that a balancer may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct FairShare {
-    /// Its share of all slots, 0 to 1.
+    /// Share of all slots, 0 to 1.
     pub(crate) of_slots: f64,
-    /// The share of that which is its even part: what is not there for bursts, 0 to 1.
+    /// Fraction of `of_slots` that is the even share, 0 to 1; the rest is for bursts.
     pub(crate) even: f64,
 }
 
 impl FairShare {
-    /// The share of one of `balancers` in `slots`, where it may take `tolerance` times its even part.
+    /// Returns the share of one of `balancers` in `slots`. Its even share is `tolerance` times an equal part.
     pub(crate) fn new(slots: f64, tolerance: f64, balancers: u32) -> Self {
         let even = slots * tolerance / f64::from(balancers);
-        let with_bursts = even + BURST_ROOTS * even.sqrt();
+        let with_bursts = even + BURST_SQRT_FACTOR * even.sqrt();
         let of_slots = (with_bursts / slots.max(1.0)).min(1.0);
         let even = if even < slots * of_slots {
             even / (slots * of_slots)
--- a/crates/load-balancing/src/fleet/mod.rs
+++ b/crates/load-balancing/src/fleet/mod.rs
@@ -1,12 +1,19 @@
-//! What the balancers of a fleet share of the same upstreams without exchanging a message.
+//! Coordination-free sharing of the upstreams among the balancers of a fleet.
 //!
-//! Each balancer knows only the size of the fleet and its own position in it. From these follow its place on the
-//! [`ring`] (which upstreams are its subset, and when it may send to one in slow start), its [`fair_share`] of the
-//! upstreams' slots, its pace towards an upstream in slow start ([`send_credit`]), its guess of its peers' requests
-//! at an upstream ([`peer_load`]), and its part of the [`retry_budget`]. No clock and no I/O.
+//! Balancers exchange no messages. Each knows only the size of the fleet and its own position in it, and derives
+//! from them:
 //!
-//! What may be lost: a balancer that restarts begins with empty credit and an empty retry window, which errs on the
-//! side of sending less. Where a balancer is gone and the fleet size is not yet corrected, its part stays unused.
+//! - its point on the [`ring`], which determines its subset of the upstreams and when it may send to an upstream in
+//!   slow start;
+//! - its [`fair_share`] of the upstreams' slots;
+//! - its send rate to an upstream in slow start ([`send_credit`]);
+//! - its estimate of the other balancers' requests at an upstream ([`peer_load`]);
+//! - its part of the [`retry_budget`].
+//!
+//! The module does no I/O and reads no clock.
+//!
+//! A restarted balancer begins without credit and with an empty retry window, so it sends less rather than more.
+//! When a balancer has stopped and the fleet size is not yet corrected, its share stays unused.
 
 pub(crate) mod fair_share;
 pub(crate) mod peer_load;
--- a/crates/load-balancing/src/fleet/peer_load.rs
+++ b/crates/load-balancing/src/fleet/peer_load.rs
@@ -1,47 +1,49 @@
-//! How many requests of its peers a balancer expects at an upstream that reports its load.
+//! Estimates how many requests of other balancers are at an upstream that reports its load.
 
 use crate::interface::Time;
 
-/// The usual level goes by about the last eight reports, and fades over as many service times without one.
-const USUAL_LEVEL_GAIN: f64 = 0.125;
+/// Smoothing factor of the moving average: it covers about the last eight reports, and without reports it decays with
+/// a time constant of eight service times.
+const AVERAGE_GAIN: f64 = 0.125;
 
-/// What an upstream last reported.
+/// The last load report of an upstream, as far as other balancers are concerned.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedLoad {
-    /// Requests of other balancers at it.
+    /// Requests of other balancers at the upstream.
     pub(crate) peers: f64,
-    /// When it reported them.
+    /// When the report arrived.
     pub(crate) at: Time,
 }
 
-/// The usual number of peers' requests per slot of an upstream; what an upstream last reported makes way for it.
+/// Moving average of other balancers' requests per slot, over all upstreams. An upstream's own last report takes
+/// precedence, and decays towards this average.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PeerLoad {
     /// Peers' requests per slot.
-    usual: f64,
+    average: f64,
     reported_at: Time,
 }
 
 impl PeerLoad {
     pub(crate) fn new(now: Time) -> Self {
         Self {
-            usual: 0.0,
+            average: 0.0,
             reported_at: now,
         }
     }
 
-    /// Takes in a report of so many peers' requests per slot.
+    /// Adds a report of `peers_per_slot` requests of other balancers per slot to the average.
     pub(crate) fn learn(&mut self, now: Time, peers_per_slot: f64) {
-        self.usual += (peers_per_slot - self.usual) * USUAL_LEVEL_GAIN;
+        self.average += (peers_per_slot - self.average) * AVERAGE_GAIN;
         self.reported_at = now;
     }
 
-    /// Peers' requests expected at an upstream with this many slots, from its last report.
-    /// `fleet_service` and `own_service` are the mean service times of all upstreams and of this one, in
+    /// Returns the expected number of other balancers' requests at an upstream with this many slots and this last
+    /// report. `fleet_service` and `own_service` are the mean service times of all upstreams and of this one, in
     /// microseconds.
     ///
-    /// When peers' requests counted as none once they had time to end, upstreams without a recent report looked
-    /// empty, and a fleet under load sent most to those it knew least.
+    /// The estimate decays to the average, not to zero: with zero, upstreams without a recent report looked empty,
+    /// and a fleet under load sent most requests to the upstreams that it knew least about.
     pub(crate) fn expected(
         &self,
         now: Time,
@@ -50,8 +52,8 @@
         fleet_service: f64,
         own_service: f64,
     ) -> f64 {
-        let fade = |since: Time, time: f64| (-now.since(since).as_micros() / time).exp();
-        let usual = self.usual * slots * fade(self.reported_at, fleet_service / USUAL_LEVEL_GAIN);
-        usual + (reported.peers - usual) * fade(reported.at, own_service)
+        let decay = |since: Time, time: f64| (-now.since(since).as_micros() / time).exp();
+        let average = self.average * slots * decay(self.reported_at, fleet_service / AVERAGE_GAIN);
+        average + (reported.peers - average) * decay(reported.at, own_service)
     }
 }
--- a/crates/load-balancing/src/fleet/retry_budget.rs
+++ b/crates/load-balancing/src/fleet/retry_budget.rs
@@ -1,26 +1,26 @@
-//! The retry budget: a balancer's part of what all may send beyond the first attempt of each request.
+//! The retry budget: a balancer's part of the retries that the whole fleet may send.
 
 use crate::interface::{Rules, Settings, Time};
 
-/// The window of the budget is counted in so many buckets.
+/// Buckets of time into which the budget's window is divided.
 const BUCKETS: i64 = 10;
-/// One bucket more than the window has: the oldest is only partly within it.
+/// One bucket more than the window has, because the oldest bucket is only partly within the window.
 const KEPT_BUCKETS: usize = BUCKETS as usize + 1;
 
-/// What happened in one bucket of time.
+/// Requests and retries in one bucket of time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
-    /// Which bucket of time it is, counted from time 0.
+    /// Index of the bucket, counted from time 0.
     number: i64,
     requests: u32,
     retries: u32,
 }
 
-/// A share of the balancer's own recent requests, and its even part of the fixed allowance. The parts of all
-/// balancers add up to the whole budget, whatever traffic each of them gets.
+/// Allows retries up to a fraction of the balancer's own recent requests plus an even share of the fixed allowance.
+/// The parts of all balancers add up to the fleet's budget however the traffic is distributed among them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RetryBudget {
-    /// By their number modulo [`KEPT_BUCKETS`].
+    /// Ring buffer, indexed by bucket number modulo [`KEPT_BUCKETS`].
     buckets: [Bucket; KEPT_BUCKETS],
 }
 
@@ -30,13 +30,13 @@
         self.current(now, rules).requests += 1;
     }
 
-    /// Counts a retry that is sent.
+    /// Counts a retry that is being sent.
     pub(crate) fn count_retry(&mut self, now: Time, rules: &Rules) {
         self.current(now, rules).retries += 1;
     }
 
-    /// Whether one more retry is within this balancer's part. Retries are counted over a bucket more than the
-    /// window, requests over no more than the window.
+    /// Returns whether one more retry is within this balancer's part of the budget. Retries are counted over one
+    /// bucket more than the window and requests over the window at most, so that errors lead to fewer retries.
     pub(crate) fn allows_retry(&self, now: Time, settings: &Settings) -> bool {
         let rules = &settings.rules;
         if rules.retry_window.0 <= 0 {
@@ -54,7 +54,7 @@
         f64::from(retries) + 1.0 <= rules.retry_ratio * f64::from(requests) + allowance
     }
 
-    /// The bucket of `now`, emptied if it last stood for an earlier time.
+    /// Returns the bucket that contains `now`, reset if it was last used for an earlier time.
     fn current(&mut self, now: Time, rules: &Rules) -> &mut Bucket {
         let number = bucket_number(now, rules);
         let bucket = &mut self.buckets[number.rem_euclid(BUCKETS + 1) as usize];
--- a/crates/load-balancing/src/interface/actions.rs
+++ b/crates/load-balancing/src/interface/actions.rs
@@ -1,27 +1,27 @@
-//! What the balancer tells its host to do.
+//! Actions: what the balancer instructs its host to do.
 
 use super::{RequestId, ServerId, Span, Time};
 
-/// What the host must do, in the order given.
+/// An instruction to the host. The host carries out actions in the order in which they are returned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to an upstream as its next attempt.
+    /// Send the next attempt of a request to an upstream.
     Send {
         /// The request.
         request: RequestId,
         /// The upstream.
         server: ServerId,
-        /// Time-out of the attempt.
+        /// Timeout of the attempt.
         timeout: Span,
     },
-    /// End the request unserved; its client may safely send it again.
+    /// End the request unserved, with a guarantee that it has not run: its client may safely send it again.
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client should retry; zero for no advice.
+        /// After which time the client should retry; zero for no advice.
         retry_after: Span,
     },
-    /// End the request unserved, without a promise that it has not run.
+    /// End the request unserved, without a guarantee that it has not run.
     Fail {
         /// The request.
         request: RequestId,
@@ -35,9 +35,9 @@
     },
     /// Deliver [`Event::TimerFired`](super::Event::TimerFired) at or after this time.
     SetTimer {
-        /// To be returned with the event.
+        /// Token to be returned with the event.
         token: u64,
-        /// When.
+        /// When the timer is due.
         at: Time,
     },
     /// Send a health probe to an upstream.
@@ -50,6 +50,6 @@
         /// The upstream.
         server: ServerId,
     },
-    /// Open the standing subscription to the list of upstreams.
+    /// Open a subscription to the list of upstreams.
     Subscribe,
 }
--- a/crates/load-balancing/src/interface/endpoints.rs
+++ b/crates/load-balancing/src/interface/endpoints.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams, and which of them owns which keys.
+//! The list of upstreams, and the owners of key ranges.
 
 use super::Time;
 
@@ -9,11 +9,11 @@
 /// State of an upstream in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Takes requests.
+    /// Accepts requests.
     Live,
-    /// Completes what it has; gets nothing new.
+    /// Completes the requests that it has, and gets no new ones.
     Draining,
-    /// Withdrawn from the list.
+    /// Removed from the list.
     Gone,
 }
 
@@ -22,26 +22,26 @@
 pub struct Endpoint {
     /// The host's handle.
     pub id: ServerId,
-    /// A hash of its name that is the same at every balancer.
+    /// A hash of its name, the same at every balancer.
     pub identity: u64,
     /// Index of its zone.
     pub zone: u32,
-    /// Index of its machine kind.
+    /// Index of its machine type.
     pub kind: u32,
-    /// Its cell within the zone.
+    /// Index of its cell within the zone.
     pub cell: u32,
     /// Its state.
     pub status: Status,
     /// Relative capacity; 1 where unknown.
     pub weight: f64,
-    /// Requests that it runs concurrently; 0 where nobody tells.
+    /// Number of requests that it runs concurrently; 0 if unknown.
     pub slots: u32,
-    /// When it last started, if not long ago.
+    /// When it last started, if that was recently.
     pub started: Option<Time>,
 }
 
 impl Endpoint {
-    /// A live upstream of zone, kind and cell 0 and of weight 1, started long ago.
+    /// Returns a live upstream in zone and cell 0, of machine type 0 and weight 1, that started long ago.
     pub fn live(id: ServerId) -> Self {
         Self {
             id,
@@ -57,26 +57,26 @@
     }
 }
 
-/// What kind of membership event came.
+/// Kind of a membership event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipKind {
-    /// Changed entries only.
+    /// The entries that changed.
     Update,
     /// The complete list.
     Complete,
-    /// The complete list as last held, perhaps out of date.
+    /// The complete list as it was last known; it may be out of date.
     Restored,
-    /// A call for the list failed, or the subscription broke. Carries no entries.
+    /// A request for the list failed, or the subscription broke. Carries no entries.
     Unavailable,
 }
 
-/// A range of keys, both ends included, and the upstream that owns them.
+/// A range of keys, both ends included, and its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnedKeyRange {
     /// The first key.
     pub first: u16,
     /// The last key.
     pub last: u16,
-    /// The owner; `None` while there is none.
+    /// The upstream that owns the range, if any.
     pub server: Option<ServerId>,
 }
--- a/crates/load-balancing/src/interface/events.rs
+++ b/crates/load-balancing/src/interface/events.rs
@@ -1,39 +1,39 @@
-//! What the host tells the balancer.
+//! Events: what the host reports to the balancer.
 
 use super::{Endpoint, MembershipKind, OwnedKeyRange, Request, RequestId, ServerId, Span};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served.
+    /// The upstream served it.
     Ok,
     /// Answered with an error; may have run.
     Error,
     /// Rejected by the upstream before it ran.
     Rejected,
-    /// Rejected, before it ran, by an upstream that does not own its key.
+    /// Rejected before it ran, by an upstream that does not own its key.
     NotOwner,
     /// No answer in time; may have run.
     Timeout,
-    /// No connection; has not run.
+    /// No connection could be made; has not run.
     ConnectFailed,
     /// The connection broke; may have run.
     Reset,
     /// Cancelled by this balancer; may have run.
     Cancelled,
-    /// Never issued by the host; has not run.
+    /// Never sent by the host; has not run.
     NotIssued,
 }
 
 impl AttemptOutcome {
-    /// Whether it proves that the attempt has not run, so that even an unsafe request may be sent again.
+    /// Returns whether the outcome proves that the attempt has not run, so that even an unsafe request may be retried.
     pub fn has_not_run(self) -> bool {
         use AttemptOutcome::*;
         matches!(self, Rejected | NotOwner | ConnectFailed | NotIssued)
     }
 }
 
-/// The end of an attempt as the host saw it.
+/// The result of an attempt, as the host saw it.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
     /// The request.
@@ -46,14 +46,14 @@
     pub outcome: AttemptOutcome,
     /// How long it took.
     pub latency: Span,
-    /// The request is over: its client has the answer.
+    /// Whether the request is over because its client has the answer.
     pub last: bool,
-    /// What the upstream reported of its load.
+    /// The upstream's load report.
     pub report: LoadReport,
 }
 
 impl AttemptResult {
-    /// A result without a load report.
+    /// Returns a result without a load report.
     pub fn new(
         request: RequestId,
         attempt: usize,
@@ -74,16 +74,16 @@
     }
 }
 
-/// An upstream's load report; what it does not report is `None`.
+/// An upstream's load report; values that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     /// Requests in progress.
     pub inflight: Option<f64>,
-    /// Requests waiting.
+    /// Queued requests.
     pub queued: Option<f64>,
-    /// Share of its cores that is busy.
+    /// CPU utilization, 0 to 1.
     pub utilization: Option<f64>,
-    /// Recent service time without waiting.
+    /// Recent service time without queueing.
     pub service_time: Option<Span>,
     /// Requests served per second.
     pub requests_per_s: Option<f64>,
@@ -91,25 +91,25 @@
     pub errors_per_s: Option<f64>,
 }
 
-/// What has happened; told in the order in which it happened.
+/// Something that has happened. The host passes events in the order in which they occurred.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// The list of upstreams, or a change to it.
     Membership {
-        /// What kind of membership event.
+        /// Kind of the event.
         kind: MembershipKind,
         /// Its entries.
         list: &'a [Endpoint],
     },
-    /// Who owns which keys, all of them.
+    /// The complete list of key ranges with their owners.
     KeyOwners(&'a [OwnedKeyRange]),
-    /// A client's request has arrived: one final answer is owed.
+    /// A client's request has arrived. The balancer must end it exactly once.
     Request(Request),
     /// An attempt has ended.
     AttemptEnded(AttemptResult),
-    /// The response has begun to stream: the attempt is committed to the client, nothing more is owed.
+    /// The response has begun to stream. The client is bound to this attempt, and the balancer owes no other answer.
     ResponseStarted(RequestId),
-    /// The client no longer waits; nothing is owed.
+    /// The client has disconnected; the request needs no answer.
     ClientDisconnected(RequestId),
     /// The timer with this token is due.
     TimerFired(u64),
@@ -117,11 +117,11 @@
     ProbeEnded {
         /// The upstream.
         server: ServerId,
-        /// It answered well.
+        /// Whether the upstream is healthy by its answer.
         ok: bool,
         /// How long it took.
         latency: Span,
-        /// What the upstream reported of its load.
+        /// The upstream's load report.
         report: LoadReport,
     },
 }
--- a/crates/load-balancing/src/interface/mod.rs
+++ b/crates/load-balancing/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! The vocabulary that the balancer and its host share: plain data, no decisions.
+//! Types that the balancer and its host exchange: plain data without decisions.
 //!
-//! A host tells [`Balancer::handle`](crate::policy::Balancer::handle) what happened as an [`Event`] and carries
-//! out the [`Action`]s it gets back. Reading order: [`Time`] and [`Span`], [`Settings`], [`Request`],
+//! A host passes each [`Event`] to [`Balancer::handle`](crate::policy::Balancer::handle) and carries out the
+//! [`Action`]s that it gets back. Reading order: [`Time`] and [`Span`], [`Settings`], [`Request`],
 //! [`Endpoint`], [`Event`], [`Action`].
 
 mod actions;
--- a/crates/load-balancing/src/interface/requests.rs
+++ b/crates/load-balancing/src/interface/requests.rs
@@ -1,8 +1,8 @@
-//! Requests as the host hands them over.
+//! Requests, as the host passes them to the balancer.
 
 use super::{Span, Time};
 
-/// The host's handle for a request; never reused while the request or one of its attempts lives.
+/// The host's handle for a request; not reused while the request or one of its attempts is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
@@ -17,20 +17,20 @@
     pub tenant: usize,
     /// Hash of its routing key, if it has one.
     pub key: Option<u64>,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Time,
-    /// Expected work on a reference core, if anyone has estimated it.
+    /// Estimated CPU time on a reference core, if known.
     pub estimated_work: Option<Span>,
-    /// It is a client's retry, as marked by the client or as recognized by the host.
+    /// Whether it is a client's retry, as marked by the client or recognized by the host.
     pub is_client_retry: bool,
-    /// It changes state at the upstream.
+    /// Whether it changes state at the upstream.
     pub is_write: bool,
-    /// Its key, where upstreams divide the keys among them: only the owner may run it.
+    /// Its shard key, if the service is sharded: only the owner of that key may run the request.
     pub shard: Option<u16>,
 }
 
 impl Request {
-    /// A request of this class without tenant, key or hint.
+    /// Returns a request of this class without tenant, key or hints.
     pub fn new(id: RequestId, class: usize, deadline: Time) -> Self {
         Self {
             id,
--- a/crates/load-balancing/src/interface/settings.rs
+++ b/crates/load-balancing/src/interface/settings.rs
@@ -1,26 +1,26 @@
-//! What the balancer is told of its site: classes, tenants, limits and prices.
+//! Settings of a balancer: request classes, tenants, limits, rules and prices of its site.
 
 use super::Span;
 
-/// What repeating a request can do.
+/// Effect of running a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Idempotent: may be repeated freely.
+    /// Idempotent: may be repeated any number of times.
     Safe,
-    /// Upstreams of one dedup group drop repeats, for a while.
+    /// Deduplicated: the upstreams of one dedup group drop repeats within the dedup window.
     Keyed,
     /// Not idempotent: must never run twice.
     Unsafe,
 }
 
-/// Which upstreams drop each other's repeats of a keyed request.
+/// The set of upstreams that together deduplicate a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
-    /// All of them.
+    /// All upstreams.
     All,
-    /// Those of one zone.
+    /// The upstreams of one zone.
     Zone,
-    /// Those of one cell.
+    /// The upstreams of one cell.
     Cell,
 }
 
@@ -29,37 +29,38 @@
 pub struct RequestClass {
     /// An answer within this time earns the full value.
     pub latency_target: Span,
-    /// The longest that a client waits.
+    /// Longest time that a client waits.
     pub deadline: Span,
     /// Value of one request.
     pub value: f64,
-    /// Share of the value that is earned by an answer after the latency target.
+    /// Share of the value that an answer after the latency target earns.
     pub late_value: f64,
-    /// What a repeat does.
+    /// Effect of running a request more than once.
     pub effect: Effect,
-    /// Which upstreams drop repeats of a keyed request.
+    /// The upstreams that together drop repeats of a keyed request.
     pub dedup_group: DedupGroup,
-    /// For how long they do, from the sending of the first attempt that may have run.
+    /// For how long they drop repeats, from the time at which the first attempt that may have run was sent.
     pub dedup_window: Span,
     /// The latency target grows by this multiple of a request's own work, up to the deadline.
     pub latency_target_stretch: f64,
-    /// The response is a stream: [`Event::ResponseStarted`](super::Event::ResponseStarted) tells that it has
-    /// begun.
+    /// Whether the response is a stream, whose beginning the host reports by
+    /// [`Event::ResponseStarted`](super::Event::ResponseStarted).
     pub streaming: bool,
-    /// Requests of such classes that share a key run one at a time, in the order of their arrival.
+    /// Whether requests with the same key run one at a time, in order of arrival. This holds across all such
+    /// classes.
     pub in_order: bool,
-    /// The only zones it may be sent to; `None` for any.
+    /// The zones that its requests may be sent to; `None` for any.
     pub zones: Option<Vec<u32>>,
-    /// The only machine kinds it may be sent to; `None` for any.
+    /// The machine types that its requests may be sent to; `None` for any.
     pub kinds: Option<Vec<u32>>,
-    /// Most attempts of one request, where that is fewer than the site allows.
+    /// Maximum number of attempts per request, if lower than the site's limit.
     pub max_attempts: Option<usize>,
-    /// No new request has it: its figures bind no other class.
+    /// Whether the class gets no new requests; its settings then don't affect other classes.
     pub retired: bool,
 }
 
 impl RequestClass {
-    /// A class that may be repeated freely, of value 1, with this latency target and deadline.
+    /// Returns an idempotent class of value 1 with this latency target and deadline.
     pub fn safe(latency_target: Span, deadline: Span) -> Self {
         Self {
             latency_target,
@@ -80,94 +81,95 @@
     }
 }
 
-/// A tenant and its quota share of the service.
+/// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests per second within its quota, over all balancers.
+    /// Its quota in requests per second, over all balancers.
     pub quota_rps: f64,
     /// Its share of the service.
     pub share: f64,
 }
 
-/// What the site allows.
+/// Limits of the site.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Most attempts of one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// Two attempts of a request may be in flight at once.
+    /// Whether two attempts of a request may be in flight at once.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Upstreams may be probed.
+    /// Whether upstreams may be probed.
     pub probes: bool,
-    /// Clients are given retry advice.
+    /// Whether rejected clients are told when to retry.
     pub retry_after: bool,
-    /// Longest advice that a client heeds.
+    /// Longest retry delay that clients respect.
     pub max_retry_after: Span,
-    /// A connection not made within this counts as failed.
+    /// Time after which a connection attempt has failed.
     pub connect_timeout: Span,
-    /// Idle connections close after this.
+    /// Time after which idle connections close.
     pub keepalive: Span,
-    /// Attempts that one connection carries at once.
+    /// Number of concurrent attempts per connection.
     pub streams_per_conn: u32,
 }
 
-/// Figures of the rules on draining, slow start, retries and the list of upstreams.
+/// Parameters for draining, slow start, retries and the list of upstreams.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// An upstream starts at this share of its capacity or more.
+    /// Minimum share of its capacity that an upstream has when it starts.
     pub slow_start_min_capacity: f64,
-    /// It has its full capacity no later than this after its start.
+    /// Time after its start by which an upstream has its full capacity.
     pub slow_start_duration: Span,
-    /// Requests per second that one upstream may get during slow start, from all balancers together; 0 where
-    /// nobody tells.
+    /// Requests per second that one upstream may get during slow start, from all balancers together; 0 if not
+    /// set.
     pub slow_start_rate_per_s: f64,
-    /// Where that rate is told: how long a send that was earned waits for a request before it is lost.
+    /// If that rate is set: how long an unused send credit remains valid.
     pub slow_start_credit_ttl: Span,
-    /// An upstream falls over when it is sent more than this multiple of its present capacity
+    /// An upstream fails if it is sent more than this multiple of its present capacity for `overload_window`.
     pub overload_multiple: f64,
-    /// for this long.
+    /// See `overload_multiple`.
     pub overload_window: Span,
-    /// How long after a drain is known a request may still be sent.
+    /// How long requests may still be sent to an upstream after its drain has become known.
     pub drain_grace: Span,
-    /// A final answer this long after the client's deadline still counts.
+    /// How long after the client's deadline an answer still counts.
     pub answer_slack: Span,
-    /// Where the list must be requested: the longest silence before a change counts as told.
+    /// If the list must be requested: the longest time without news of the list before a change of it counts as
+    /// known.
     pub membership_poll_interval: Span,
-    /// Idle connections to a draining upstream must be closed within this; zero where no rule says so.
+    /// Time within which idle connections to a draining upstream must be closed; zero for no such rule.
     pub drain_close_timeout: Span,
     /// How long a key is blocked after an attempt of an ordered class that may still be running.
     pub ordered_retry_delay: Span,
-    /// Within any such time all balancers together may send as many retries as the next two fields say; zero
-    /// where no rule says so.
+    /// Window of the retry budget: within any such time, all balancers together may send `retry_ratio` retries per
+    /// request plus `retry_allowance`. Zero for no limit.
     pub retry_window: Span,
-    /// Retries allowed per request of that time,
+    /// Retries allowed per request within the window.
     pub retry_ratio: f64,
-    /// and so many more.
+    /// Retries allowed within the window in addition.
     pub retry_allowance: f64,
 }
 
-/// What things cost, each per first attempt, in shares of all value.
+/// Costs, each per first attempt, as shares of the total value.
 #[derive(Clone, Debug, Default)]
 pub struct Prices {
     /// An attempt that crosses zones.
     pub cross_zone: f64,
-    /// Upstream work that served no answer, per work offered.
+    /// Upstream work whose answer no client got, relative to the work offered.
     pub waste: f64,
     /// A new connection.
     pub handshake: f64,
     /// A probe.
     pub probe: f64,
-    /// Value that ends unserved after its latency target has passed.
+    /// Requests that end unserved after their latency target, by value.
     pub late_fail: f64,
 }
 
-/// Weights of the parts of the service that the site judges by.
+/// Weights of the measures by which the site rates the service.
 #[derive(Clone, Debug, Default)]
 pub struct ScoringMix {
     /// The whole run.
     pub whole: f64,
-    /// Its worst stretch.
+    /// The worst time window of the run.
     pub worst_window: f64,
     /// The worst-served class.
     pub worst_class: f64,
@@ -178,7 +180,7 @@
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// Nowhere.
+    /// There are no load reports.
     #[default]
     None,
     /// With answers and probes.
@@ -187,7 +189,7 @@
     Probes,
 }
 
-/// What the balancer is told at its start, and again when it is reconfigured.
+/// Settings of a balancer, passed at its start and when it is reconfigured.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Request classes, by index.
@@ -196,46 +198,47 @@
     pub tenants: Vec<Tenant>,
     /// Balancers in the fleet, this one included.
     pub balancers: u32,
-    /// This balancer's number among them, from 0.
+    /// This balancer's position in the fleet, from 0.
     pub position: u32,
     /// Number of zones of the site.
     pub zones: u32,
     /// Zone of this balancer.
     pub zone: u32,
-    /// How far each zone is: the time in which a request and its answer cross; empty where nobody tells.
+    /// Network round-trip time to each zone, by index; empty if unknown.
     pub zone_distances: Vec<Span>,
-    /// Events are delivered at most this often.
+    /// Shortest interval between deliveries of events.
     pub tick: Span,
-    /// The list of upstreams comes only when it is requested.
+    /// Whether the list of upstreams must be requested.
     pub membership_by_request: bool,
-    /// What the site allows.
+    /// Limits of the site.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Parameters for draining, slow start, retries and the list of upstreams.
     pub rules: Rules,
-    /// What things cost.
+    /// Costs.
     pub prices: Prices,
-    /// How the service is judged.
+    /// How the service is rated.
     pub scoring_mix: ScoringMix,
-    /// Value of a request beyond its tenant's quota, relative to its class's.
+    /// Value of a request beyond its tenant's quota, relative to the value of its class.
     pub over_quota_value: f64,
-    /// Value counts by unit of work, not by request.
+    /// Whether value counts per unit of work rather than per request.
     pub value_by_work: bool,
-    /// Clients mark their retries.
+    /// Whether clients mark their retries.
     pub clients_mark_retries: bool,
     /// Where load reports come from.
     pub load_report_source: LoadReportSource,
 }
 
-/// No timer may be set more often than this.
+/// Shortest interval between timers, in microseconds.
 const MIN_TICK_US: i64 = 100;
-/// An upstream that starts with no capacity at all would never get a request, and never warm up.
+/// Lower bound of the capacity at the start: an upstream that starts with none would never get a request, and never
+/// warm up.
 const MIN_SLOW_START_CAPACITY: f64 = 0.01;
-/// The list is requested no more often than once in so many ticks.
+/// Shortest interval between requests for the list of upstreams, in ticks.
 const MIN_POLL_INTERVAL_TICKS: i64 = 10;
 
 impl Settings {
-    /// One balancer with these classes, one zone, three attempts a request, and no further rules or prices: a
-    /// start to fill in from.
+    /// Returns settings for one balancer in one zone with these classes, three attempts per request, and no further
+    /// rules or prices.
     pub fn basic(classes: Vec<RequestClass>) -> Self {
         Self {
             classes,
@@ -261,10 +264,10 @@
         }
     }
 
-    /// The same settings with unsafe figures replaced by safe ones.
+    /// Returns the settings with out-of-range values replaced by the nearest valid ones.
     ///
     /// # Errors
-    /// Where no safe reading exists: no class at all, or a latency target or deadline of zero or less.
+    /// If there is no class, or a latency target or deadline is not above zero: no valid value can be assumed.
     pub fn into_validated(mut self) -> Result<Self, SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -276,11 +279,11 @@
         {
             return Err(SettingsError::InvalidLatencyTarget(i));
         }
-        // A zero tick or slow-start capacity would stop a clock or an upstream for good.
+        // With a tick of zero, time would never advance.
         self.tick.0 = self.tick.0.max(MIN_TICK_US);
         self.balancers = self.balancers.max(1);
         self.limits.max_attempts = self.limits.max_attempts.max(1);
-        // Where clients are given no advice, the longest that they heed is none.
+        // Without advice to clients, there is no retry delay that they respect.
         self.limits.max_retry_after = if self.limits.retry_after {
             Span(self.limits.max_retry_after.0.max(0))
         } else {
@@ -335,16 +338,16 @@
     }
 }
 
-/// Why settings are rejected.
+/// Reason for which settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// No request could be judged.
-    #[error("settings name no request class")]
+    /// There is no request class, so no request could be handled.
+    #[error("the settings contain no request class")]
     NoClasses,
-    /// A latency target or deadline that no answer can meet.
-    #[error("class {0} has an aim or deadline that is not above zero")]
+    /// A latency target or deadline is not above zero, so no answer could meet it.
+    #[error("class {0}: latency target and deadline must be above zero")]
     InvalidLatencyTarget(usize),
-    /// Requests of a class may be open, and an index must not change its meaning under them.
-    #[error("there were {0} classes before, and now fewer")]
+    /// Classes were removed. Open requests refer to their class by index, so a class must not be removed.
+    #[error("there are fewer classes than the {0} of the previous settings")]
     FewerClasses(usize),
 }
--- a/crates/load-balancing/src/key_owners.rs
+++ b/crates/load-balancing/src/key_owners.rs
@@ -1,37 +1,37 @@
-//! Which upstream owns which keys, where the upstreams of a service divide them.
+//! Owners of the keys of a sharded service.
 //!
-//! State: the ranges as the host told them last, and for each whether its owner has just rejected a request of
-//! that range. It is replaced as a whole by each update; after a restart nothing has an owner until the first
-//! update, and requests with a key wait. No clock and no I/O.
+//! State: the key ranges of the host's last update and, for each range, whether its owner has recently rejected a
+//! request for it. Each update replaces all ranges. After a restart no key has an owner until the first update, and
+//! requests with a key wait. The module does no I/O and reads no clock.
 
 use crate::interface::{AttemptOutcome, AttemptResult, OwnedKeyRange, ServerId, Span, Time};
 
 #[cfg(test)]
 mod tests;
 
-/// Most doublings of the pause after a rejection: by then an owner that has lost its lease has it back, or another
-/// upstream has it.
+/// Maximum number of doublings of the pause after a rejection. After that time, an owner that lost its lease has
+/// either renewed it or been replaced.
 const MAX_PAUSE_DOUBLINGS: u32 = 4;
 
-/// A range of keys as this balancer sees it.
+/// A key range, with this balancer's recent experience of its owner.
 #[derive(Clone, Copy, Debug)]
 struct KeyRangeState {
     range: OwnedKeyRange,
-    /// Its owner rejected a request for these keys: until then nothing more goes there for them.
+    /// No request for these keys is sent to the owner before this time, because it rejected one.
     paused_until: Time,
-    /// Rejections in a row, up to [`MAX_PAUSE_DOUBLINGS`].
+    /// Consecutive rejections, up to [`MAX_PAUSE_DOUBLINGS`].
     consecutive_rejections: u32,
 }
 
-/// Who owns which keys; empty where upstreams don't divide them.
+/// The owners of all keys; empty if the service is not sharded.
 #[derive(Debug, Default)]
 pub(crate) struct KeyOwners {
-    /// In the order of the keys.
+    /// Sorted by first key.
     ranges: Vec<KeyRangeState>,
 }
 
 impl KeyOwners {
-    /// Replaces all ranges. One whose owner is the same as before keeps its pause.
+    /// Replaces all ranges. A range whose owner is unchanged keeps its pause.
     pub(crate) fn replace(&mut self, now: Time, list: &[OwnedKeyRange]) {
         let state = |range: &OwnedKeyRange| {
             let known = self.position_of(range.first).map(|i| self.ranges[i]);
@@ -50,14 +50,14 @@
         self.ranges = ranges;
     }
 
-    /// The one upstream that a request with this key may go to now.
+    /// Returns the only upstream that a request with this key may be sent to now, if there is one.
     pub(crate) fn owner_of(&self, now: Time, key: u16) -> Option<ServerId> {
         let state = &self.ranges[self.position_of(key)?];
         state.range.server.filter(|_| now >= state.paused_until)
     }
 
-    /// Takes in what came of an attempt with this key: an upstream that is listed as the owner and says that it
-    /// is not gets a pause of `pause_us` microseconds, doubled for each further time in a row.
+    /// Records the outcome of an attempt with this key. If the listed owner rejects it as not the owner, it is paused
+    /// for `pause_us` microseconds, doubled for each consecutive rejection.
     pub(crate) fn on_attempt_ended(
         &mut self,
         now: Time,
--- a/crates/load-balancing/src/key_owners/tests.rs
+++ b/crates/load-balancing/src/key_owners/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the owners of keys.
+//! Tests of key ownership.
 
 use super::*;
 use crate::interface::RequestId;
 
 #[test]
-fn a_key_belongs_to_the_latest_owner_unless_that_rejected_it() {
+fn a_key_goes_to_its_latest_owner_unless_that_owner_rejected_it() {
     let mut owners = KeyOwners::default();
     let range = |first, last, server: Option<u32>| OwnedKeyRange {
         first,
@@ -37,7 +37,7 @@
     assert_eq!(
         owners.owner_of(now, 0),
         None,
-        "told again, it is the same one that rejected it"
+        "an update with the same owner keeps the pause"
     );
     owners.replace(now, &[range(0, 99, Some(3)), range(100, u16::MAX, Some(2))]);
     assert_eq!(owners.owner_of(now, 0), Some(ServerId(3)));
@@ -45,6 +45,6 @@
     assert_eq!(
         owners.owner_of(now, 0),
         Some(ServerId(3)),
-        "the rejection came from an earlier owner"
+        "a rejection by an earlier owner does not pause the present one"
     );
 }
--- a/crates/load-balancing/src/lib.rs
+++ b/crates/load-balancing/src/lib.rs
@@ -1,12 +1,12 @@
-//! Decisions of an HTTP load balancer that runs as a fleet of proxies.
+//! Decision logic of an HTTP load balancer that runs as a fleet of proxies.
 //!
-//! Each proxy owns one [`policy::Balancer`], tells it what happens ([`interface::Event`]), and carries out the
-//! [`interface::Action`]s it answers with. The crate does no I/O and reads no clock: a test can drive it through any
-//! schedule. All state is in memory and belongs to the balancer; nothing is shared between proxies but the size of
-//! their fleet and their position in it.
+//! Each proxy owns one [`policy::Balancer`], passes it events ([`interface::Event`]), and carries out the
+//! [`interface::Action`]s that it returns. The crate does no I/O and reads no clock, so a test can drive it through
+//! any schedule. All state is in memory and belongs to the balancer; proxies share nothing except that each knows the
+//! size of the fleet and its own position in it.
 //!
-//! [`interface`] is the shared vocabulary, [`policy`] has every decision, [`settings`] reads the settings of a site
-//! from JSON.
+//! [`interface`] defines the types that the balancer and its host exchange, [`policy`] makes all decisions, and
+//! [`settings`] reads a site's settings from JSON.
 
 mod fleet;
 pub mod interface;
--- a/crates/load-balancing/src/settings/load_report.rs
+++ b/crates/load-balancing/src/settings/load_report.rs
@@ -3,16 +3,16 @@
 use super::span_from_ms;
 use crate::interface::LoadReport;
 
-/// What one value of a load report tells.
+/// The meaning of one value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportField {
     /// Requests in progress.
     InFlight,
-    /// Requests waiting.
+    /// Queued requests.
     Queue,
-    /// Share of its cores that is busy.
+    /// CPU utilization, 0 to 1.
     Util,
-    /// Recent service time without waiting, in milliseconds.
+    /// Recent service time without queueing, in milliseconds.
     Service,
     /// Requests served per second.
     Qps,
@@ -23,7 +23,7 @@
 }
 
 impl LoadReportField {
-    /// The field of this written name.
+    /// Returns the field with this name in the settings.
     pub fn from_name(name: &str) -> Self {
         match name {
             "inflight" => Self::InFlight,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Sets this field of a report to a value as it was reported.
+    /// Sets this field of a report to a reported value.
     pub fn set(self, report: &mut LoadReport, value: f64) {
         match self {
             Self::InFlight => report.inflight = Some(value),
--- a/crates/load-balancing/src/settings/mod.rs
+++ b/crates/load-balancing/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! A site's settings as JSON states them, for every program that hosts a balancer.
+//! A site's settings in JSON, for every program that hosts a balancer.
 //!
-//! There is one reading of names and units for all of them, or the simulator and the service would drift apart. The
-//! written names are the users'; the names in the code are the terms of `docs/GLOSSARY.md`.
+//! All hosts share this parser, so that the simulator and the service can't differ in names or units. The names in
+//! JSON are those of the users; the names in the code are the terms of `docs/GLOSSARY.md`.
 
 mod hash;
 mod load_report;
@@ -16,7 +16,7 @@
 
 use crate::interface::Span;
 
-/// Milliseconds in whole microseconds, rounded; whatever is not a number is 0.
+/// Converts milliseconds to a span, rounded to whole microseconds; NaN becomes 0.
 pub fn span_from_ms(ms: f64) -> Span {
     Span((ms * 1000.0).round() as i64)
 }
--- a/crates/load-balancing/src/settings/site.rs
+++ b/crates/load-balancing/src/settings/site.rs
@@ -1,6 +1,6 @@
-//! The form of a site's settings, and the settings of a balancer that follow from them.
+//! The JSON format of a site's settings, and its conversion to a balancer's [`Settings`](interface::Settings).
 //!
-//! Times are in milliseconds.
+//! Times in JSON are in milliseconds.
 
 use serde::Deserialize;
 
@@ -17,7 +17,7 @@
 pub struct SiteSettings {
     /// Balancers in the fleet.
     pub balancers: u32,
-    /// This balancer's number among them, from 0.
+    /// This balancer's position in the fleet, from 0.
     #[serde(default)]
     pub position: u32,
     /// Index of this balancer's zone.
@@ -26,49 +26,49 @@
     /// Names of the zones.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Names of the machine kinds.
+    /// Names of the machine types.
     #[serde(default)]
     pub machine_types: Vec<String>,
-    /// Events are delivered at most this often, in milliseconds.
+    /// Shortest interval between deliveries of events, in milliseconds.
     pub tick: f64,
-    /// How the list of upstreams comes.
+    /// How the balancer gets the list of upstreams.
     pub registry_mode: RegistryMode,
     /// Request classes.
     pub services: Vec<Service>,
     /// Tenants; may be empty.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// What the site allows.
+    /// Limits of the site.
     pub policy_limits: PolicyLimits,
-    /// Figures of the rules.
+    /// Parameters for draining, slow start and the list of upstreams.
     pub safety: Safety,
-    /// What things cost.
+    /// Costs.
     #[serde(default)]
     pub prices: Prices,
     /// Load reports of upstreams.
     #[serde(default)]
     pub stats: Stats,
-    /// How the service is judged.
+    /// How the service is rated.
     #[serde(default)]
     pub scoring_mix: ScoringMix,
-    /// What clients do.
+    /// Behaviour of clients.
     #[serde(default)]
     pub client_habits: ClientHabits,
-    /// What value counts by.
+    /// The unit that value counts by.
     #[serde(default)]
     pub counted_by: CountedBy,
-    /// Value of a request beyond its tenant's quota, relative to its class's.
+    /// Value of a request beyond its tenant's quota, relative to the value of its class.
     #[serde(default = "one", rename = "OverShareWorth")]
     pub over_quota_value: f64,
 }
 
-/// Weights of the parts of the service that the site judges by.
+/// Weights of the measures by which the site rates the service.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct ScoringMix {
     /// The whole run.
     pub whole: f64,
-    /// Its worst stretch.
+    /// The worst time window of the run.
     pub worst_window: f64,
     /// The worst-served class.
     pub worst_class: f64,
@@ -76,32 +76,32 @@
     pub worst_tenant: f64,
 }
 
-/// What clients do.
+/// Behaviour of clients.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct ClientHabits {
-    /// They mark their retries.
+    /// Whether they mark their retries.
     pub marks_retry: bool,
 }
 
-/// What value counts by.
+/// The unit that value counts by.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum CountedBy {
-    /// By request.
+    /// Per request.
     #[default]
     Request,
-    /// By unit of work.
+    /// Per unit of work.
     Work,
 }
 
-/// How the list of upstreams comes.
+/// How the balancer gets the list of upstreams.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum RegistryMode {
-    /// By itself.
+    /// It is sent without a request.
     Automatic,
-    /// Once it is requested.
+    /// It must be requested.
     Subscribe,
 }
 
@@ -115,17 +115,17 @@
     /// An answer within this time earns the full value, in milliseconds.
     #[serde(rename = "Aim")]
     pub latency_target: f64,
-    /// The longest that a client waits, in milliseconds.
+    /// Longest time that a client waits, in milliseconds.
     pub deadline: f64,
-    /// What repeating a request does.
+    /// Effect of running a request more than once.
     pub effect: Effect,
-    /// Which upstreams drop repeats.
+    /// The upstreams that together drop repeats.
     #[serde(default, rename = "Group")]
     pub dedup_group: Group,
     /// Value of one request.
     #[serde(default = "one", rename = "Importance")]
     pub value: f64,
-    /// Share of the value that a late answer earns.
+    /// Share of the value that an answer after the latency target earns.
     #[serde(default)]
     pub late_value: f64,
     /// For how long upstreams drop repeats, in milliseconds.
@@ -134,53 +134,53 @@
     /// The latency target grows by this multiple of a request's work.
     #[serde(default, rename = "AimStretch")]
     pub latency_target_stretch: f64,
-    /// The response is a stream.
+    /// Whether the response is a stream.
     #[serde(default)]
     pub streaming: bool,
-    /// Requests of one key run one at a time, in the order of their arrival.
+    /// Whether requests with the same key run one at a time, in order of arrival.
     #[serde(default, rename = "ByArrival")]
     pub in_order: bool,
-    /// The only zones it may be sent to, by index.
+    /// The zones that its requests may be sent to, by index; absent for any.
     #[serde(default, rename = "ZonesAllowed")]
     pub zones: Option<Vec<u32>>,
-    /// The only machine kinds it may be sent to, by index.
+    /// The machine types that its requests may be sent to, by index; absent for any.
     #[serde(default, rename = "BoundTo")]
     pub kinds: Option<Vec<u32>>,
 }
 
-/// What repeating a request does.
+/// Effect of running a request more than once.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// Nothing: it is idempotent.
+    /// None: it is idempotent.
     Retryable,
-    /// Upstreams of a group drop it.
+    /// The upstreams of a dedup group drop repeats.
     Dedup,
-    /// It runs twice.
+    /// It takes effect each time, so it must not be repeated.
     Fragile,
 }
 
-/// Which upstreams drop each other's repeats.
+/// The set of upstreams that together deduplicate requests.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
 pub enum Group {
-    /// All of them.
+    /// All upstreams.
     #[default]
     All,
-    /// Those of one zone.
+    /// The upstreams of one zone.
     Zone,
-    /// Those of one cell.
+    /// The upstreams of one cell.
     Cell,
 }
 
-/// A tenant and its share of the service.
+/// A tenant and its quota.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Tenant {
     /// Its name.
     #[serde(default)]
     pub name: String,
-    /// Requests per second within its quota, over all balancers.
+    /// Its quota in requests per second, over all balancers.
     #[serde(default)]
     pub quota_rps: f64,
     /// Its share of the service.
@@ -188,64 +188,64 @@
     pub share: f64,
 }
 
-/// What the site allows.
+/// Limits of the site.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct PolicyLimits {
-    /// Most attempts of one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// Two attempts of a request may be in flight at once.
+    /// Whether two attempts of a request may be in flight at once.
     #[serde(default, rename = "SecondCopies")]
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     #[serde(default, rename = "Cancelling")]
     pub cancel: bool,
-    /// Upstreams may be probed.
+    /// Whether upstreams may be probed.
     #[serde(default)]
     pub probes: bool,
-    /// Clients are given retry advice.
+    /// Whether rejected clients are told when to retry.
     #[serde(default)]
     pub retry_after: bool,
-    /// Longest advice that a client heeds, in milliseconds.
+    /// Longest retry delay that clients respect, in milliseconds.
     #[serde(default)]
     pub max_retry_after: f64,
-    /// A connection not made within this counts as failed, in milliseconds.
+    /// Time after which a connection attempt has failed, in milliseconds.
     #[serde(default)]
     pub connect_timeout: f64,
-    /// Idle connections close after this, in milliseconds.
+    /// Time after which idle connections close, in milliseconds.
     #[serde(default)]
     pub keepalive: f64,
-    /// Attempts that one connection carries at once.
+    /// Number of concurrent attempts per connection.
     #[serde(default)]
     pub streams_per_conn: u32,
 }
 
-/// Figures of the rules.
+/// Parameters for draining, slow start and the list of upstreams.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Safety {
-    /// The longest silence of the list before a change counts as told, in milliseconds.
+    /// Longest time without news of the list before a change of it counts as known, in milliseconds.
     #[serde(default, rename = "AskEvery")]
     pub membership_poll_interval: f64,
-    /// How long after a drain is known a request may still be sent, in milliseconds.
+    /// How long requests may still be sent to an upstream after its drain has become known, in milliseconds.
     #[serde(default)]
     pub drain_grace: f64,
-    /// A final answer this long after the deadline still counts, in milliseconds.
+    /// How long after the client's deadline an answer still counts, in milliseconds.
     #[serde(default)]
     pub answer_slack: f64,
-    /// An upstream has its full capacity this long after its start, in milliseconds.
+    /// Time after its start by which an upstream has its full capacity, in milliseconds.
     #[serde(rename = "Cold")]
     pub slow_start_duration: f64,
-    /// An upstream starts at this share of its capacity.
+    /// Share of its capacity that an upstream has when it starts.
     #[serde(rename = "ColdFrom")]
     pub slow_start_min_capacity: f64,
-    /// An upstream falls over when it is sent more than this multiple of its present capacity
+    /// An upstream fails if it is sent more than this multiple of its present capacity for `overload_window`.
     #[serde(rename = "FallMultiple")]
     pub overload_multiple: f64,
-    /// for this long, in milliseconds.
+    /// See `overload_multiple`; in milliseconds.
     #[serde(rename = "TipAfter")]
     pub overload_window: f64,
-    /// Idle connections to a draining upstream must be closed within this, in milliseconds.
+    /// Time within which idle connections to a draining upstream must be closed, in milliseconds.
     #[serde(default, rename = "DrainClose")]
     pub drain_close_timeout: f64,
     /// How long a key is blocked after an attempt that may still be running, in milliseconds.
@@ -253,19 +253,19 @@
     pub ordered_retry_delay: f64,
 }
 
-/// What things cost, in shares of all value.
+/// Costs, as shares of the total value.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Prices {
     /// An attempt that crosses zones.
     pub cross_zone: f64,
-    /// Upstream work that served no answer.
+    /// Upstream work whose answer no client got.
     pub waste: f64,
     /// A new connection.
     pub handshake: f64,
     /// A probe.
     pub probe: f64,
-    /// Value that ends unserved after its latency target.
+    /// Requests that end unserved after their latency target, by value.
     pub late_fail: f64,
 }
 
@@ -273,15 +273,14 @@
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Stats {
-    /// Names of the values of a report, in their order; see
-    /// [`LoadReportField`](crate::settings::LoadReportField).
+    /// Names of the values in a report, in order; see [`LoadReportField`](crate::settings::LoadReportField).
     pub names: Vec<String>,
-    /// How reports come.
+    /// How upstreams send reports.
     #[serde(rename = "How")]
     pub mode: LoadReportMode,
 }
 
-/// How load reports come.
+/// How upstreams send load reports.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
 pub enum LoadReportMode {
@@ -295,7 +294,7 @@
 }
 
 impl SiteSettings {
-    /// The settings of a balancer of this site: names become indexes, milliseconds microseconds.
+    /// Converts to the settings of a balancer of this site.
     pub fn to_settings(&self) -> interface::Settings {
         interface::Settings {
             classes: self.services.iter().map(Service::to_class).collect(),
@@ -378,7 +377,7 @@
 }
 
 impl Safety {
-    /// A site states neither a slow-start rate nor a retry budget.
+    /// Converts the parameters. A slow-start rate and a retry budget can't be set by this format.
     fn to_rules(&self) -> interface::Rules {
         interface::Rules {
             slow_start_min_capacity: self.slow_start_min_capacity,
