--- a/crates/placement/src/candidates.rs
+++ b/crates/placement/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Upstreams that may own keys, with the load that each has.
+//! Upstreams that may own keys, with their loads.
 
 use std::collections::BTreeMap;
 
@@ -6,30 +6,30 @@
 
 use crate::key_load::KeyLoad;
 
-/// An upstream as the host lists it.
+/// An upstream in the host's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// The upstream.
+    /// The upstream's id and address.
     pub holder: LeaseHolder,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// It is to release its keys: it drains, or its zone is evacuated.
+    /// Whether it is to release its keys, because it is draining or its zone is being evacuated.
     pub draining: bool,
-    /// It may get keys; not while it is in slow start.
+    /// Whether it may get keys; false during slow start.
     pub accepts_keys: bool,
 }
 
-/// A candidate and the load of the ranges that it owns or is to get, in requests at a time.
+/// A candidate and the load of the ranges that it owns or will own, in concurrent requests.
 struct LoadedCandidate<'a> {
     candidate: &'a Candidate,
     load: f64,
 }
 
-/// The candidates that may get keys in one planning run. Loads are counted as ranges are assigned.
+/// The candidates that may get keys in one planning run. Assigning a range to a candidate adds to its load.
 pub(crate) struct CandidatePool<'a>(Vec<LoadedCandidate<'a>>);
 
 impl<'a> CandidatePool<'a> {
-    /// All without load.
+    /// Creates a pool in which no candidate has load.
     pub(crate) fn new(candidates: impl Iterator<Item = &'a Candidate>) -> Self {
         let unloaded = |candidate| LoadedCandidate {
             candidate,
@@ -65,7 +65,7 @@
         &self.0[position].candidate.holder
     }
 
-    /// At least 1.
+    /// Returns the candidate's number of slots, at least 1.
     pub(crate) fn slots(&self, position: usize) -> f64 {
         f64::from(self.0[position].candidate.slots.max(1))
     }
@@ -74,31 +74,32 @@
         self.0[position].load / self.slots(position)
     }
 
-    /// Mean of the candidates' loads per slot; 0 without candidates.
+    /// Returns the mean of the candidates' loads per slot; 0 without candidates.
     pub(crate) fn mean_load_per_slot(&self) -> f64 {
         let n = self.len();
         (0..n).map(|i| self.load_per_slot(i)).sum::<f64>() / n.max(1) as f64
     }
 
-    /// The candidate with the least load per slot; of equals a different one for each range.
+    /// Returns the candidate with the least load per slot. Ties are broken by `first_key`, so that ranges are spread
+    /// over equally loaded candidates.
     pub(crate) fn least_loaded(&self, first_key: u16) -> Option<usize> {
         let n = self.len();
-        let turn = |i: usize| (i + n - usize::from(first_key) % n) % n;
+        let rank = |i: usize| (i + n - usize::from(first_key) % n) % n;
         (0..n).min_by(|&a, &b| {
             self.load_per_slot(a)
                 .total_cmp(&self.load_per_slot(b))
-                .then(turn(a).cmp(&turn(b)))
+                .then(rank(a).cmp(&rank(b)))
         })
     }
 
-    /// The candidate with the most load per slot among those that `is_eligible` accepts.
+    /// Returns the candidate with the most load per slot among those that `is_eligible` accepts.
     pub(crate) fn most_loaded(&self, is_eligible: impl Fn(&LeaseHolder) -> bool) -> Option<usize> {
         (0..self.len())
             .filter(|&i| is_eligible(self.holder(i)))
             .max_by(|&a, &b| self.load_per_slot(a).total_cmp(&self.load_per_slot(b)))
     }
 
-    /// Assigns a range of this load to the candidate with the least; `None` without candidates.
+    /// Assigns a range with this load to the least loaded candidate; returns `None` without candidates.
     pub(crate) fn assign(
         &mut self,
         first_key: u16,
--- a/crates/placement/src/key_load.rs
+++ b/crates/placement/src/key_load.rs
@@ -1,26 +1,27 @@
-//! How much load the keys of a service bring, as balancers reported it lately.
+//! Recent load of a service's keys, as reported by balancers.
 //!
-//! **State.** A rate for each bucket of keys: the number of requests that upstreams run for it at a time, on average.
-//! Requests that are slow, or wait at the upstream that owns the key, weigh more.
+//! **State.** For each bucket of keys, the mean number of concurrent requests at upstreams. Requests that are slow, or
+//! that wait at the upstream that owns the key, count for more.
 //!
-//! **May be lost.** All of it: a new leader begins with equal loads and learns the others within seconds.
+//! **Persistence.** None. A new leader begins with equal loads and has current ones within seconds.
 
 use protocol::key_load::{BucketLoad, KEYS_PER_BUCKET, LOAD_UNIT_MS};
 
 const BUCKETS: usize = (1 << 16) / KEYS_PER_BUCKET as usize;
-/// Time constant of the decay: what was reported this long ago weighs 1/e as much as what is reported now.
+/// Time constant of the exponential decay: a load reported this long ago counts for 1/e of one reported now.
 const DECAY_TIME_MS: f64 = 5000.0;
-/// All keys together weigh at least this share more than what was reported: keys that had no requests lately may get
-/// some, and before the first report all weigh the same.
+/// Baseline load of all keys together, as a share of the reported load. It accounts for requests to keys without
+/// recent ones, and makes all keys equal before the first report.
 const BASELINE_SHARE: f64 = 0.1;
 
-/// Load of a service's keys.
+/// Estimated load of a service's keys.
 #[derive(Clone, Debug)]
 pub struct KeyLoad {
-    /// Requests at a time for each bucket, as of `refreshed_at`.
+    /// Mean concurrent requests for each bucket, as of `refreshed_at`.
     rates: Vec<f64>,
     refreshed_at: u64,
-    /// Sums of the rates, baseline included, of all buckets before each; one more than buckets.
+    /// Prefix sums of the rates including the baseline: element `i` is the load of all buckets before bucket `i`; one
+    /// more element than buckets.
     cumulative: Vec<f64>,
 }
 
@@ -37,7 +38,7 @@
 }
 
 impl KeyLoad {
-    /// Adds reported loads. They count from the next [`refresh`](Self::refresh) on.
+    /// Adds reported loads. They take effect with the next [`refresh`](Self::refresh).
     pub fn record(&mut self, loads: &[BucketLoad]) {
         for BucketLoad { bucket, units } in loads {
             if let Some(rate) = self.rates.get_mut(usize::from(*bucket)) {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Lets earlier loads decay up to `now`, in milliseconds of the host's clock.
+    /// Decays the loads to `now`, in milliseconds of the host's clock.
     pub fn refresh(&mut self, now: u64) {
         let elapsed_ms = now.saturating_sub(self.refreshed_at) as f64;
         let decay = (-elapsed_ms / DECAY_TIME_MS).exp();
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Load of all keys before this one; within a bucket the keys weigh the same.
+    /// Returns the load of all keys before this one. Keys of a bucket count equally.
     fn load_before(&self, key: u32) -> f64 {
         let keys_per_bucket = u32::from(KEYS_PER_BUCKET);
         let bucket = (key / keys_per_bucket) as usize;
@@ -84,13 +85,13 @@
         start + (end - start) * part
     }
 
-    /// Load of the keys from `first` to `last`, both included.
+    /// Returns the load of the keys from `first` to `last`, both included.
     pub fn range_load(&self, first: u16, last: u16) -> f64 {
         self.load_before(u32::from(last) + 1) - self.load_before(u32::from(first))
     }
 
-    /// Where to split a range so that the part from the returned key to `last` has at most the load `wanted`; `None`
-    /// if no keys would be left before it.
+    /// Returns the key at which to split a range so that the part from there to `last` has at most the load `wanted`;
+    /// `None` if that part would be the whole range.
     pub fn split_point(&self, first: u16, last: u16, wanted: f64) -> Option<u16> {
         let (mut low, mut high) = (first, last);
         while low < high {
--- a/crates/placement/src/key_load/tests.rs
+++ b/crates/placement/src/key_load/tests.rs
@@ -8,12 +8,12 @@
 }
 
 #[test]
-fn busy_keys_weigh_more_and_old_load_fades() {
+fn busy_keys_have_more_load_and_old_load_decays() {
     let mut key_load = KeyLoad::default();
     let all = key_load.range_load(0, u16::MAX);
     assert!(
         (key_load.range_load(0, 32767) / all - 0.5).abs() < 1e-9,
-        "all alike"
+        "without reports all keys have equal load"
     );
     key_load.record(&[load(100, 50), load(40_000, 50)]);
     key_load.refresh(1000);
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: what becomes of each range of a service's keys, and which calls it needs.
+//! The planner: decides on ownership changes and lease calls for each key range of a service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,45 +15,46 @@
 pub struct Planner {
     timing: Timing,
     leading_since: u64,
-    /// Leases by the first key of their range.
+    /// Lease states by the first key of their range.
     leases: BTreeMap<u16, LeaseState>,
-    /// Changes that were proposed and are not in the log yet, by the first key of their range.
+    /// Proposed changes that are not in the log yet, by the first key of their range.
     pub(crate) proposals: BTreeMap<u16, Proposal>,
-    /// Ids of the upstreams that are listed.
+    /// Ids of the listed upstreams.
     listed_ids: BTreeSet<String>,
-    /// Ids of owners that were listed under this leader and are no longer, or whose address another upstream has:
-    /// they are gone for certain.
+    /// Ids of owners that are certainly gone: under this leader they were removed from the list, or another upstream
+    /// answered at their address.
     gone_ids: BTreeSet<String>,
-    /// Ids of upstreams that did not answer, with the time until which they get no keys.
+    /// Ids of unresponsive upstreams, with the time until which they get no keys.
     backoff_until: BTreeMap<String, u64>,
     candidate_count: CandidateCount,
 }
 
-/// A change that is on its way to the log.
+/// A proposed change that is not in the log yet.
 #[derive(Debug)]
 pub(crate) struct Proposal {
-    /// Token of the range that it was decided on; it is done, or void, once the range has another one.
+    /// Fencing token of the range at the time of the proposal. Once the range has another token, the proposal was
+    /// applied or is obsolete.
     pub(crate) expected_token: u64,
     pub(crate) proposed_at: u64,
 }
 
-/// How many upstreams could get keys, and since when.
+/// Number of upstreams that could get keys, and the time since which it is unchanged.
 #[derive(Debug)]
 struct CandidateCount {
     count: usize,
     since: u64,
 }
 
-/// What the host is to do after a planning run.
+/// What the host must do after a planning run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// To be proposed to the log, all in one entry.
+    /// Changes to propose to the log, all in one entry.
     pub changes: Vec<KeyRangeChange>,
-    /// To be called. Each call's outcome goes to [`Planner::on_call_completed`].
+    /// Calls to make. The outcome of each must be passed to [`Planner::on_call_completed`].
     pub calls: Vec<LeaseCall>,
 }
 
-/// What a planning run is given.
+/// Input of a planning run.
 struct PlanInput<'a> {
     now: u64,
     candidates: BTreeMap<&'a str, &'a Candidate>,
@@ -61,7 +62,7 @@
 }
 
 impl Planner {
-    /// The host came to lead at `now`.
+    /// Creates the planner of a host that became leader at `now`.
     pub fn new(now: u64, timing: Timing) -> Self {
         Self {
             timing,
@@ -78,8 +79,9 @@
         }
     }
 
-    /// Plans what is to be done at `now`. The host passes the replicated ranges, all listed upstreams, and at most
-    /// how many calls it makes: 0 unless its leadership was confirmed less than [`Timing::leader_staleness_ms`] ago.
+    /// Plans the changes and calls at `now`. The host passes the replicated ranges, all listed upstreams, and the
+    /// maximum number of calls, which must be 0 unless its leadership was confirmed less than
+    /// [`Timing::leader_staleness_ms`] ago.
     pub fn plan(
         &mut self,
         now: u64,
@@ -129,7 +131,7 @@
         plan
     }
 
-    /// Ends backoffs, and forgets proposals that are done, void or lost.
+    /// Removes expired backoffs, and proposals that were applied, are obsolete, or were lost.
     fn remove_expired(&mut self, now: u64, ranges: &KeyRangeMap) {
         self.backoff_until.retain(|_, until| now < *until);
         self.proposals.retain(|first, proposal| {
@@ -138,7 +140,7 @@
         });
     }
 
-    /// Learns which upstreams are listed, and which owners are no longer.
+    /// Updates the sets of listed upstreams and of owners that are gone.
     fn update_listed(&mut self, input: &PlanInput<'_>, ranges: &KeyRangeMap) {
         for id in input.candidates.keys() {
             if !self.listed_ids.contains(*id) {
@@ -156,9 +158,9 @@
         self.gone_ids.retain(is_holder);
     }
 
-    /// The first division of the keys, once the number of candidates has settled: nor is it made over those alone
-    /// that are listed so far. All of it is one plan, since half of one division and half of another would leave
-    /// keys out.
+    /// Divides the keys among the candidates for the first time. It waits until the number of candidates is stable, so
+    /// that not only the first upstreams to be listed get keys. The whole division is one plan, since a mix of two
+    /// divisions could leave out keys.
     fn divide_keys(&mut self, now: u64, pool: &mut CandidatePool<'_>) -> Vec<KeyRangeChange> {
         if self.candidate_count.count != pool.len() {
             self.candidate_count = CandidateCount {
@@ -166,8 +168,8 @@
                 since: now,
             };
         }
-        let settled_at = self.candidate_count.since + self.timing.stabilization_ms;
-        if !self.proposals.is_empty() || now < settled_at {
+        let stable_at = self.candidate_count.since + self.timing.stabilization_ms;
+        if !self.proposals.is_empty() || now < stable_at {
             return Vec::new();
         }
         let n = (pool.len() * INITIAL_RANGES_PER_UPSTREAM) as u64;
@@ -182,7 +184,7 @@
         changes
     }
 
-    /// Remembers a change as proposed.
+    /// Creates a change and records it as proposed.
     pub(crate) fn propose(
         &mut self,
         now: u64,
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Who is to own a range next; `None` if it stays as it is, or a change of it is on its way.
+    /// Returns the next ownership of a range; `None` if it does not change or a change is already proposed.
     fn next_ownership(
         &mut self,
         input: &PlanInput<'_>,
@@ -236,7 +238,7 @@
         }
     }
 
-    /// Makes sure that there is a lease state for this holder.
+    /// Creates the lease state of a range if there is none for this holder.
     fn track_lease(&mut self, now: u64, first: u16, holder: &LeaseHolder) {
         if self
             .leases
@@ -245,14 +247,14 @@
         {
             return;
         }
-        // The range may have been split off one whose owner was granted a lease a moment ago.
+        // The range may have been split off one whose owner has just been granted a lease.
         let granted_now = now + self.timing.call_timeout_ms + self.timing.max_lease_ms();
         let expires_at = self.inherited_leases_expire_at().max(granted_now);
         let lease = LeaseState::new(&holder.id, expires_at, now);
         self.leases.insert(first, lease);
     }
 
-    /// When all that predecessors may have granted has run out.
+    /// Returns the time at which every lease that earlier leaders may have granted has expired.
     fn inherited_leases_expire_at(&self) -> u64 {
         self.leading_since
             + self.timing.leader_staleness_ms
@@ -260,14 +262,15 @@
             + self.timing.max_lease_ms()
     }
 
-    /// An owner has to release its range if it is gone, does not answer, or drains. If it is fenced the range gets a
-    /// higher token.
+    /// Returns the next ownership of an assigned range. An owner that is gone, unresponsive or draining must release
+    /// the range. If the owner rejected the range's fencing token, the range is assigned to it again, which gives the
+    /// range a higher token.
     fn next_of_assigned(
         &mut self,
         now: u64,
         first: u16,
         holder: &LeaseHolder,
-        has_to_release: bool,
+        must_release: bool,
     ) -> Option<Ownership> {
         let is_gone = self.gone_ids.contains(&holder.id);
         let lease = self.leases.get_mut(&first)?;
@@ -275,7 +278,7 @@
             lease.next_grant_at = now;
         }
         let is_unresponsive = lease.is_unresponsive();
-        if is_gone || is_unresponsive || has_to_release {
+        if is_gone || is_unresponsive || must_release {
             if is_unresponsive {
                 let until = now + self.timing.backoff_ms();
                 self.backoff_until.insert(holder.id.clone(), until);
@@ -287,8 +290,8 @@
         is_fenced.then(|| Ownership::Assigned(holder.clone(), None))
     }
 
-    /// The release of a range by its last owner, once that has let go of it: it answered, it is gone for certain, or
-    /// all its leases have run out.
+    /// Returns the release of a range once its last owner no longer holds it: the owner has answered the release, is
+    /// certainly gone, or all its leases have expired.
     fn release_if_free(&self, now: u64, first: u16, holder: &LeaseHolder) -> Option<Release> {
         let is_gone = self.gone_ids.contains(&holder.id);
         let lease = self.leases.get(&first)?;
@@ -299,7 +302,7 @@
         }
     }
 
-    /// The call that a range needs at `now`: a release, or a grant that is due.
+    /// Returns the call that is due for a range at `now`, a release or a grant, and marks it as in flight.
     fn next_call(&mut self, now: u64, first: u16, range: &KeyRange) -> Option<LeaseCall> {
         let timing = self.timing;
         let lease = self.leases.get_mut(&first)?;
@@ -331,11 +334,12 @@
         })
     }
 
-    /// A call has ended with this outcome. Each call has to end: its range gets no other one before.
+    /// Records the outcome of a call. The host must report an outcome for each call, because no other call is made for
+    /// its range before.
     pub fn on_call_completed(&mut self, now: u64, call: &LeaseCall, outcome: LeaseCallOutcome) {
         let timing = self.timing;
         let inherited_expire_at = self.inherited_leases_expire_at();
-        // A call to an earlier owner, or to this one under an earlier token, says nothing of the present lease.
+        // The outcome of a call to an earlier owner, or with an earlier token, does not apply to the present lease.
         let is_current = |lease: &&mut LeaseState| {
             lease.holder_id == call.holder.id && lease.token_in_flight == Some(call.fencing_token)
         };
@@ -350,7 +354,7 @@
         let is_grant = matches!(call.request, LeaseRequest::Grant { .. });
         match outcome {
             LeaseCallOutcome::Completed(_) if is_grant => {
-                // It arrived by now, and so did all before it.
+                // The grant has arrived by now, and so have all earlier ones.
                 lease.expires_at = inherited_expire_at.max(now + timing.max_lease_ms());
                 lease.next_grant_at = now + timing.renewal_interval_ms(call.first);
             }
--- a/crates/placement/src/rebalance.rs
+++ b/crates/placement/src/rebalance.rs
@@ -1,6 +1,6 @@
-//! Moves ranges from upstreams with much load to those with little, a few at a time.
+//! Moves ranges from heavily to lightly loaded upstreams, a few at a time.
 //!
-//! A move is a release: the range gets its next owner, the one with the least load, once the last one has let go.
+//! A move begins with a release. Once the owner has released the range, the least loaded candidate gets it.
 
 use std::collections::BTreeMap;
 
@@ -31,8 +31,9 @@
 type MovableRanges<'a> = BTreeMap<&'a str, Vec<MovableRange>>;
 
 impl Planner {
-    /// Releases of ranges, a few at most, from upstreams that have too much load, or most where others have too
-    /// little. Each upstream gives up one range in a run, whole or a part split off.
+    /// Returns the releases that even out the load, a few at most. While the most loaded upstream has too much load or
+    /// the least loaded one too little, the most loaded one releases a range or a part split off one. Each upstream
+    /// releases at most one range per run.
     pub(crate) fn rebalance(
         &mut self,
         now: u64,
@@ -66,7 +67,7 @@
             };
             let load = part.load(key_load);
             if load > 2.0 * wanted {
-                // One key alone may be more than any upstream should have; it has to be somewhere.
+                // A single key may have more load than any upstream should. Moving it would not help.
                 continue;
             }
             pool.move_load(most, least, load);
@@ -76,8 +77,8 @@
         changes
     }
 
-    /// The ranges that may be moved. Those that are being released are counted for the candidates that will get
-    /// them.
+    /// Returns the ranges that may be moved. The load of ranges that are being released is added to the candidates that
+    /// will get them.
     fn movable_ranges<'a>(
         &self,
         ranges: &'a KeyRangeMap,
@@ -98,7 +99,7 @@
                         });
                 }
                 Ownership::Releasing(_) => {
-                    // Only its load counts here.
+                    // Only the effect on the candidate's load matters.
                     drop(pool.assign(first, key_load.range_load(first, range.last), None));
                 }
                 Ownership::Assigned(..) | Ownership::Unowned => {}
@@ -108,16 +109,17 @@
     }
 }
 
-/// How many ranges may be moved now, beside those that are being released.
+/// Returns how many ranges may be moved in addition to those that are being released.
 fn max_moves(ranges: &KeyRangeMap) -> usize {
     let is_releasing = |range: &KeyRange| matches!(range.ownership, Ownership::Releasing(_));
     let releasing = ranges.iter().filter(|(_, r)| is_releasing(r)).count();
     (ranges.iter().count() / RANGES_PER_MOVE + 1).saturating_sub(releasing)
 }
 
-/// Of an upstream's ranges the one with the largest load up to `wanted`, if that is at least half of it; else a part of
-/// the largest one with about that load, where ranges may be split. `fair_load` is what the upstream should have: a
-/// range with more is split however many ranges there are, since it can't stay in one piece.
+/// Selects the range, or part of a range, that an upstream releases to lose about the load `wanted`: the range with the
+/// largest load up to `wanted`, if that is at least half of it; else, if ranges may be split, a part of the largest
+/// range. `fair_load` is the load that the upstream should have: a range with more is split however many ranges there
+/// are, since no upstream should own the whole of it.
 fn select_part(
     mut owned: Vec<MovableRange>,
     wanted: f64,
--- a/crates/placement/tests/simulation/calls.rs
+++ b/crates/placement/tests/simulation/calls.rs
@@ -1,22 +1,22 @@
-//! Calls on their way between leaders and upstreams.
+//! Lease calls in flight between leaders and upstreams.
 
 use placement::{LeaseCall, LeaseCallOutcome, LeaseRequest};
 
 use crate::world::{TIMING, World};
 
-/// A call on its way.
+/// A call in flight.
 pub(crate) struct CallInFlight {
-    /// The leader that made it.
+    /// Term of the leader that made it.
     pub(crate) leader: usize,
     call: LeaseCall,
-    /// When it arrives; `None` once it has, or if it never does.
+    /// When it arrives; `None` if it has arrived or never will.
     pub(crate) arrives_at: Option<u64>,
-    /// When its response arrives; `None` if it never does.
+    /// When its response arrives; `None` if it never will.
     pub(crate) response_at: Option<u64>,
-    /// When its leader gives it up.
+    /// When the leader's timeout for it expires.
     pub(crate) times_out_at: u64,
     outcome: Option<LeaseCallOutcome>,
-    /// Its leader stood still in the middle of sending it.
+    /// Whether its leader was paused while sending it.
     pub(crate) is_late: bool,
 }
 
@@ -25,20 +25,20 @@
         self.call.request == LeaseRequest::Release
     }
 
-    /// What its leader gets for it by now, if anything.
+    /// Returns the outcome that the leader sees at `now`, if any.
     fn outcome_at(&self, now: u64) -> Option<LeaseCallOutcome> {
         if self.outcome.is_some() && self.response_at.is_some_and(|at| at <= now) {
             return self.outcome.clone();
         }
-        let patience = if self.is_release() { 200 } else { 0 };
-        (now >= self.times_out_at + patience).then_some(LeaseCallOutcome::NoResponse)
+        let extra_timeout_ms = if self.is_release() { 200 } else { 0 };
+        (now >= self.times_out_at + extra_timeout_ms).then_some(LeaseCallOutcome::NoResponse)
     }
 }
 
 impl World {
     pub(crate) fn send(&mut self, leader: usize, call: LeaseCall, with_faults: bool) {
         let is_lost = |world: &mut Self| with_faults && world.chance(15);
-        // Without faults it is answered in time.
+        // Without faults, the response arrives before the timeout.
         let max_delay = if with_faults {
             TIMING.call_timeout_ms
         } else {
@@ -84,7 +84,7 @@
         let id = &in_flight.call.holder.id;
         let frozen_until = self.upstreams.get(id).map_or(0, |u| u.frozen_until);
         if frozen_until > now {
-            // A call that was given up by then was reset: it is not read any more.
+            // If the call times out before the upstream resumes, its connection is reset and it is never read.
             in_flight.arrives_at = (frozen_until <= in_flight.times_out_at).then_some(frozen_until);
             return;
         }
@@ -95,14 +95,14 @@
         in_flight.outcome = upstream.and_then(|upstream| {
             upstream.handle_call(now, &in_flight.call, in_flight.is_late, checks_tokens)
         });
-        // A release is answered once the requests that run have ended.
-        let max_work = if with_faults && in_flight.is_release() {
+        // A release is answered once the running requests have ended.
+        let max_work_ms = if with_faults && in_flight.is_release() {
             120
         } else {
             1
         };
         in_flight.response_at = in_flight
             .response_at
-            .map(|at| at + self.rng.rand_range(0..max_work));
+            .map(|at| at + self.rng.rand_range(0..max_work_ms));
     }
 }
--- a/crates/placement/tests/simulation/upstream.rs
+++ b/crates/placement/tests/simulation/upstream.rs
@@ -1,32 +1,33 @@
-//! A simulated upstream: which ranges it holds leases on, by its own clock.
+//! A simulated upstream, with the leases that it holds by its own clock.
 
 use std::collections::BTreeMap;
 
 use placement::{LeaseCall, LeaseCallOutcome, LeaseRequest};
 
-/// A lease on a run of keys, which stands under its first key.
+/// A lease on a range of keys; the first key is the key of the map that holds it.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Lease {
     pub(crate) last: u16,
     pub(crate) expires_at: u64,
-    /// The highest token that was seen on these keys.
+    /// Highest fencing token seen for these keys.
     pub(crate) fencing_token: u64,
-    /// The grant came from a leader that had just stood still; the rules count it out.
+    /// Whether the grant was delayed by a pause of its leader. Such leases are exempt from the check for two holders,
+    /// since only fencing tokens protect against them.
     pub(crate) is_late: bool,
 }
 
 pub(crate) struct Upstream {
     pub(crate) is_up: bool,
     pub(crate) is_draining: bool,
-    /// It is in slow start until then.
+    /// End of its slow start.
     pub(crate) warming_until: u64,
-    /// By first key. A lease that was released or has run out stays, for its token.
+    /// Leases by first key. Released and expired leases are kept for their tokens.
     pub(crate) leases: BTreeMap<u16, Lease>,
-    /// By this factor its clock runs slow.
+    /// Factor by which its clock runs slow.
     pub(crate) clock_drift: f64,
-    /// No call reaches it until then.
+    /// No call reaches it before this time.
     pub(crate) partitioned_until: u64,
-    /// It stands still until then; its clock runs on.
+    /// It is paused until this time, while its clock continues.
     pub(crate) frozen_until: u64,
 }
 
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The leases on any of these keys, each with its first key.
+    /// Returns the leases that overlap these keys, each with its first key.
     fn overlapping(&self, first: u16, last: u16) -> Vec<(u16, Lease)> {
         let overlaps = |(f, lease): (&u16, &Lease)| {
             (*f <= last && lease.last >= first).then_some((*f, *lease))
@@ -51,7 +52,7 @@
         self.leases.iter().filter_map(overlaps).collect()
     }
 
-    /// The leases that have not run out, each with its first key.
+    /// Returns the leases that have not expired, each with its first key.
     pub(crate) fn valid_leases(&self, now: u64) -> impl Iterator<Item = (u16, &Lease)> {
         self.leases
             .iter()
@@ -59,7 +60,7 @@
             .map(|(first, lease)| (*first, lease))
     }
 
-    /// The token of its lease on this key, if it runs and holds one.
+    /// Returns the fencing token of its lease on this key, if it is running and holds one.
     pub(crate) fn token_to_write(&self, key: u16, now: u64) -> Option<u64> {
         let leases = self.overlapping(key, key);
         let lease = leases.iter().find(|(_, lease)| lease.expires_at > now);
@@ -68,14 +69,14 @@
             .map(|(_, lease)| lease.fencing_token)
     }
 
-    /// The highest fencing token that was seen on any of these keys.
+    /// Returns the highest fencing token seen for any of these keys.
     fn highest_token(&self, first: u16, last: u16) -> u64 {
         let leases = self.overlapping(first, last);
         let tokens = leases.iter().map(|(_, lease)| lease.fencing_token);
         tokens.max().unwrap_or(0)
     }
 
-    /// Sets the lease on these keys; the rest of those that they were part of stays.
+    /// Sets the lease on these keys. Overlapping leases keep the rest of their keys.
     fn set_lease(&mut self, first: u16, lease: Lease) {
         for (old_first, old) in self.overlapping(first, lease.last) {
             self.leases.remove(&old_first);
@@ -93,7 +94,7 @@
         self.leases.insert(first, lease);
     }
 
-    /// What it does with a call that arrives at `now`; `None` if it does not arrive.
+    /// Handles a call that arrives at `now`. Returns `None` if a partition drops it.
     pub(crate) fn handle_call(
         &mut self,
         now: u64,
--- a/crates/placement/tests/simulation/world.rs
+++ b/crates/placement/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: upstreams, leaders with their planners, the replicated ranges, and the faults among them.
+//! The simulated world: upstreams, leaders with their planners, the replicated ranges, and faults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,40 +23,41 @@
 
 pub(crate) struct Leader {
     pub(crate) planner: Planner,
-    /// It does not know that another one leads, and decides on the ranges that it last saw.
+    /// Set if another leader was elected and this one does not know: the ranges that it last saw, on which it bases its
+    /// decisions.
     stale_ranges: Option<KeyRangeMap>,
     confirmed_at: u64,
-    /// It stands still until then; its clock runs on.
+    /// It is paused until this time, while its clock continues.
     frozen_until: u64,
 }
 
 pub(crate) struct World {
     pub(crate) rng: Rand64,
     pub(crate) now: u64,
-    /// As replicated.
+    /// The replicated key ranges.
     pub(crate) ranges: KeyRangeMap,
     index: u64,
     pub(crate) upstreams: BTreeMap<String, Upstream>,
     upstreams_added: usize,
-    /// By the number of their term; those that were superseded go on for a while.
+    /// Leaders by term. Superseded leaders continue for a while.
     pub(crate) leaders: BTreeMap<usize, Leader>,
     term: usize,
     pub(crate) calls: Vec<CallInFlight>,
     timing: Timing,
     pub(crate) key_load: KeyLoad,
     pub(crate) writes: Vec<Write>,
-    /// The highest token under which each key was written.
+    /// Highest fencing token with which each key was written.
     pub(crate) written_tokens: BTreeMap<u16, u64>,
-    /// Upstreams refuse grants with lower tokens than they have seen.
+    /// Whether upstreams reject grants with lower tokens than they have seen.
     pub(crate) checks_grant_tokens: bool,
-    /// What is written to refuses writes with lower tokens than it has seen.
+    /// Whether the store rejects writes with lower tokens than it has seen.
     pub(crate) checks_write_tokens: bool,
     pub(crate) rejected_writes: u64,
-    /// Calls that arrived after their leader had stood still.
+    /// Number of calls that arrived after a pause of their leader.
     pub(crate) late_calls: u64,
 }
 
-/// Equal load on all keys, as much as eight upstreams can bear.
+/// Returns equal load on all keys, as much as eight upstreams can handle.
 pub(crate) fn heavy_load() -> KeyLoad {
     let buckets = 0..(1 << 16) / u32::from(KEYS_PER_BUCKET);
     let loads: Vec<BucketLoad> = buckets
@@ -72,7 +73,7 @@
 }
 
 impl World {
-    /// Eight upstreams and a leader.
+    /// Creates a world with eight upstreams and a leader.
     pub(crate) fn new(seed: u64, timing: Timing) -> Self {
         let mut world = Self {
             rng: Rand64::new(u128::from(seed)),
@@ -98,8 +99,8 @@
         world
     }
 
-    /// Plays a schedule with faults.
-    pub(crate) fn play(seed: u64, timing: Timing, steps: usize) -> Self {
+    /// Runs the schedule with this seed, with faults.
+    pub(crate) fn run_schedule(seed: u64, timing: Timing, steps: usize) -> Self {
         let mut world = Self::new(seed, timing);
         world.run_with_faults(steps);
         world
@@ -109,7 +110,7 @@
         (0..steps).for_each(|_| self.step(true));
     }
 
-    pub(crate) fn run_quietly(&mut self, steps: usize) {
+    pub(crate) fn run_without_faults(&mut self, steps: usize) {
         (0..steps).for_each(|_| self.step(false));
     }
 
@@ -126,7 +127,7 @@
         );
     }
 
-    /// Another one leads; the one before does not know for a while.
+    /// Elects a new leader; the previous one does not know for a while.
     fn elect_leader(&mut self) {
         if let Some(before) = self.leaders.get_mut(&self.term) {
             before.stale_ranges = Some(self.ranges.clone());
@@ -166,7 +167,7 @@
         for term in terms {
             self.run_leader(term, &candidates, with_faults);
         }
-        self.write();
+        self.run_writes();
         self.assert_no_key_has_two_holders();
     }
 
@@ -212,36 +213,36 @@
 
     fn inject_fault(&mut self) {
         let n = self.upstreams.len() as u64;
-        let picked = self.rng.rand_range(0..n) as usize;
+        let index = self.rng.rand_range(0..n) as usize;
         let until = self.now + self.rng.rand_range(0..900);
         let warming_until = self.now + 300;
         let fault = self.rng.rand_range(0..8);
-        let can_spare = self
+        let active = self
             .upstreams
             .values()
             .filter(|u| u.is_up && !u.is_draining);
-        let can_spare = can_spare.count() > 3;
-        let Some(upstream) = self.upstreams.values_mut().nth(picked) else {
+        let can_drain = active.count() > 3;
+        let Some(upstream) = self.upstreams.values_mut().nth(index) else {
             return;
         };
         match fault {
             0 => self.elect_leader(),
             1 => self.add_upstream(warming_until),
             2 => {
-                // A crash; another one comes in its place.
+                // A crashed upstream is replaced by a new one.
                 upstream.is_up = false;
                 self.add_upstream(warming_until);
             }
-            3 => upstream.is_draining |= can_spare,
+            3 => upstream.is_draining |= can_drain,
             4 => upstream.partitioned_until = until,
             6 => self.freeze_leader(until + TIMING.lease_ms),
             7 => upstream.frozen_until = until + 2 * TIMING.lease_ms,
-            _ => self.end_drained_upstream(),
+            _ => self.stop_drained_upstream(),
         }
     }
 
-    /// A drained upstream ends; whoever calls its address is told so.
-    fn end_drained_upstream(&mut self) {
+    /// Stops a draining upstream. Later calls to it report that its address is reused.
+    fn stop_drained_upstream(&mut self) {
         let mut upstreams = self.upstreams.values_mut();
         if let Some(drained) = upstreams.find(|u| u.is_up && u.is_draining) {
             drained.is_up = false;
@@ -249,8 +250,8 @@
         }
     }
 
-    /// The leader stands still; what it was in the middle of sending arrives after that, and another one leads
-    /// meanwhile.
+    /// Pauses the leader and elects another one. About half of the calls that the paused leader was sending arrive
+    /// after the pause.
     fn freeze_leader(&mut self, until: u64) {
         let frozen = self.term;
         if let Some(leader) = self.leaders.get_mut(&frozen) {
@@ -275,10 +276,10 @@
             held.extend(leases.map(|(first, lease)| (first, lease.last, id.as_str())));
         }
         held.sort_unstable();
-        for two in held.windows(2) {
+        for pair in held.windows(2) {
             assert!(
-                two[0].1 < two[1].0,
-                "at {}: two hold the same keys: {two:?}",
+                pair[0].1 < pair[1].0,
+                "at {}: two holders of the same keys: {pair:?}",
                 self.now
             );
         }
--- a/crates/placement/tests/simulation/writes.rs
+++ b/crates/placement/tests/simulation/writes.rs
@@ -1,4 +1,4 @@
-//! Writes that upstreams begin while they hold a lease, and that land later, in a store that checks fencing tokens.
+//! Writes that upstreams begin while they hold a lease, and that reach a store with fencing token checks later.
 
 use crate::world::{STEP_MS, World};
 
@@ -6,43 +6,43 @@
 pub(crate) struct Write {
     upstream: String,
     key: u16,
-    /// That of the lease under which it was begun.
+    /// Fencing token of the lease under which it was begun.
     fencing_token: u64,
-    lands_at: u64,
+    arrives_at: u64,
 }
 
 impl World {
-    /// Whoever holds a lease on a key begins a write to it; writes that are due land.
-    pub(crate) fn write(&mut self) {
-        // Few keys, so that different upstreams come to write the same.
+    /// Lets each holder of a lease on a random key begin a write to it, and applies the writes that are due.
+    pub(crate) fn run_writes(&mut self) {
+        // Only 16 keys, so that different upstreams write the same ones.
         let key = (self.rng.rand_range(0..16) * 4000) as u16;
-        let lands_at = self.now + self.rng.rand_range(0..20 * STEP_MS);
+        let arrives_at = self.now + self.rng.rand_range(0..20 * STEP_MS);
         let now = self.now;
         let begun = self.upstreams.iter().filter_map(|(id, upstream)| {
             Some(Write {
                 upstream: id.clone(),
                 key,
                 fencing_token: upstream.token_to_write(key, now)?,
-                lands_at,
+                arrives_at,
             })
         });
         self.writes.extend(begun);
         let (due, rest): (Vec<Write>, Vec<Write>) = std::mem::take(&mut self.writes)
             .into_iter()
-            .partition(|write| write.lands_at <= now);
+            .partition(|write| write.arrives_at <= now);
         self.writes = rest;
         for write in due {
-            self.land(write);
+            self.apply_write(write);
         }
     }
 
-    fn land(&mut self, write: Write) {
+    fn apply_write(&mut self, write: Write) {
         let upstream = self.upstreams.get(&write.upstream).filter(|u| u.is_up);
         let Some(upstream) = upstream else { return };
         if upstream.frozen_until > self.now {
-            // It goes on in the middle of it.
+            // The paused upstream completes the write when it resumes.
             self.writes.push(Write {
-                lands_at: upstream.frozen_until,
+                arrives_at: upstream.frozen_until,
                 ..write
             });
             return;
@@ -54,7 +54,7 @@
         }
         assert!(
             write.fencing_token >= *highest_token,
-            "{} wrote {} under {}, and {highest_token} had been seen",
+            "{} wrote key {} with token {} after token {highest_token}",
             write.upstream,
             write.key,
             write.fencing_token
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,20 +1,20 @@
-//! What ends the adapter.
+//! Errors that terminate the adapter.
 
 use load_balancing::interface::SettingsError;
 
-/// Why the adapter can't go on. The text is one line, and names the batch, the message and the field.
+/// A fatal error. The text is one line, and names the batch, the message and the field.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdapterError {
-    /// The simulator can't be read from.
+    /// Reading from the simulator failed.
     #[error("standard input: {0}")]
     Input(#[source] std::io::Error),
-    /// The simulator can't be written to.
+    /// Writing to the simulator failed.
     #[error("standard output: {0}")]
     Output(#[source] std::io::Error),
-    /// A line that is no batch. `batch` says which one in words: its own number may be unreadable.
+    /// A line is not a valid batch. `batch` describes its place, since its number may be unreadable.
     #[error("{batch}: {cause}")]
     MalformedBatch { batch: String, cause: String },
-    /// A message of a batch that can't be followed.
+    /// A message of a batch is invalid.
     #[error("batch {batch}: message {index}: {source}")]
     Message {
         batch: u64,
@@ -23,16 +23,16 @@
     },
 }
 
-/// Why a message can't be followed.
+/// Reason for which a message is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum MessageError {
-    /// A balancer can't start with these settings.
+    /// The settings of a balancer are invalid.
     #[error("field `Facts`: {0}")]
     Settings(#[from] SettingsError),
-    /// A request of a class that the settings don't have.
-    #[error("field `TierClass`: no class {0}")]
+    /// A request has a class that the settings don't contain.
+    #[error("field `TierClass`: the settings contain no class {0}")]
     UnknownClass(usize),
-    /// A status that stands for no outcome.
-    #[error("field `Rc`: no outcome {0}")]
+    /// An attempt ended with an unknown status.
+    #[error("field `Rc`: unknown status {0}")]
     UnknownStatus(u16),
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,7 +1,7 @@
-//! One balancer of the fleet, and the names on the wire that its handles stand for.
+//! One balancer of the fleet, and the mapping between its handles and the simulator's names.
 //!
-//! State: the balancer, and the names of its upstreams and of its open requests. A balancer that is killed loses all
-//! of it; what the simulator then tells of its requests is passed over.
+//! State: the balancer, and the names of its upstreams and open requests. A balancer that is stopped loses all of it;
+//! later events for its requests are ignored.
 
 use load_balancing::interface::{
     self, Action, AttemptOutcome, AttemptResult, Event, LoadReport, RequestId, ServerId, Span, Time,
@@ -13,7 +13,7 @@
 use crate::error::MessageError;
 use crate::wire::{self, Command};
 
-/// A point on the simulator's clock.
+/// Converts a time of the simulator's clock.
 pub(crate) fn time_from_ms(ms: f64) -> Time {
     Time(span_from_ms(ms).0)
 }
@@ -22,7 +22,7 @@
     us as f64 / 1000.0
 }
 
-/// A request that may still be named on the wire.
+/// A request to which later messages may still refer.
 struct OpenRequest {
     name: Box<str>,
     attempts_in_flight: usize,
@@ -31,24 +31,25 @@
 
 /// One balancer of the fleet.
 pub(crate) struct Instance {
-    /// Its number on the wire.
+    /// Its number in the simulator's messages.
     number: u64,
     balancer: Balancer,
     classes: usize,
     load_report_fields: Vec<LoadReportField>,
     upstreams: FxHashMap<Box<str>, ServerId>,
-    /// By [`ServerId`].
+    /// Indexed by [`ServerId`].
     upstream_names: Vec<Box<str>>,
     request_ids: FxHashMap<Box<str>, u64>,
     requests: FxHashMap<u64, OpenRequest>,
     next_request: u64,
-    /// Kept for their allocations.
+    /// Reused buffer.
     actions: Vec<Action>,
+    /// Reused buffer.
     endpoints: Vec<interface::Endpoint>,
 }
 
 impl Instance {
-    /// Starts a balancer that knows its settings and nothing else.
+    /// Starts a balancer with its settings and no other state.
     pub(crate) fn new(now: Time, start: &wire::Start) -> Result<Self, MessageError> {
         let settings = &start.settings;
         let fields = settings.stats.names.iter();
@@ -216,7 +217,7 @@
         }
     }
 
-    /// The handle of an upstream, given at the first mention of its name.
+    /// Returns the handle of an upstream, which is assigned when its name first occurs.
     fn server_id(&mut self, name: &str) -> ServerId {
         if let Some(&id) = self.upstreams.get(name) {
             return id;
@@ -241,7 +242,7 @@
         report
     }
 
-    /// Writes the balancer's actions in its order, each with a comma behind it.
+    /// Writes the balancer's actions as commands in order, each followed by a comma.
     fn write_actions(&mut self, out: &mut Vec<u8>) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
@@ -324,7 +325,7 @@
         write_command(out, &command);
     }
 
-    /// Writes the command that ends a request, for the request's name.
+    /// Writes the command that ends a request. `command` builds it from the request's name.
     fn write_end(
         &mut self,
         request: RequestId,
@@ -339,7 +340,7 @@
         self.remove_if_done(request.0);
     }
 
-    /// Drops the name of a request that is over and has no attempt in flight.
+    /// Removes a request that is over and has no attempt in flight.
     fn remove_if_done(&mut self, id: u64) {
         let open = self.requests.get(&id);
         if open.is_some_and(|open| open.is_over && open.attempts_in_flight == 0)
@@ -351,7 +352,8 @@
 }
 
 fn write_command(out: &mut Vec<u8>, command: &Command) {
-    serde_json::to_writer(&mut *out, command).expect("plain structs, written to memory");
+    serde_json::to_writer(&mut *out, command)
+        .expect("serializing plain structs to memory can't fail");
     out.push(b',');
 }
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! Hosts many balancers on the simulator's wire: reads a batch of events a line, writes a line of commands for each,
-//! and decides nothing.
+//! Connects balancers to the simulator: reads one batch of events per line from standard input, passes the events to
+//! the balancers, and writes one line with their commands per batch to standard output.
 //!
-//! State: one [`Instance`] for each balancer that was started and not stopped, in memory only. The adapter ends when
-//! its input does, and at the first line that it can't follow, with a message that names the batch and the field.
+//! State: one [`Instance`] for each running balancer, in memory only. The adapter ends at the end of its input, or at
+//! the first invalid line with a message that names the batch and the field.
 
 mod error;
 mod instance;
@@ -58,7 +58,7 @@
     serde_json::from_slice(line).map_err(|_| malformed_batch(line, last_batch))
 }
 
-/// Reads the line again, slowly, to name the batch and the field.
+/// Parses an invalid line again, with a slower parser that tracks the field, to describe the error.
 fn malformed_batch(line: &[u8], last_batch: Option<u64>) -> AdapterError {
     let batch = match (serde_json::from_slice::<BatchNumber>(line), last_batch) {
         (Ok(batch), _) => format!("batch {}", batch.number),
@@ -69,19 +69,19 @@
     let cause = match serde_path_to_error::deserialize::<_, Batch>(&mut reader) {
         Err(error) if error.path().iter().len() == 0 => error.into_inner().to_string(),
         Err(error) => format!("field `{}`: {}", error.path(), error.inner()),
-        Ok(_) => "something follows the batch on its line".to_string(),
+        Ok(_) => "unexpected data after the batch".to_string(),
     };
     AdapterError::MalformedBatch { batch, cause }
 }
 
-/// Hands each event of a batch to its balancer and writes the line that answers the batch.
+/// Passes each event of a batch to its balancer and writes the line that replies to the batch.
 fn handle_batch(
     instances: &mut FxHashMap<u64, Instance>,
     batch: &Batch,
     reply: &mut Vec<u8>,
 ) -> Result<(), AdapterError> {
-    write!(reply, "{{\"batch\":{},\"cmds\":[", batch.number).expect("written to memory");
-    let head_bytes = reply.len();
+    write!(reply, "{{\"batch\":{},\"cmds\":[", batch.number).expect("writing to memory can't fail");
+    let header_len = reply.len();
     let now = instance::time_from_ms(batch.time);
     for (index, event) in batch.events.iter().enumerate() {
         handle_event(instances, now, event, reply).map_err(|source| AdapterError::Message {
@@ -90,8 +90,8 @@
             source,
         })?;
     }
-    // Each command has a comma behind it.
-    if reply.len() > head_bytes {
+    // Each command is followed by a comma; the last one is removed.
+    if reply.len() > header_len {
         reply.pop();
     }
     reply.extend_from_slice(b"]}\n");
@@ -122,7 +122,7 @@
         Event::ResponseStarted(message) => message.balancer,
         Event::Memo(message) => message.balancer,
     };
-    // A balancer that is stopped, or was never started, hears nothing.
+    // Events for a balancer that is not running are ignored.
     let Some(instance) = instances.get_mut(&balancer) else {
         return Ok(());
     };
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
-//! The simulator's messages, borrowed from the input line.
+//! The simulator's messages in JSON. Input messages borrow from the input line.
 //!
-//! The written names are the simulator's; the names in the code are the terms of `docs/GLOSSARY.md`. Times are in
-//! milliseconds on the simulator's clock.
+//! The names in JSON are the simulator's; the names in the code are the terms of `docs/GLOSSARY.md`. Times are in
+//! milliseconds of the simulator's clock.
 
 use std::borrow::Cow;
 
@@ -9,13 +9,13 @@
 use load_balancing::settings::SiteSettings;
 use serde::{Deserialize, Serialize};
 
-/// A string of the input line; owned only where it holds escapes.
+/// A string of the input line; owned only if it contains escapes.
 pub(crate) type Text<'a> = Cow<'a, str>;
 
-/// The values of a load report, in the order that the settings state.
+/// The values of a load report, in the order given by the settings.
 pub(crate) type LoadReportRow = ArrayVec<f64, 4>;
 
-/// One line of input: what happened at one moment, to all balancers.
+/// One line of input: the events of all balancers at one time.
 #[derive(Deserialize)]
 pub(crate) struct Batch<'a> {
     #[serde(rename = "Ts")]
@@ -26,14 +26,14 @@
     pub(crate) events: Vec<Event<'a>>,
 }
 
-/// Only the number of a batch that could not be read as a whole.
+/// The number of a batch, for a line that is not a valid batch.
 #[derive(Deserialize)]
 pub(crate) struct BatchNumber {
     #[serde(rename = "batch")]
     pub(crate) number: u64,
 }
 
-/// What happened to one balancer.
+/// An event for one balancer.
 #[derive(Deserialize)]
 pub(crate) enum Event<'a> {
     #[serde(borrow, rename = "Order")]
@@ -50,7 +50,7 @@
     ProbeEnded(ProbeEnded<'a>),
     #[serde(borrow, rename = "Established")]
     ResponseStarted(ResponseStarted<'a>),
-    /// A note that asks for nothing.
+    /// An informational message that requires no action.
     Memo(Memo),
     /// A balancer starts.
     #[serde(rename = "Init")]
@@ -105,7 +105,7 @@
     pub(crate) load_report: Option<LoadReportRow>,
 }
 
-/// A timer that the balancer had set is due.
+/// A timer that the balancer set is due.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct TimerFired {
@@ -114,7 +114,7 @@
     pub(crate) token: u64,
 }
 
-/// A client no longer waits.
+/// A client has disconnected.
 #[derive(Deserialize)]
 pub(crate) struct ClientDisconnected<'a> {
     #[serde(rename = "Who")]
@@ -172,7 +172,7 @@
     pub(crate) endpoints: Vec<Endpoint<'a>>,
 }
 
-/// What kind of list it is.
+/// Kind of a membership message.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum MembershipKind {
@@ -198,7 +198,7 @@
     pub(crate) status: Status,
     #[serde(default = "one", rename = "CapacityHint")]
     pub(crate) weight: f64,
-    /// When it last started; 0 where nobody tells.
+    /// When it last started; 0 if unknown.
     #[serde(default, rename = "OnlineSince")]
     pub(crate) started: f64,
 }
@@ -218,7 +218,7 @@
     Gone,
 }
 
-/// A balancer starts, with nothing but its settings.
+/// A balancer starts, without state from earlier runs.
 #[derive(Deserialize)]
 pub(crate) struct Start {
     #[serde(rename = "Who")]
@@ -229,7 +229,7 @@
     pub(crate) settings: SiteSettings,
 }
 
-/// What a balancer tells the simulator to do.
+/// A balancer's instruction to the simulator.
 #[derive(Serialize)]
 pub(crate) enum Command<'a> {
     #[serde(rename = "Relay", rename_all = "PascalCase")]
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process on its wire.
+//! Tests of the adapter as a process, through standard input and output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -12,7 +12,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may end at the first bad line, before it has read the rest.
+    // The write may fail: the adapter ends at the first invalid line, before it has read the rest.
     let _ = child
         .stdin
         .take()
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn sends_name_their_balancer() {
+fn send_commands_name_their_balancer() {
     let output = run_adapter(&format!(
         "{}{}",
         batch(1, 1000.0, &json!([init(3), list(3), init(4), list(4)])),
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_stopped_balancer_restarts_with_nothing() {
+fn a_restarted_balancer_has_no_earlier_state() {
     let output = run_adapter(&format!(
         "{}{}",
         batch(
@@ -108,7 +108,10 @@
     assert!(output.status.success());
     let replies = replies(&output);
     assert_eq!(sends(&replies[0]).len(), 1);
-    assert!(sends(&replies[1]).is_empty(), "it knows no upstream yet");
+    assert!(
+        sends(&replies[1]).is_empty(),
+        "the restarted balancer knows no upstream yet"
+    );
 }
 
 #[test]
@@ -147,8 +150,8 @@
 }
 
 #[test]
-fn ordering_binding_and_draining_settings_reach_the_balancer() {
-    // Regression: the adapter passed none of ByArrival, TurnGap, ZonesAllowed, BoundTo and DrainClose on.
+fn ordering_zone_machine_type_and_draining_settings_reach_the_balancer() {
+    // Regression: the adapter ignored ByArrival, TurnGap, ZonesAllowed, BoundTo and DrainClose.
     let mut start = init(0);
     let facts = &mut start["Init"]["Facts"];
     facts["Services"] = json!([
@@ -192,7 +195,7 @@
     assert_eq!(
         jobs,
         ["a", "c"],
-        "b waits for its turn, d has no upstream of its kind"
+        "b waits for a, d has no upstream of its machine type"
     );
     let at = sent[1]["Upstream"].as_str().unwrap();
     assert!(
@@ -215,7 +218,7 @@
 }
 
 #[test]
-fn malformed_input_is_named_in_one_line() {
+fn invalid_input_is_reported_in_one_line() {
     let text =
         error_text(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":1,"Job":"a","TierClass":0}}]}"#);
     assert!(
@@ -231,12 +234,12 @@
     );
     let text = error_text(r#"{"Ts":2,"batch":"#);
     assert!(text.contains("the batch after 7"), "{text}");
-    let odd = json!([init(3), list(3), request_message(3, "rq_a", 1200.0), {"Result": {"Who": 3,
+    let unknown_status = json!([init(3), list(3), request_message(3, "rq_a", 1200.0), {"Result": {"Who": 3,
         "Job": "rq_a", "Go": 0, "Upstream": "10.0.0.1:80", "Rc": 299, "Latency": 9.0}}]);
-    let text = error_text(batch(8, 1000.0, &odd).trim());
+    let text = error_text(batch(8, 1000.0, &unknown_status).trim());
     assert!(text.contains("batch 8") && text.contains("Rc"), "{text}");
-    let mut bad = init(1);
-    bad["Init"]["Facts"]["Services"] = json!([]);
-    let text = error_text(batch(8, 2.0, &json!([bad])).trim());
+    let mut no_services = init(1);
+    no_services["Init"]["Facts"]["Services"] = json!([]);
+    let text = error_text(batch(8, 2.0, &json!([no_services])).trim());
     assert!(text.contains("batch 8") && text.contains("Facts"), "{text}");
 }
