--- a/crates/data-plane/src/abort_on_drop.rs
+++ b/crates/data-plane/src/abort_on_drop.rs
@@ -1,8 +1,8 @@
-//! Ties a task to its owner.
+//! A task handle that aborts its task on drop.
 
 use tokio::task::JoinHandle;
 
-/// A task that is aborted when its owner drops it, and that closes then what it holds.
+/// A task that is aborted when this handle is dropped. Aborting drops the task's future and closes its resources.
 pub struct AbortOnDrop(pub JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
--- a/crates/data-plane/src/body.rs
+++ b/crates/data-plane/src/body.rs
@@ -1,36 +1,36 @@
-//! Memory for the bodies of requests and responses, and reading a body within it.
+//! Memory budgets for request and response bodies, and a buffer that reads a body within its budget.
 //!
-//! **Job.** A [`BodyBudget`] bounds how many bytes all bodies of one side (those of requests, or those of responses)
-//! take together. A [`BodyBuffer`] collects one body and reserves from the budget what it takes.
+//! A [`BodyBudget`] limits the total size of all bodies of one direction (requests or responses). A [`BodyBuffer`]
+//! collects one body and reserves its size from the budget.
 //!
-//! **State.** The number of reserved bytes of each budget. A reservation is given back when its owner is dropped:
-//! for a body that was read, when the last copy of its [`Bytes`] is dropped, so that bodies which wait for a slow
-//! reader count too.
+//! **State.** The number of reserved bytes of each budget. A reservation is released when its owner is dropped. For a
+//! body that was read, that is when the last copy of its [`Bytes`] is dropped, so bodies that are still being sent to a
+//! slow reader count too.
 //!
-//! **Promises.** The reserved bytes never exceed the budget. A body that does not fit is refused, never truncated.
+//! **Guarantees.** The reserved bytes never exceed the budget. A body that does not fit is refused, never truncated.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
 use bytes::Bytes;
 
-/// How many bytes the bodies of one side may take together. Clones share the budget.
+/// The maximum total size of the bodies of one direction. Clones share the budget.
 ///
-/// Atomic since `Bytes` requires its owner to be `Send`; there is only one thread.
+/// The counter is atomic because `Bytes` requires its owner to be `Send`; there is only one thread.
 #[derive(Clone)]
 pub struct BodyBudget {
     reserved_bytes: Arc<AtomicUsize>,
     max_bytes: usize,
 }
 
-/// Bytes of a budget, given back on drop.
+/// Bytes reserved from a budget; released on drop.
 pub struct BodyReservation {
     budget: BodyBudget,
     bytes: usize,
 }
 
 impl BodyBudget {
-    /// A budget of `max_bytes` bytes, none of them reserved.
+    /// Creates a budget of `max_bytes` bytes, none of them reserved.
     pub fn new(max_bytes: usize) -> Self {
         Self {
             reserved_bytes: Arc::default(),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Reserves `bytes` bytes; `None` if fewer are left.
+    /// Reserves `bytes` bytes. Returns `None` if fewer are available.
     pub fn reserve(&self, bytes: usize) -> Option<BodyReservation> {
         let mut reservation = BodyReservation {
             budget: self.clone(),
@@ -49,7 +49,7 @@
 }
 
 impl BodyReservation {
-    /// Grows to `bytes` bytes, or returns false if the budget has fewer left. Never shrinks.
+    /// Grows the reservation to `bytes` bytes; never shrinks it. Returns false if the budget does not have enough left.
     fn grow_to(&mut self, bytes: usize) -> bool {
         let additional = bytes.saturating_sub(self.bytes);
         let reserved = self.budget.reserved_bytes.load(Relaxed);
@@ -70,7 +70,7 @@
     }
 }
 
-/// A complete body and its reservation, which lasts until the last copy is dropped, a slow reader's too.
+/// A complete body and its reservation, which is held until the last copy of the body is dropped.
 struct ReservedBody {
     body: Vec<u8>,
     _reservation: BodyReservation,
@@ -85,16 +85,16 @@
 /// A body that is being read.
 pub struct BodyBuffer {
     body: Vec<u8>,
-    /// `None` for a body that is skipped: it takes no memory.
+    /// `None` for a body that is skipped, which takes no memory.
     reservation: Option<BodyReservation>,
     length: usize,
     max_bytes: usize,
 }
 
 impl BodyBuffer {
-    /// A buffer for a body whose head announces `announced` bytes (0 where it announces none).
+    /// Creates a buffer for a body whose head announces `announced` bytes (0 if it announces no length).
     ///
-    /// `None` if that is more than `max_bytes` or than the budget has left.
+    /// Returns `None` if that is more than `max_bytes` or more than the budget has left.
     pub fn new(budget: &BodyBudget, announced: usize, max_bytes: usize) -> Option<Self> {
         if announced > max_bytes {
             return None;
@@ -108,7 +108,7 @@
         })
     }
 
-    /// A buffer that counts the bytes of a body of at most `max_bytes` and drops them.
+    /// Creates a buffer that discards a body of at most `max_bytes` bytes and only counts its length.
     pub fn skipping(max_bytes: usize) -> Self {
         Self {
             body: Vec::new(),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Appends the next bytes; `None` if the body becomes larger than it may be or than the budget has left.
+    /// Appends the next bytes. Returns `None` if the body exceeds its maximum size or the budget.
     pub fn append(&mut self, data: &[u8]) -> Option<()> {
         self.length += data.len();
         if self.length > self.max_bytes {
@@ -131,7 +131,7 @@
         Some(())
     }
 
-    /// The complete body, which keeps its reservation; empty if it was skipped.
+    /// Returns the complete body, which keeps its reservation; empty if the body was skipped.
     pub fn into_bytes(self) -> Bytes {
         match self.reservation {
             Some(reservation) => Bytes::from_owner(ReservedBody {
--- a/crates/data-plane/src/body/tests.rs
+++ b/crates/data-plane/src/body/tests.rs
@@ -1,4 +1,4 @@
-//! Bodies and the budget that they take.
+//! Reservation and release of body memory.
 
 use super::*;
 
--- a/crates/data-plane/src/change_notifier.rs
+++ b/crates/data-plane/src/change_notifier.rs
@@ -1,8 +1,8 @@
-//! A count of changes that tasks of one thread wait on.
+//! A change counter on which tasks of one thread can wait.
 //!
-//! Tasks wake in the order in which they began to wait, so that a simulation plays the same each time;
-//! `tokio::sync::watch` wakes them in a random order. A change that comes while a watcher is not waiting is not missed:
-//! its next wait ends at once.
+//! Tasks wake in the order in which they began to wait, which keeps simulations deterministic; `tokio::sync::watch`
+//! wakes them in random order. A change that occurs while a watcher is not waiting is not missed: its next wait ends
+//! immediately.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,18 +15,18 @@
     notify: Notify,
 }
 
-/// Something that changes.
+/// The notifying side: counts changes and wakes the watchers.
 #[derive(Default)]
 pub struct ChangeNotifier(Rc<SharedCount>);
 
 impl ChangeNotifier {
-    /// Notes a change, and wakes whoever waits for one.
+    /// Records a change and wakes all waiting watchers.
     pub fn notify(&self) {
         self.0.changes.set(self.0.changes.get() + 1);
         self.0.notify.notify_waiters();
     }
 
-    /// A watcher that has seen all changes up to now.
+    /// Returns a watcher that has seen all changes up to now.
     pub fn watch(&self) -> ChangeWatcher {
         ChangeWatcher {
             seen: self.0.changes.get(),
@@ -42,15 +42,16 @@
 }
 
 impl ChangeWatcher {
-    /// Takes all changes up to now as seen.
+    /// Marks all changes up to now as seen.
     pub fn mark_all_seen(&mut self) {
         self.seen = self.count.changes.get();
     }
 
-    /// Waits for a change that was not seen, and takes all changes up to then as seen; ends at once if there was one.
+    /// Waits for a change that was not seen, and marks all changes up to then as seen. Returns immediately if there was
+    /// one already.
     pub async fn changed(&mut self) {
         loop {
-            // Made before the count is read: it hears of what changes from here on, polled or not.
+            // Created before the count is read: it is notified of every change from here on, even before it is polled.
             let notified = self.count.notify.notified();
             let changes = self.count.changes.get();
             if changes != self.seen {
--- a/crates/data-plane/src/change_notifier/tests.rs
+++ b/crates/data-plane/src/change_notifier/tests.rs
@@ -1,4 +1,4 @@
-//! Waking order and missed changes.
+//! Order in which watchers wake, and changes that occur while nobody waits.
 
 use std::cell::RefCell;
 
@@ -30,7 +30,7 @@
         before.mark_all_seen();
         let mut waits = std::pin::pin!(before.changed());
         let now = std::future::poll_fn(|cx| std::task::Poll::Ready(waits.as_mut().poll(cx)));
-        assert!(now.await.is_pending(), "it was seen");
+        assert!(now.await.is_pending(), "the change was marked as seen");
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/data-plane/src/client_connections.rs
+++ b/crates/data-plane/src/client_connections.rs
@@ -1,10 +1,9 @@
-//! Clients' connections: how many there may be, and which one is closed when the next one needs its place.
+//! Client connections: how many may be open, and which one is evicted when a new one needs its slot.
 //!
-//! Owns the registry of all open connections. The state and the time limits of a single one stand in `connection`.
+//! Owns the registry of all open connections. `connection` contains the state and the timeouts of a single one.
 //!
-//! **Promises.** A connection with an open request is never closed to make room. **May lose.** A kept connection that
-//! is closed while its client's next request is on the way: the client sends that request once more, as HTTP has it
-//! (RFC 9112, 9.3.1).
+//! **Guarantees.** A connection with an open request is never evicted. **Failures.** A keep-alive connection may be
+//! evicted while its client's next request is in transit; the client then sends that request again (RFC 9112, 9.3.1).
 
 mod connection;
 
@@ -18,12 +17,13 @@
 use crate::client_stream::Traffic;
 pub use connection::ClientConnection;
 
-/// How long a client may take and stay idle.
+/// Timeouts of client connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientTimeouts {
-    /// A head must be whole within this time after its connection came up, or after its first byte on a kept one.
+    /// How long a request head may take: from the accept of a new connection, or from the head's first byte on a
+    /// keep-alive connection.
     pub header: Duration,
-    /// A kept connection is closed once it has idled for this long.
+    /// How long a keep-alive connection may be idle before it is closed.
     pub idle: Duration,
 }
 
@@ -32,29 +32,29 @@
     open: RefCell<FxHashMap<u64, Rc<ClientConnection>>>,
     next_id: Cell<u64>,
     max_connections: usize,
-    /// Beyond this many in use, kept ones are closed as soon as others are answered.
+    /// While more connections than this are in use, each response causes an idle connection to be closed.
     idle_eviction_threshold: usize,
     timeouts: Rc<Cell<ClientTimeouts>>,
 }
 
-/// The place of a connection in the registry; dropping it frees the place.
+/// The slot of a connection in the registry; dropping it frees the slot.
 pub struct ConnectionSlot {
-    /// The connection that has this place.
+    /// The connection that occupies the slot.
     pub connection: Rc<ClientConnection>,
     registry: Rc<ClientConnections>,
     id: u64,
 }
 
 impl ConnectionSlot {
-    /// Notes that the open request was answered, and closes the connection that has idled longest if too many are in
-    /// use. Clients that ask once and keep their connection would soon have all that they may open, and then none to
-    /// ask on.
+    /// Records that the open request has its response, and closes the connection that has been idle longest if too many
+    /// are in use. Otherwise clients that send one request and keep the connection open would soon occupy all slots,
+    /// and no connection would be left for further requests.
     pub fn on_response(&self) {
         self.connection.on_response();
         let open = self.registry.open.borrow();
         let threshold = self.registry.idle_eviction_threshold;
         if open.len() > threshold && open.values().filter(|c| c.is_in_use()).count() > threshold {
-            // Not this one: its response is yet to be written.
+            // Excludes this connection: its response has not been written yet.
             let others = open.iter().filter(|(id, _)| **id != self.id);
             let idle = others.filter_map(|(_, c)| Some((c.idle_since()?, c)));
             if let Some((_, longest)) = idle.min_by_key(|(since, _)| *since) {
@@ -71,8 +71,8 @@
 }
 
 impl ClientConnections {
-    /// A registry for this many connections. While more than `idle_eviction_threshold` are in use, idle ones are
-    /// closed.
+    /// Creates a registry for at most `max_connections` connections. While more than `idle_eviction_threshold` are in
+    /// use, idle ones are closed.
     pub fn new(
         max_connections: usize,
         idle_eviction_threshold: usize,
@@ -87,27 +87,27 @@
         })
     }
 
-    /// Sets the time limits, for open connections too.
+    /// Sets the timeouts, also for connections that are already open.
     pub fn set_timeouts(&self, timeouts: ClientTimeouts) {
         self.timeouts.set(timeouts);
     }
 
-    /// Open connections.
+    /// Returns the number of open connections.
     pub fn len(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Whether no connection is open.
+    /// Returns whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether there is no place for another connection.
+    /// Returns whether all slots are occupied.
     pub fn is_full(&self) -> bool {
         self.len() >= self.max_connections
     }
 
-    /// Gives a new connection a place. The caller has looked at [`Self::is_full`].
+    /// Registers a new connection. The caller must have checked [`Self::is_full`].
     pub fn register(self: &Rc<Self>, traffic: Traffic) -> ConnectionSlot {
         let id = self.next_id.replace(self.next_id.get() + 1);
         let connection = Rc::new(ClientConnection::new(self.timeouts.clone(), traffic));
@@ -119,9 +119,9 @@
         }
     }
 
-    /// Closes one connection without an open request: the one that has sent nothing for longest, else the one that
-    /// has idled longest. Hundreds of silent connections would otherwise hold all places and keep every other client
-    /// out.
+    /// Evicts one connection without an open request: the one that has waited longest for a request head or for its
+    /// close, or else the one that has been idle longest. Otherwise hundreds of silent connections could occupy all
+    /// slots and lock out every other client.
     pub fn evict_idle(&self) {
         let now = Instant::now();
         let open = self.open.borrow();
--- a/crates/data-plane/src/client_connections/connection.rs
+++ b/crates/data-plane/src/client_connections/connection.rs
@@ -1,7 +1,7 @@
-//! One client's connection: its state between accept and close, and until when it may stay in that state.
+//! One client connection: its state between accept and close, and how long it may stay in that state.
 //!
-//! The state is changed by the task that serves the connection, and by an eviction. How many bytes passed is counted
-//! by the stream itself ([`Traffic`]); limits are judged by that.
+//! The state is changed by the task that serves the connection and by evictions. The stream counts the transferred
+//! bytes ([`Traffic`]); the timeouts are based on these counts.
 
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -18,14 +18,15 @@
 
 /// A connection that served a client within this time is not evicted.
 pub(super) const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
-/// A connection that has sent nothing for this long may be evicted: clients that have a request send it right away.
+/// A connection on which no request has arrived for this long may be evicted: clients that have a request send it
+/// immediately.
 pub(super) const EVICT_UNUSED_AFTER: Duration = Duration::from_millis(250);
 
-/// A response has to be read to its end within this many idle time-outs, and a part of it within each one. At a minute
-/// for a megabyte a reader is not slow but absent.
-const MAX_READ_IDLE_TIMES: u32 = 4;
+/// A client has to read a response completely within this many idle timeouts, and at least a part of it within each
+/// one. A client that needs a minute for a megabyte is treated as gone rather than slow.
+const MAX_RESPONSE_IDLE_TIMEOUTS: u32 = 4;
 
-/// One client's connection.
+/// One client connection.
 pub struct ClientConnection {
     timeouts: Rc<Cell<ClientTimeouts>>,
     traffic: Traffic,
@@ -35,30 +36,30 @@
 
 #[derive(Clone, Copy)]
 enum State {
-    /// No request has come on it yet.
+    /// No complete request head has arrived yet.
     New { since: Instant },
-    /// A request is open.
+    /// A request has arrived and has no response yet.
     RequestOpen,
-    /// Its last request was answered, and the next one has not come whole.
+    /// The last request has its response, and no further complete request head has arrived.
     KeepAlive(KeepAlive),
-    /// Only read to its end, so that the last response is not lost to a reset.
+    /// The remaining input is read and discarded, so that a reset does not destroy the last response.
     Closing { since: Instant },
-    /// Chosen to make room.
+    /// Selected to be closed in favour of a new connection.
     Evicted,
 }
 
-/// A connection between its last response and the next request.
+/// The state of a connection between its last response and the next request.
 #[derive(Clone, Copy)]
 struct KeepAlive {
-    /// When the response was handed over to be written.
+    /// When the response was passed to the HTTP library for writing.
     answered_at: Instant,
-    /// When a part of it was last seen written.
+    /// When progress in writing the response was last observed.
     last_written: Instant,
-    /// Bytes that had been read when the response was given.
+    /// The number of bytes read when the response was passed on.
     bytes_read: u64,
-    /// Bytes that had been written at `last_written`.
+    /// The number of bytes written at `last_written`.
     bytes_written: u64,
-    /// When the next head began.
+    /// When the first byte of the next request head was observed.
     next_head: Option<Instant>,
 }
 
@@ -73,12 +74,12 @@
         }
     }
 
-    /// A request has come.
+    /// Records that a request has arrived.
     pub fn on_request(&self) {
         self.state.set(State::RequestOpen);
     }
 
-    /// The open request has its response, which is yet to be written.
+    /// Records that the open request has its response, which has not been written yet.
     pub(super) fn on_response(&self) {
         let now = Instant::now();
         self.state.set(State::KeepAlive(KeepAlive {
@@ -90,23 +91,24 @@
         }));
     }
 
-    /// Nothing more is answered on it; it is read to its end.
+    /// Records that no further requests are served, and that the remaining input is discarded.
     pub fn on_closing(&self) {
         let since = Instant::now();
         self.state.set(State::Closing { since });
     }
 
-    /// Whether a request is open on it.
+    /// Returns whether a request is open on the connection.
     pub fn has_open_request(&self) -> bool {
         matches!(self.state.get(), State::RequestOpen)
     }
 
-    /// Whether a request is open on it, or was answered and may be followed by another.
+    /// Returns whether a request is open, or has its response and may be followed by another one.
     pub(super) fn is_in_use(&self) -> bool {
         matches!(self.state.get(), State::RequestOpen | State::KeepAlive(_))
     }
 
-    /// Whether no request is open on it, the last response is written, and nothing of a next request has come.
+    /// Returns whether no request is open, the last response has been written, and no byte of a next request has
+    /// arrived.
     pub fn is_idle(&self) -> bool {
         match self.state.get() {
             State::New { .. } => self.traffic.bytes_read() == 0,
@@ -119,7 +121,7 @@
         self.traffic.bytes_read() == kept.bytes_read && !self.traffic.is_write_blocked()
     }
 
-    /// When it has to be closed, as things stand.
+    /// Returns when the connection has to be closed according to its current state.
     fn deadline(&self) -> Option<Instant> {
         match self.state.get() {
             State::New { since } => Some(since + self.timeouts.get().header),
@@ -132,8 +134,9 @@
         }
     }
 
-    /// When a kept connection has to be closed. The time counts from the last byte written: counted from the response,
-    /// whoever read slowly lost its end, and whoever had read slowly lost the connection sooner than announced.
+    /// Returns when a keep-alive connection has to be closed. The idle timeout starts at the last byte written. Had it
+    /// started when the response was passed on, slow readers would lose the end of the response, or the connection
+    /// earlier than announced.
     fn keep_alive_deadline(&self, kept: &mut KeepAlive) -> Instant {
         let ClientTimeouts { header, idle } = self.timeouts.get();
         let bytes_written = self.traffic.bytes_written();
@@ -141,7 +144,8 @@
             (kept.bytes_written, kept.last_written) = (bytes_written, Instant::now());
         }
         if self.traffic.is_write_blocked() {
-            return (kept.last_written + idle).min(kept.answered_at + idle * MAX_READ_IDLE_TIMES);
+            return (kept.last_written + idle)
+                .min(kept.answered_at + idle * MAX_RESPONSE_IDLE_TIMEOUTS);
         }
         if self.traffic.bytes_read() == kept.bytes_read {
             return kept.last_written + idle;
@@ -149,8 +153,8 @@
         *kept.next_head.get_or_insert_with(Instant::now) + header
     }
 
-    /// Since when a kept connection idles, if it does. Closed then, it costs its client no request: one that crosses
-    /// with the close is sent once more.
+    /// Returns since when a keep-alive connection has been idle, or `None` if it is not. Closing an idle connection
+    /// loses no request: the client sends a request that was in transit again.
     pub(super) fn idle_since(&self) -> Option<Instant> {
         match self.state.get() {
             State::KeepAlive(kept) => self.is_keep_alive_idle(&kept).then_some(kept.last_written),
@@ -158,8 +162,9 @@
         }
     }
 
-    /// How soon it is to make room for another, if it may by now: the least goes first. Those that have served a
-    /// client come last, and within each group the one that has waited longest comes first.
+    /// Returns the eviction order of the connection, or `None` if it must not be evicted now. The least rank is evicted
+    /// first. Idle connections that have served a client come last; within each group, the one that has waited longest
+    /// comes first.
     pub(super) fn eviction_rank(&self, now: Instant) -> Option<(bool, Instant)> {
         let (served, since, after) = match self.state.get() {
             State::New { since } | State::Closing { since } => (false, since, EVICT_UNUSED_AFTER),
@@ -173,14 +178,14 @@
         (now >= since + after).then_some((served, since))
     }
 
-    /// Chooses it to make room: [`Self::wait_for_eviction`] ends unless a request has come by then.
+    /// Selects the connection for eviction: [`Self::wait_for_eviction`] ends unless a request arrives first.
     pub(super) fn evict(&self) {
         self.state.set(State::Evicted);
         self.evicted.notify_one();
     }
 
-    /// Waits until it is chosen to make room. The state is looked at again after the wake-up: a request that came in
-    /// between takes the choice back, and would otherwise be dropped half done.
+    /// Waits until the connection is evicted. Checks the state again after the wake-up, since a request that has
+    /// arrived in between cancels the eviction and would otherwise be dropped while it runs.
     pub async fn wait_for_eviction(&self) {
         loop {
             self.evicted.notified().await;
@@ -190,8 +195,8 @@
         }
     }
 
-    /// Waits until it has to be closed: its time is up, or it is to make room. To be polled by the connection's own
-    /// task, whenever something has passed on it.
+    /// Waits until the connection has to be closed because of a timeout or an eviction. Has to be polled by the
+    /// connection's own task each time that bytes were transferred.
     pub async fn wait_for_end(&self) {
         let mut timer = pin!(sleep_until(Instant::now()));
         let overdue = poll_fn(|cx| {
--- a/crates/data-plane/src/client_connections/tests.rs
+++ b/crates/data-plane/src/client_connections/tests.rs
@@ -1,4 +1,4 @@
-//! Limits of clients' connections and who makes room for whom, in paused time.
+//! Timeouts and eviction of client connections, in paused time.
 
 use std::task::Poll;
 use std::time::Duration;
@@ -13,7 +13,7 @@
     idle: Duration::from_secs(4),
 };
 
-/// Whether it was chosen to make room.
+/// Returns whether the connection was evicted.
 async fn is_evicted(slot: &ConnectionSlot) -> bool {
     timeout(Duration::ZERO, slot.connection.wait_for_eviction())
         .await
@@ -29,7 +29,7 @@
     all.evict_idle();
     assert!(
         !is_evicted(&slots[1]).await && !is_evicted(&slots[2]).await,
-        "they have had no time to ask"
+        "new connections had no time to send a request"
     );
     advance(EVICT_UNUSED_AFTER).await;
     slots[1].on_response();
@@ -57,7 +57,7 @@
     }
 }
 
-/// Whether it has to go.
+/// Returns whether the connection has to be closed.
 async fn has_ended(slot: &ConnectionSlot) -> bool {
     timeout(Duration::ZERO, slot.connection.wait_for_end())
         .await
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn slowly_read_answer_is_written_to_its_end_before_the_idle_timeout_starts() {
+async fn slowly_read_response_is_written_completely_before_the_idle_timeout_starts() {
     let all = ClientConnections::new(1, 1, TIMEOUTS);
     let traffic = Traffic::default();
     let slot = all.register(traffic.clone());
@@ -75,7 +75,7 @@
         traffic.record_write(&Poll::Ready(Ok(1000)));
         traffic.record_write(&Poll::Pending);
         assert!(!slot.connection.is_idle());
-        // The next request has begun meanwhile.
+        // Meanwhile the first bytes of the next request arrive.
         traffic.record_read(10);
         assert!(!has_ended(&slot).await);
         advance(3 * second).await;
@@ -83,23 +83,20 @@
         assert!(!has_ended(&slot).await && !slot.connection.is_idle());
     }
     traffic.record_write(&Poll::Ready(Ok(1000)));
-    assert!(
-        !has_ended(&slot).await,
-        "its next head has a time of its own"
-    );
+    assert!(!has_ended(&slot).await, "the next head has its own timeout");
     advance(2 * second).await;
-    assert!(has_ended(&slot).await, "but no more than that");
+    assert!(has_ended(&slot).await, "the header timeout has passed");
 
     slot.on_response();
     advance(3 * second).await;
     traffic.record_write(&Poll::Ready(Ok(1000)));
     assert!(!has_ended(&slot).await);
     advance(3 * second).await;
-    assert!(!has_ended(&slot).await, "it has idled since its last byte");
+    assert!(!has_ended(&slot).await, "idle since the last byte written");
     advance(second).await;
     assert!(has_ended(&slot).await);
 
-    // A reader that takes nothing for as long as it may idle, and one that takes next to nothing.
+    // A reader that reads nothing for the idle timeout, and one that reads a byte within each idle timeout.
     for (pace, ends_after) in [(4, 1), (3, 6)] {
         slot.on_response();
         for turn in 1..=ends_after {
@@ -117,7 +114,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn request_that_crosses_with_an_eviction_is_served() {
+async fn request_that_arrives_during_an_eviction_is_served() {
     let all = ClientConnections::new(1, 1, TIMEOUTS);
     let slot = all.register(Traffic::default());
     slot.on_response();
--- a/crates/data-plane/src/client_stream.rs
+++ b/crates/data-plane/src/client_stream.rs
@@ -1,9 +1,9 @@
-//! A client's TCP stream that shows its owner more than the HTTP library does: how many bytes were read and written,
-//! whether writing waits, and whether the client has closed while the library does not look.
+//! A client's TCP stream that exposes what the HTTP library hides: how many bytes were read and written, whether a
+//! write is blocked, and whether the client has closed the connection while the library does not read.
 //!
-//! The library reads and writes a [`MeteredStream`]; the owner keeps the [`SharedSocket`] below it, which outlives the
-//! library's use, and the [`Traffic`] counters. Bytes that were read to see the client's end are held for the library,
-//! at most `MAX_READ_AHEAD_BYTES` of them.
+//! The library reads and writes a [`MeteredStream`]. The owner of the connection keeps the underlying [`SharedSocket`],
+//! which remains open after the library has finished, and the [`Traffic`] counters. Bytes that are read to detect the
+//! client's close are buffered for the library, at most `MAX_READ_AHEAD_BYTES` of them.
 
 use std::cell::{Cell, RefCell};
 use std::io::{Error, IoSlice, Result};
@@ -15,7 +15,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Counts the bytes that pass on a stream; clones share the counts.
+/// Counts the bytes transferred on a stream; clones share the counters.
 #[derive(Clone, Default)]
 pub struct Traffic(Rc<Counters>);
 
@@ -23,22 +23,22 @@
 struct Counters {
     bytes_read: Cell<u64>,
     bytes_written: Cell<u64>,
-    /// The last write had to wait.
+    /// Whether the last write returned `Pending`.
     write_blocked: Cell<bool>,
 }
 
 impl Traffic {
-    /// Bytes that the HTTP library has read.
+    /// Returns how many bytes the HTTP library has read.
     pub fn bytes_read(&self) -> u64 {
         self.0.bytes_read.get()
     }
 
-    /// Bytes that the kernel has taken for writing.
+    /// Returns how many bytes the kernel has accepted for sending.
     pub fn bytes_written(&self) -> u64 {
         self.0.bytes_written.get()
     }
 
-    /// Whether something is left to be written that the kernel could not take yet.
+    /// Returns whether data is waiting that the kernel could not accept yet.
     pub fn is_write_blocked(&self) -> bool {
         self.0.write_blocked.get()
     }
@@ -47,7 +47,7 @@
         self.0.bytes_read.set(self.bytes_read() + bytes as u64);
     }
 
-    /// Notes the outcome of a write: bytes taken, or none for now.
+    /// Records the outcome of a write: the number of bytes accepted, or that it is blocked.
     pub(crate) fn record_write(&self, outcome: &Poll<Result<usize>>) {
         self.0.write_blocked.set(outcome.is_pending());
         if let Poll::Ready(Ok(bytes)) = outcome {
@@ -57,17 +57,17 @@
     }
 }
 
-/// Bytes that are read ahead of the library at the most. A client that sends more behind an open request is not watched
-/// for its end any further.
+/// The maximum number of bytes read ahead of the library. If a client sends more than this after an open request, its
+/// close is no longer detected while that request is open.
 const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
-/// Bytes that are read ahead at once.
+/// The number of bytes read ahead per read.
 const READ_AHEAD_CHUNK_BYTES: usize = 2 << 10;
 
-/// A stream, and what was read of it ahead of the library.
+/// A stream with a buffer of the bytes that were read ahead of the library.
 pub struct ReadAheadSocket {
     stream: TcpStream,
     read_ahead: BytesMut,
-    /// How the stream ended, if that was read ahead.
+    /// How the stream ended, if reading ahead reached its end.
     end: Option<Result<()>>,
 }
 
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Ready once the client has closed, half closed or reset the connection. Reads ahead to see that: the library
-    /// does not look for the end of a connection while it holds bytes behind the request that is open.
+    /// Ready once the client has closed, half-closed or reset the connection. Reads ahead to detect that, because the
+    /// library does not check for the end of a connection while it has buffered bytes that follow the open request.
     pub fn poll_peer_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.end.is_none() {
             if self.read_ahead.len() >= MAX_READ_AHEAD_BYTES {
@@ -93,7 +93,7 @@
                 Ok(()) if buf.filled().is_empty() => self.end = Some(Ok(())),
                 Ok(()) => {
                     self.read_ahead.extend_from_slice(buf.filled());
-                    // The library may be waiting for just these.
+                    // The library may be waiting for these bytes.
                     cx.waker().wake_by_ref();
                 }
                 Err(error) => self.end = Some(Err(error)),
@@ -118,13 +118,13 @@
         match &self.end {
             None => Pin::new(&mut self.stream).poll_read(cx, buf),
             Some(Ok(())) => Poll::Ready(Ok(())),
-            // An `io::Error` cannot be cloned, and the end is reported to each read.
+            // Each read reports the error, but an `io::Error` cannot be cloned.
             Some(Err(error)) => Poll::Ready(Err(Error::new(error.kind(), error.to_string()))),
         }
     }
 }
 
-/// The socket below a [`MeteredStream`], for the owner of the connection.
+/// The underlying socket of a [`MeteredStream`], shared with the owner of the connection.
 pub type SharedSocket = Rc<RefCell<ReadAheadSocket>>;
 
 /// The stream that the HTTP library reads and writes.
@@ -134,7 +134,7 @@
 }
 
 impl MeteredStream {
-    /// Wraps a stream. Gives what the library gets, the socket below it, and the counters.
+    /// Wraps a stream. Returns the stream for the library, the underlying socket, and the counters.
     pub fn new(stream: TcpStream) -> (Self, SharedSocket, Traffic) {
         let socket = Rc::new(RefCell::new(ReadAheadSocket::new(stream)));
         let traffic = Traffic::default();
--- a/crates/data-plane/src/control_client/control_nodes.rs
+++ b/crates/data-plane/src/control_client/control_nodes.rs
@@ -1,5 +1,5 @@
-//! The control nodes that are known, and the order in which they are called. Owns that knowledge; it only grows while
-//! the process lives, since an address that does not answer merely comes last.
+//! The known control nodes and the order in which the client connects to them. Nodes are never removed during the life
+//! of the process; one that does not respond merely ranks last.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,45 +7,45 @@
 use protocol::wire::{Balancer, ControlNode};
 use tokio::time::Instant;
 
-/// What is known of the control node at one address.
+/// What is known about the control node at one address.
 #[derive(Default)]
 struct KnownNode {
-    /// As another control node described it; none for a seed that nobody has described.
+    /// The description from a control node; `None` for a seed that no node has described.
     description: Option<ControlNode>,
-    /// Its last session failed or it was out of contact: others come first until then.
+    /// Until when other nodes are preferred, because the last session failed or the node was out of contact.
     backoff_until: Option<Instant>,
-    /// A session with it is open or being opened.
+    /// Whether a session with it is open or being opened.
     in_use: bool,
 }
 
 impl KnownNode {
-    /// Until when others come first, if they do now.
+    /// Returns the end of the backoff, or `None` if the node is not in backoff now.
     fn backoff(&self) -> Option<Instant> {
         self.backoff_until.filter(|until| Instant::now() < *until)
     }
 
-    /// Whether it is known to be a member of the replicated log: only members are described.
+    /// Returns whether the node is known to be a member of the replicated log: only members are described.
     fn is_member(&self) -> bool {
         self.description.is_some()
     }
 }
 
-/// How far away a control node is.
+/// The distance of a control node.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Locality {
     SameZone,
     SameRegion,
-    /// In another region, or not known where.
+    /// In another region, or at an unknown location.
     Elsewhere,
 }
 
-/// The rank of a control node; the least is called first. Among those in backoff the one whose backoff ends first
-/// leads, so that they are called in turn.
+/// The rank of a control node; the client connects to the node with the least rank first. Among nodes in backoff, the
+/// one whose backoff ends first ranks first, so that all of them are tried in turn.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     backoff: Option<Instant>,
     locality: Locality,
-    /// Another order for each balancer, so that they spread over equally near nodes.
+    /// A hash that differs between balancers, so that they spread over equally near nodes.
     spread: u64,
 }
 
@@ -64,25 +64,25 @@
         }
     }
 
-    /// Whether it is worth a move away from the other: between equally near nodes it is not.
+    /// Returns whether a session should move from the other node to this one; not if they are equally near.
     fn is_nearer_than(&self, other: &Self) -> bool {
         (self.backoff.is_some(), self.locality) < (other.backoff.is_some(), other.locality)
     }
 }
 
-/// The control nodes that are known, by the address at which they take sessions.
+/// The known control nodes by the address at which they accept sessions.
 #[derive(Default)]
 pub(super) struct ControlNodes(BTreeMap<SocketAddr, KnownNode>);
 
 impl ControlNodes {
-    /// Adds addresses of which nothing else is known.
+    /// Adds addresses of control nodes about which nothing else is known.
     pub(super) fn add_seeds(&mut self, seeds: impl Iterator<Item = SocketAddr>) {
         for seed in seeds {
             self.0.entry(seed).or_default();
         }
     }
 
-    /// Takes in members of the replicated log as a control node described them.
+    /// Records the members of the replicated log as described by a control node.
     pub(super) fn learn(&mut self, members: &[ControlNode]) {
         for member in members {
             let known = self.0.entry(member.internal_addr).or_default();
@@ -90,21 +90,22 @@
         }
     }
 
-    /// A session with this node is being opened.
+    /// Marks the node as in use: a session with it is being opened.
     pub(super) fn occupy(&mut self, at: SocketAddr) {
         if let Some(node) = self.0.get_mut(&at) {
             node.in_use = true;
         }
     }
 
-    /// The session with this node is over.
+    /// Marks the node as free after the end of its session.
     pub(super) fn release(&mut self, at: SocketAddr, backoff_until: Option<Instant>) {
         if let Some(node) = self.0.get_mut(&at) {
             (node.in_use, node.backoff_until) = (false, backoff_until);
         }
     }
 
-    /// The node to call next, of those without a session. Once there is a fallback session only members are called.
+    /// Returns the node to connect to next, among those without a session. While there is a fallback session, only
+    /// members are considered.
     pub(super) fn nearest_free(&self, balancer: &Balancer) -> Option<SocketAddr> {
         let members_only = self.has_fallback_session(None);
         let free = self
@@ -115,9 +116,9 @@
             .map(|(at, _)| *at)
     }
 
-    /// Whether a session is with a control node that is no member although members are known, the one at `except`
-    /// aside. Without this bound, after a loss of power both sessions were, as the members were in backoff, and a
-    /// change was missed as both sessions stood still.
+    /// Returns whether any session, except one with the node at `except`, is with a non-member although members are
+    /// known. Only one such session is allowed: after a power loss both sessions were with non-members because the
+    /// members were in backoff, and a change was missed because neither session made progress.
     fn has_fallback_session(&self, except: Option<SocketAddr>) -> bool {
         let is_fallback = |(at, node): (&SocketAddr, &KnownNode)| {
             Some(*at) != except && node.in_use && !node.is_member()
@@ -125,7 +126,7 @@
         self.0.values().any(KnownNode::is_member) && self.0.iter().any(is_fallback)
     }
 
-    /// Whether a member without a session is nearer than this node, or this one is a second fallback.
+    /// Returns whether a member without a session is nearer than this node, or this one is a second fallback.
     pub(super) fn has_nearer(&self, at: SocketAddr, balancer: &Balancer) -> bool {
         let Some(own) = self.0.get(&at) else {
             return false;
@@ -139,8 +140,8 @@
         best.is_some_and(|best| best.is_nearer_than(&own))
     }
 
-    /// Whether another node may be of more use than this one, which is out of contact: one that is free, not in
-    /// backoff, and a member if any member is known.
+    /// Returns whether another node may be more useful than this one, which is out of contact: a node that is free, not
+    /// in backoff, and a member if any member is known.
     pub(super) fn has_alternative(&self, at: SocketAddr) -> bool {
         let any_member = self.0.values().any(KnownNode::is_member);
         self.0.iter().any(|(other, node)| {
--- a/crates/data-plane/src/control_client/session.rs
+++ b/crates/data-plane/src/control_client/session.rs
@@ -1,8 +1,8 @@
-//! One session with a control node: connects, introduces this balancer, says what it holds, and passes on the updates
-//! that come, until the session fails or leaves by choice.
+//! One session with a control node: connects, sends the handshake and the held versions, and passes on the updates that
+//! arrive, until the session fails or is left voluntarily.
 //!
-//! Owns the connection, what was last sent on it, and what its control node sent of the fleet and of the control nodes;
-//! all of it goes with the session.
+//! Owns the connection, the last request that was sent, and the fleet view and the digest of the control nodes that
+//! were received on it; all of this is dropped with the session.
 
 use std::convert::Infallible;
 use std::io;
@@ -25,19 +25,19 @@
 pub(super) struct Session<'a, F, N: Network> {
     reader: BufReader<ReadHalf<N::Stream>>,
     outbound: Outbound<'a, F, N>,
-    /// Wakes when there is something new to send.
+    /// Wakes when the watch request may have changed.
     changes: ChangeWatcher,
 }
 
-/// The sending half: what was last sent to the control node, and when something is sent next.
+/// The sending half: what was last sent to the control node, and when the next message is due.
 struct Outbound<'a, F, N: Network> {
     client: &'a ControlClient<F, N>,
     peer: SocketAddr,
     writer: BufWriter<WriteHalf<N::Stream>>,
-    /// The last watch request; none if the next one has to be sent whole.
+    /// The last watch request; `None` if the next one has to be sent even if it is unchanged.
     last_sent: Option<WatchRequest>,
     next_send: Instant,
-    /// The fleet view and the control nodes as last received; sent back so that the node sends only what is new.
+    /// The fleet view as last received. This and the digest below are sent back so that the node sends only changes.
     fleet: Option<FleetView>,
     control_nodes_digest: u32,
 }
@@ -85,15 +85,15 @@
         })
     }
 
-    /// Waits for the next update, and meanwhile sends what is due.
+    /// Waits for the next update, and meanwhile sends the messages that are due.
     async fn next_update(&mut self) -> io::Result<WatchUpdate> {
-        // One future for the whole wait: a frame that is half read must not be dropped.
+        // One future for the whole wait: dropping it would lose a partially read frame.
         let update = timeout(IDLE_TIMEOUT, wire::receive_message(&mut self.reader));
         tokio::pin!(update);
         loop {
             tokio::select! {
-                // In this order, so that a simulation plays the same each time, and what is due is sent however
-                // much comes.
+                // A fixed order keeps simulations deterministic, and sends due messages first even under a high rate of
+                // updates.
                 biased;
                 () = sleep_until(self.outbound.next_send) => self.outbound.send_due().await?,
                 update = &mut update => return Ok(update??),
@@ -102,14 +102,14 @@
         }
     }
 
-    /// Takes an update in.
+    /// Applies an update.
     fn handle_update(&mut self, update: &WatchUpdate) {
         let Outbound { client, peer, .. } = self.outbound;
         if client.sessions.borrow_mut().establish(peer) {
             tracing::info!(%peer, "session with a control node established");
         }
         if update.out_of_contact {
-            client.step_down(peer);
+            client.release_primary(peer);
         } else {
             client.claim_primary(peer);
         }
@@ -128,7 +128,7 @@
 }
 
 impl<F: UpdateHandler, N: Network> Outbound<'_, F, N> {
-    /// What this session asks for as things stand.
+    /// Returns the current watch request of this session.
     fn watch_request(&self) -> WatchRequest {
         let is_secondary = self.client.sessions.borrow().is_secondary(self.peer);
         WatchRequest {
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Sends the watch request if it is another than the last one, else a heartbeat. Returns whether this session was
-    /// not the secondary at that.
+    /// Sends the watch request if it differs from the last one, otherwise a heartbeat. Returns whether the request was
+    /// sent as the primary, or while there was no primary.
     async fn send_watch_request(&mut self) -> io::Result<bool> {
         let request = self.watch_request();
         let is_primary = !request.is_secondary;
@@ -155,15 +155,14 @@
         Ok(is_primary)
     }
 
-    /// Sends what is due at `next_send`: the watch request or a heartbeat, and the work on keys if this session
-    /// reports it.
+    /// Sends what is due at `next_send`: the watch request or a heartbeat, and the key load if this session reports it.
     async fn send_due(&mut self) -> io::Result<()> {
         if !self.send_watch_request().await? {
             return Ok(());
         }
-        let work = self.client.handler.take_key_load();
-        if !work.is_empty() {
-            self.send(&SessionMessage::KeyLoad(work)).await?;
+        let key_load = self.client.handler.take_key_load();
+        if !key_load.is_empty() {
+            self.send(&SessionMessage::KeyLoad(key_load)).await?;
         }
         Ok(())
     }
@@ -173,7 +172,7 @@
         timeout(IDLE_TIMEOUT, self.writer.flush()).await?
     }
 
-    /// Something has changed here: sent at once if control nodes wait for it, else together with what follows.
+    /// Schedules the sending of a local change: immediately if it is urgent, otherwise together with later changes.
     fn schedule_change(&mut self) {
         let request = self.watch_request();
         let last_sent = self.last_sent.as_ref();
@@ -186,7 +185,7 @@
         self.next_send = self.next_send.min(Instant::now() + delay);
     }
 
-    /// Something has to be sent whole: asks for it at once, even if the request is the same as the last.
+    /// Schedules the watch request immediately, even if it is unchanged, because something has to be received in full.
     fn resend_now(&mut self) {
         (self.last_sent, self.next_send) = (None, Instant::now());
     }
--- a/crates/data-plane/src/control_client/session_table.rs
+++ b/crates/data-plane/src/control_client/session_table.rs
@@ -1,45 +1,45 @@
-//! The sessions of a balancer that are open, the state of each, and which one is the primary. Only the
-//! [`ControlClient`](super::ControlClient) changes it; it is empty while no control node is called.
+//! The open sessions of a balancer, the state of each, and which one is the primary. Changed only by the
+//! [`ControlClient`](super::ControlClient) and its sessions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use protocol::wire::FleetView;
 
-/// How far a session has come. It goes through the states in this order and never back, and may end in any of them.
+/// The state of a session. A session passes through the states in this order, never back, and may end in any of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SessionState {
-    /// The connection is being made, and the handshake sent.
+    /// The connection is being established and the handshake sent.
     Connecting,
-    /// Handshake and watch request are sent; no update has come.
+    /// The handshake and the watch request have been sent; no update has been received.
     AwaitingUpdate,
-    /// An update has come: the directory counts on this session.
+    /// An update has been received; from now on the session keeps the balancer in the directory.
     Established {
-        /// The fleet as last received from this control node.
+        /// The fleet view last received from this control node.
         fleet: Option<FleetView>,
     },
 }
 
-/// The sessions by the address of their control node; there is one to a node at most.
+/// The sessions by the address of their control node; at most one per node.
 #[derive(Default)]
 pub(super) struct SessionTable {
     sessions: BTreeMap<SocketAddr, SessionState>,
-    /// The session that reports work; always an established one.
+    /// The session that reports the key load; always an established one.
     primary: Option<SocketAddr>,
 }
 
 impl SessionTable {
-    /// A session with this node begins.
+    /// Adds a session that is being opened.
     pub(super) fn open(&mut self, peer: SocketAddr) {
         self.sessions.insert(peer, SessionState::Connecting);
     }
 
-    /// Handshake and watch request are sent.
+    /// Records that the handshake and the watch request have been sent.
     pub(super) fn await_update(&mut self, peer: SocketAddr) {
         self.sessions.insert(peer, SessionState::AwaitingUpdate);
     }
 
-    /// An update has come. Returns whether it was the first one.
+    /// Records that an update has been received. Returns whether it was the first one.
     pub(super) fn establish(&mut self, peer: SocketAddr) -> bool {
         if let Some(SessionState::Established { .. }) = self.sessions.get(&peer) {
             return false;
@@ -49,20 +49,20 @@
         true
     }
 
-    /// The session is over. Returns the state that it had reached; who was the primary is for
+    /// Removes a session that has ended and returns its last state. Does not change the primary; see
     /// [`Self::release_primary`].
     pub(super) fn close(&mut self, peer: SocketAddr) -> Option<SessionState> {
         self.sessions.remove(&peer)
     }
 
-    /// Makes this session the primary if there is none. Returns whether it became that.
+    /// Makes this session the primary if there is none. Returns whether there was none.
     pub(super) fn claim_primary(&mut self, peer: SocketAddr) -> bool {
         let is_vacant = self.primary.is_none();
         self.primary.get_or_insert(peer);
         is_vacant
     }
 
-    /// Leaves no session the primary if this one was. Returns whether it was.
+    /// Releases the primary role if this session has it. Returns whether it did.
     pub(super) fn release_primary(&mut self, peer: SocketAddr) -> bool {
         let was_primary = self.primary == Some(peer);
         if was_primary {
@@ -71,19 +71,19 @@
         was_primary
     }
 
-    /// Whether another session is the primary.
+    /// Returns whether another session is the primary.
     pub(super) fn is_secondary(&self, peer: SocketAddr) -> bool {
         self.primary.is_some_and(|primary| primary != peer)
     }
 
-    /// Whether a session other than this one is established.
+    /// Returns whether a session other than this one is established.
     pub(super) fn has_other_established(&self, peer: SocketAddr) -> bool {
         self.sessions.iter().any(|(other, state)| {
             *other != peer && matches!(state, SessionState::Established { .. })
         })
     }
 
-    /// Notes the fleet as this session sees it. Returns the view of the most balancers among all sessions.
+    /// Records the fleet view of this session. Returns the view with the most balancers among all sessions.
     pub(super) fn set_fleet(&mut self, peer: SocketAddr, view: FleetView) -> Option<FleetView> {
         let fleet = Some(view);
         self.sessions
--- a/crates/data-plane/src/control_client/tests.rs
+++ b/crates/data-plane/src/control_client/tests.rs
@@ -1,4 +1,4 @@
-//! Which control node is called next, when a session is left for another one, and which session is the primary.
+//! Selection of the next control node, leaving a session for a better node, and selection of the primary session.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     SocketAddr::from(([127, 0, 0, 1], number))
 }
 
-/// A member of the log at this address.
+/// Returns a member of the replicated log at this address.
 fn member(number: u16, zone: &str, region: &str) -> ControlNode {
     ControlNode {
         internal_addr: address(number),
@@ -24,7 +24,7 @@
     }
 }
 
-/// A balancer in zone `a` of region `r`.
+/// Returns a balancer in zone `a` of region `r`.
 fn balancer() -> Balancer {
     Balancer {
         node: "n".into(),
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn nearest_free_node_is_called_first_and_one_in_backoff_last() {
+async fn nearest_free_node_ranks_first_and_one_in_backoff_last() {
     let (mut nodes, balancer) = (ControlNodes::default(), balancer());
     assert_eq!(nodes.nearest_free(&balancer), None);
     nodes.learn(&[
@@ -52,7 +52,7 @@
     let out_of_contact = Instant::now() + RECONNECT_BACKOFF_OUT_OF_CONTACT;
     nodes.release(address(2), Some(out_of_contact));
     nodes.occupy(address(1));
-    // All others are in backoff: in the order in which it ends.
+    // All others are in backoff, so they rank by the end of their backoff.
     assert_eq!(nodes.nearest_free(&balancer), Some(address(3)));
     advance(RECONNECT_BACKOFF).await;
     assert_eq!(nodes.nearest_free(&balancer), Some(address(3)));
@@ -68,7 +68,7 @@
     assert!(!nodes.has_nearer(address(1), &balancer));
     nodes.learn(&[member(3, "a", "r")]);
     assert!(nodes.has_nearer(address(1), &balancer));
-    // In backoff it is no reason to leave.
+    // A nearer node in backoff is no reason to leave.
     nodes.occupy(address(3));
     nodes.release(address(3), Some(Instant::now() + RECONNECT_BACKOFF));
     assert!(!nodes.has_nearer(address(1), &balancer));
@@ -77,11 +77,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_fallback_session_stands_while_members_are_known() {
+async fn at_most_one_fallback_session_is_kept_while_members_are_known() {
     let (mut nodes, balancer) = (ControlNodes::default(), balancer());
     nodes.add_seeds([address(7), address(8)].into_iter());
     nodes.occupy(address(7));
-    // Nobody has named a member yet.
+    // No member is known yet.
     assert_eq!(nodes.nearest_free(&balancer), Some(address(8)));
     assert!(nodes.has_alternative(address(7)));
     nodes.occupy(address(8));
@@ -90,15 +90,15 @@
     nodes.release(address(8), None);
     assert_eq!(nodes.nearest_free(&balancer), Some(address(1)));
     nodes.occupy(address(1));
-    // The member is in use: the fallback stands, and no second one is opened.
+    // The member is in use, so the fallback session is kept and no second one is opened.
     assert!(!nodes.has_nearer(address(7), &balancer));
     assert_eq!(nodes.nearest_free(&balancer), None);
-    // Out of contact, the member's session has no other member to go to.
+    // If the member is out of contact, there is no other member to move to.
     assert!(!nodes.has_alternative(address(1)));
 }
 
 #[test]
-fn primary_is_the_first_session_with_updates_until_it_ends() {
+fn first_session_that_receives_updates_is_primary_until_it_ends() {
     let mut sessions = SessionTable::default();
     for peer in [address(1), address(2)] {
         sessions.open(peer);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn fleet_is_that_of_the_session_that_sees_most_balancers() {
+fn fleet_view_with_the_most_balancers_is_used() {
     let mut sessions = SessionTable::default();
     let fleet = |balancers| FleetView {
         balancers,
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn backoff_is_long_without_contact_and_none_after_a_choice() {
+fn backoff_is_longer_out_of_contact_and_absent_after_moving_to_a_nearer_node() {
     use super::SessionEnd;
     let broken = SessionEnd::from(std::io::Error::from(std::io::ErrorKind::BrokenPipe));
     assert_eq!(broken.backoff(), Some(Duration::from_secs(5)));
--- a/crates/data-plane/src/control_client/transport.rs
+++ b/crates/data-plane/src/control_client/transport.rs
@@ -1,5 +1,5 @@
-//! How a control node is reached. Time limits on every read and write of a session end a silent connection; the
-//! kernel ends one on which sent data is not acknowledged.
+//! Connections to control nodes. Timeouts on every read and write of a session end an idle connection; the kernel ends
+//! a connection on which sent data is not acknowledged.
 
 use std::future::Future;
 use std::io;
@@ -12,11 +12,11 @@
 
 use super::{CONNECT_TIMEOUT, IDLE_TIMEOUT};
 
-/// Sets up a connection between two of the system's processes: no delay of small writes, and an end to it when sent
-/// data is not acknowledged for [`IDLE_TIMEOUT`] (`TCP_USER_TIMEOUT`).
+/// Configures a connection between two processes of the system: disables Nagle's algorithm, and closes the connection
+/// when sent data is not acknowledged for [`IDLE_TIMEOUT`] (`TCP_USER_TIMEOUT`).
 pub fn configure_socket(stream: &TcpStream) {
-    // Both are refinements: without them messages come later, and a connection that is broken says so when it is
-    // read.
+    // Errors are ignored because both are refinements: without them, messages arrive later and a broken connection is
+    // detected only when reading from it.
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(IDLE_TIMEOUT));
 }
@@ -25,23 +25,23 @@
 ///
 /// # Errors
 ///
-/// The connection is refused, or is not up within [`CONNECT_TIMEOUT`].
+/// The connection is refused or is not established within [`CONNECT_TIMEOUT`].
 pub async fn connect(at: SocketAddr) -> io::Result<TcpStream> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(at)).await??;
     configure_socket(&stream);
     Ok(stream)
 }
 
-/// How control nodes are reached; tests put a simulated network in its place.
+/// Connects to control nodes; tests replace it by a simulated network.
 pub trait Network: 'static {
-    /// A connection.
+    /// The type of a connection.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
 
-    /// Connects to a control node. The implementation bounds the time that this takes.
+    /// Connects to a control node. Implementations must limit the time that this takes.
     fn connect(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
-/// The machine's own network.
+/// Connects over TCP.
 pub struct TcpNetwork;
 
 impl Network for TcpNetwork {
--- a/crates/data-plane/src/framing.rs
+++ b/crates/data-plane/src/framing.rs
@@ -1,8 +1,7 @@
-//! Parses the heads of upstreams' responses and determines where their bodies end (RFC 9112). Holds no state.
+//! Parses the heads of upstream responses and determines where their bodies end (RFC 9112). Holds no state.
 //!
-//! **Promises.** A response that can be read in two ways is an error: another reader of the same bytes, the upstream
-//! first of all, could place the end of the body elsewhere, and what follows would be taken for the response to
-//! another request.
+//! **Guarantees.** An ambiguous response is an error. Otherwise the upstream could place the end of the body elsewhere
+//! than this parser, and what follows would be taken for the response to another request.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING,
@@ -12,28 +11,28 @@
 use crate::headers::MAX_HEADER_LINES;
 use crate::response_desync::find_status_lines;
 
-/// The head of a response may have so many bytes, and so may each line of a chunked body's framing. A choice of
-/// ours; RFC 9112 sets no limit.
+/// The maximum size of a response head, and of each line of chunked framing, in bytes. RFC 9112 sets no limit.
 pub(crate) const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// The bytes are not a response, or can be read in more than one way.
+/// The bytes are not an HTTP response, or are ambiguous.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed response")]
 pub(crate) struct MalformedResponse;
 
-/// Where a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
-    /// After so many bytes.
+    /// The body has this many bytes.
     Length(usize),
-    /// After the last chunk and the trailers (RFC 9112, 7.1).
+    /// The body ends after the last chunk and the trailers (RFC 9112, 7.1).
     Chunked,
-    /// At the end of the connection. Whether it is complete can't be known: an upstream that dies ends it too.
+    /// The body ends when the connection is closed. Whether it is complete is unknown, since the connection of an
+    /// upstream that crashes is closed too.
     Close,
 }
 
 impl Framing {
-    /// The length of the body in bytes as announced by its head; 0 if it announces none.
+    /// Returns the length of the body in bytes as announced by the head, or 0 if it announces none.
     pub(crate) fn announced_bytes(self) -> usize {
         match self {
             Self::Length(length) => length,
@@ -42,19 +41,19 @@
     }
 }
 
-/// A head that was parsed.
+/// A parsed response head.
 #[derive(Debug)]
 pub(crate) struct ParsedHead {
     /// Status, version and headers.
     pub(crate) head: Response<()>,
-    /// How many bytes it takes, the empty line at its end included.
+    /// The length of the head in bytes, including the empty line at its end.
     pub(crate) length: usize,
 }
 
-/// Parses the head at the start of `bytes`; `None` while more of it is to come.
+/// Parses the head at the start of `bytes`. Returns `None` if the head is incomplete.
 ///
 /// # Errors
-/// The bytes are no head of HTTP/1.x, the head is larger than [`MAX_HEAD_BYTES`], or it can be read in two ways.
+/// The bytes are not an HTTP/1.x response head, or the head is larger than [`MAX_HEAD_BYTES`] or ambiguous.
 pub(crate) fn parse_head(bytes: &[u8]) -> Result<Option<ParsedHead>, MalformedResponse> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
     let mut parsed = httparse::Response::new(&mut lines);
@@ -65,7 +64,7 @@
     if length > MAX_HEAD_BYTES || has_bare_line_feed(&bytes[..length]) {
         return Err(MalformedResponse);
     }
-    // Behind its own status line, another one shows that two heads run into each other.
+    // A second status line within the head means that two responses are interleaved.
     if find_status_lines(&bytes[1..length]).next().is_some() {
         return Err(MalformedResponse);
     }
@@ -88,8 +87,8 @@
     Ok(Some(ParsedHead { head, length }))
 }
 
-/// Whether a line ends without a carriage return. Looks at all pairs without an early exit, so that the compiler can
-/// vectorize it.
+/// Returns whether a line ends without a carriage return. Checks all pairs without an early exit, so that the compiler
+/// can vectorize the loop.
 fn has_bare_line_feed(bytes: &[u8]) -> bool {
     let pairs = bytes.iter().zip(bytes.iter().skip(1));
     pairs.fold(false, |found, (before, byte)| {
@@ -97,11 +96,11 @@
     })
 }
 
-/// How the body that follows a head is framed (RFC 9112, 6.3), in the response to a request of this method.
+/// Returns the framing of the body that follows a head (RFC 9112, 6.3), in the response to a request with this method.
 ///
 /// # Errors
-/// The head states its body's length in two ways, by a coding other than `chunked`, or announces a body where none
-/// may be; or it switches protocols.
+/// The head has both a length and a transfer coding, a transfer coding other than `chunked`, or an invalid length;
+/// announces a body where none is allowed; or switches protocols.
 pub(crate) fn framing(head: &Response<()>, method: &Method) -> Result<Framing, MalformedResponse> {
     let (status, headers) = (head.status(), head.headers());
     if status == StatusCode::SWITCHING_PROTOCOLS {
@@ -113,7 +112,7 @@
         return Err(MalformedResponse);
     }
     if status.is_informational() || status == StatusCode::NO_CONTENT {
-        // Neither has a body. An upstream that announces one might send it all the same.
+        // These responses have no body. An upstream that announces one might still send it.
         let announced = has_coding || length.is_some_and(|length| length > 0);
         return if announced {
             Err(MalformedResponse)
@@ -122,7 +121,7 @@
         };
     }
     if status == StatusCode::NOT_MODIFIED || method == Method::HEAD {
-        // They announce the length of the body that they leave out.
+        // These responses may announce the length of the body that they omit.
         return Ok(Framing::Length(0));
     }
     Ok(match length {
@@ -132,7 +131,7 @@
     })
 }
 
-/// The value of `Content-Length`, which may stand once and has digits only.
+/// Returns the value of `Content-Length`, which may occur only once and has to consist of digits.
 fn content_length(headers: &HeaderMap) -> Result<Option<usize>, MalformedResponse> {
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     let Some(length) = lengths.next() else {
@@ -146,7 +145,7 @@
     length.map(Some).ok_or(MalformedResponse)
 }
 
-/// Whether `chunked` is the only coding, in a version that knows it.
+/// Returns whether `chunked` is the only transfer coding, and the HTTP version supports it.
 fn is_chunked(head: &Response<()>) -> bool {
     let mut codings = head.headers().get_all(TRANSFER_ENCODING).iter();
     let first = codings
@@ -155,10 +154,10 @@
     first && codings.next().is_none() && head.version() == Version::HTTP_11
 }
 
-/// The size in bytes that a chunk's first line announces (RFC 9112, 7.1); chunk extensions are ignored.
+/// Returns the size in bytes announced by the first line of a chunk (RFC 9112, 7.1). Chunk extensions are ignored.
 ///
 /// # Errors
-/// The line does not begin with hexadecimal digits alone.
+/// The size does not consist of hexadecimal digits only, or overflows.
 pub(crate) fn chunk_size(line: &[u8]) -> Result<usize, MalformedResponse> {
     let digits = line
         .split(|byte| *byte == b';')
@@ -173,7 +172,8 @@
     usize::from_str_radix(digits, 16).map_err(|_| MalformedResponse)
 }
 
-/// Whether a line after the last chunk is a trailer. The status line of another response is not.
+/// Returns whether a line after the last chunk is a trailer field, rather than, for example, the status line of another
+/// response.
 pub(crate) fn is_trailer(line: &[u8]) -> bool {
     let name = line
         .iter()
@@ -182,12 +182,12 @@
     name.is_some_and(|name| HeaderName::from_bytes(name).is_ok())
 }
 
-/// Whether the upstream closes the connection after this response (RFC 9112, 9.3).
+/// Returns whether the upstream closes the connection after this response (RFC 9112, 9.3).
 pub(crate) fn closes_connection(head: &Response<()>) -> bool {
     head.version() != Version::HTTP_11 || names_in_connection(head.headers(), "close")
 }
 
-/// Whether the `Connection` header lists `name` (RFC 9110, 7.6.1).
+/// Returns whether the `Connection` header lists `name` (RFC 9110, 7.6.1).
 pub(crate) fn names_in_connection(headers: &HeaderMap, name: &str) -> bool {
     let values = headers
         .get_all(CONNECTION)
--- a/crates/data-plane/src/headers.rs
+++ b/crates/data-plane/src/headers.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and responses: which headers go on, and responses of the balancer's own.
+//! Heads of requests and responses: which headers are forwarded, and the responses that the balancer itself generates.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -9,29 +9,29 @@
 use hyper::{Response, StatusCode};
 use load_balancing::interface::Span;
 
-/// Header lines that a head may have, on either side.
+/// The maximum number of header lines in a request or response head.
 pub const MAX_HEADER_LINES: usize = 64;
 
-/// A response to a client, with its whole body.
+/// A response to a client, with its complete body.
 pub type ClientResponse = Response<Full<Bytes>>;
 
-/// A response with a status and no body.
+/// Returns a response with a status and no body.
 pub fn empty_response(status: StatusCode) -> ClientResponse {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-/// A 400 that names the part of the request that is malformed.
+/// Returns a 400 that names the malformed part of the request.
 pub fn bad_request(what: &str) -> ClientResponse {
     let mut response = Response::new(Full::from(format!("malformed: {what}\n")));
     *response.status_mut() = StatusCode::BAD_REQUEST;
     response
 }
 
-/// `Retry-After` in seconds with three decimals; none where there is no advice to give.
+/// Returns the value of `Retry-After` in seconds with three decimals, or `None` if `span` is not positive.
 ///
-/// RFC 9110, 10.2.3 has whole seconds; the users' protocol has fractions.
+/// RFC 9110, 10.2.3 allows only whole seconds; the protocol that clients of this balancer use allows fractions.
 pub fn retry_after_value(span: Span) -> Option<HeaderValue> {
     if span.0 <= 0 {
         return None;
@@ -39,7 +39,7 @@
     HeaderValue::from_str(&format!("{:.3}", span.as_micros() / 1e6)).ok()
 }
 
-/// A refusal of a request that has not run, with advice on when to send it again.
+/// Returns the refusal of a request that has not run, with a `Retry-After`.
 pub fn retry_later(status: StatusCode, retry_after: Span) -> ClientResponse {
     let mut response = empty_response(status);
     if let Some(value) = retry_after_value(retry_after) {
@@ -48,7 +48,8 @@
     response
 }
 
-/// An upstream's response as it goes to the client, without the headers that concern one connection and without these.
+/// Returns an upstream's response as forwarded to the client, without hop-by-hop headers and without those in
+/// `without`.
 pub fn forward_response(response: Response<Bytes>, without: &[HeaderName]) -> ClientResponse {
     let (mut head, body) = response.into_parts();
     remove_hop_by_hop(&mut head.headers);
@@ -62,7 +63,7 @@
     response
 }
 
-/// The headers of a request as they go on to an upstream, with the length of its body in bytes.
+/// Returns the headers of a request as forwarded to an upstream, with the length of its body in bytes.
 pub fn forward_request_headers(mut headers: HeaderMap, body_bytes: usize) -> HeaderMap {
     remove_hop_by_hop(&mut headers);
     headers.remove(EXPECT);
@@ -70,14 +71,14 @@
     if body_bytes > 0 {
         headers.insert(CONTENT_LENGTH, HeaderValue::from(body_bytes));
     }
-    // Without one the upstream could not read it as HTTP/1.1.
+    // HTTP/1.1 requires a `Host` header.
     headers
         .entry(HOST)
         .or_insert(HeaderValue::from_static("api.internal"));
     headers
 }
 
-/// Removes the headers that concern one connection only (RFC 9110, 7.6.1), those that `Connection` names included.
+/// Removes the hop-by-hop headers (RFC 9110, 7.6.1), including those listed in `Connection`.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/data-plane/src/http_client.rs
+++ b/crates/data-plane/src/http_client.rs
@@ -1,5 +1,5 @@
-//! A small HTTP client for calls to one address: one connection, kept as long as it is good. Calls are bounded in time
-//! by their caller, and in size by `MAX_RESPONSE_BYTES`; nothing is sent twice.
+//! A small HTTP client for one address. It reuses one connection as long as possible. The caller sets a deadline for
+//! each call, and `MAX_RESPONSE_BYTES` limits the response; requests are never retried.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,49 +17,49 @@
 use crate::abort_on_drop::AbortOnDrop;
 use crate::control_client::connect;
 
-/// A response whose body is larger is an error.
+/// The maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Why a call brought nothing. Whether the request has run is not known, but with [`Self::Connect`].
+/// Why a call failed. Except for [`Self::Connect`], it is unknown whether the request has run.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpClientError {
-    /// No connection came up.
+    /// No connection could be established.
     #[error("connect: {0}")]
     Connect(#[source] std::io::Error),
-    /// The connection broke, or what came on it is no HTTP.
+    /// The connection broke, or the received data is not valid HTTP.
     #[error("{0}")]
     Http(#[source] hyper::Error),
-    /// A status other than 200.
-    #[error("answered {0}")]
+    /// The response has a status other than 200.
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// No whole response within the time of the call.
-    #[error("silent for too long")]
+    /// There was no complete response before the deadline of the call.
+    #[error("no complete response before the deadline")]
     Timeout,
-    /// The body is cut short, or larger than `MAX_RESPONSE_BYTES`; or the path is none.
-    #[error("an answer that is cut short or too long")]
+    /// The body was truncated or is larger than `MAX_RESPONSE_BYTES`, or the path of the request is invalid.
+    #[error("response body truncated or too large, or invalid request path")]
     BodyTooLong,
     /// The body is not the JSON that the caller expects.
-    #[error("an answer that makes no sense: {0}")]
+    #[error("unexpected response body: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// A list of which each page names another one.
-    #[error("pages without end")]
+    /// A paginated list exceeds the maximum number of pages.
+    #[error("too many pages")]
     TooManyPages,
 }
 
-/// A connection that may carry another call, and its task.
+/// A connection that can be reused, and the task that drives it.
 type IdleConnection = (SendRequest<Full<Bytes>>, AbortOnDrop);
 
-/// A client for one address; calls are made one after another.
+/// A client for one address, for calls that are made one after another.
 pub struct HttpClient {
     address: SocketAddr,
     host: HeaderValue,
-    /// A call that is given up leaves nothing on its way.
+    /// Whether dropping a connection resets it, so that unsent data of a cancelled call is discarded.
     reset_on_drop: bool,
     idle_connection: RefCell<Option<IdleConnection>>,
 }
 
 impl HttpClient {
-    /// A client for this address; connects with its first call.
+    /// Creates a client for this address; it connects on the first call.
     pub fn new(address: SocketAddr) -> Self {
         let host = HeaderValue::from_str(&address.to_string());
         let host = host.unwrap_or(HeaderValue::from_static("upstream"));
@@ -71,8 +71,8 @@
         }
     }
 
-    /// A client whose calls have arrived by the time that they are given up, or never do: its connections are reset
-    /// when they are dropped.
+    /// Creates a client whose connections are reset when they are dropped. A request of a cancelled call has either
+    /// arrived by then or never arrives.
     pub fn with_reset_on_drop(address: SocketAddr) -> Self {
         Self {
             reset_on_drop: true,
@@ -80,11 +80,11 @@
         }
     }
 
-    /// The body of the response to a GET, if that is a 200.
+    /// Sends a GET request and returns the body of the response.
     ///
     /// # Errors
     ///
-    /// Any other status is an error too.
+    /// The call fails, or the status is not 200.
     pub async fn get(&self, path: &str, within: Duration) -> Result<Bytes, HttpClientError> {
         let request = Request::get(path)
             .body(Full::default())
@@ -96,11 +96,12 @@
         }
     }
 
-    /// The whole response to a request, whatever its status.
+    /// Sends a request and returns the complete response, whatever its status.
     ///
     /// # Errors
     ///
-    /// There is none until then, or it breaks a limit. The connection is not used again after that.
+    /// There is no complete response at `until`, the connection fails, or the response exceeds a limit. The connection
+    /// is not reused after an error.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
@@ -138,14 +139,14 @@
             .await
             .map_err(HttpClientError::Connect)?;
         if self.reset_on_drop {
-            // Without it what is on its way arrives all the same, later.
+            // Without this, buffered data would still be delivered after the connection is dropped.
             let linger = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             linger.map_err(HttpClientError::Connect)?;
         }
         let (sender, connection) = handshake(TokioIo::new(stream))
             .await
             .map_err(HttpClientError::Http)?;
-        // Its end shows at the sender.
+        // The sender reports the end of the connection.
         let task = tokio::task::spawn_local(async move { drop(connection.await) });
         Ok((sender, AbortOnDrop(task)))
     }
--- a/crates/data-plane/src/listener.rs
+++ b/crates/data-plane/src/listener.rs
@@ -1,18 +1,19 @@
-//! The side that faces clients: accepts connections, reads requests, hands each to a [`RequestHandler`], and writes
-//! its one response.
+//! The HTTP server: accepts client connections, reads requests, passes each to a [`RequestHandler`], and writes its
+//! response.
 //!
 //! - `connection`: one connection, from its first request to its last byte.
-//! - `delivery`: whether the last response on a connection was read.
+//! - `delivery`: whether the last response on a connection was read by the client.
 //!
-//! Owns the registry of open connections ([`ClientConnections`]) and the limits that they are held to.
+//! Owns the registry of open connections ([`ClientConnections`]) and their limits.
 //!
-//! **Promises.** Every request that was read whole gets one response, or its connection ends without looking complete.
-//! The number of connections and the time that each may take are bounded. A stop ends in order: connections are
-//! accepted for [`ListenerLimits::accept_grace`], what is open may take [`ListenerLimits::drain_timeout`], and from the
-//! stop on each response asks its client to connect anew elsewhere.
+//! **Guarantees.** Every request that was read completely gets one response, or its connection ends in a way that the
+//! client can't take for a complete response. The number of connections and the duration of each are bounded. Shutdown
+//! is graceful: new connections are accepted for [`ListenerLimits::accept_grace`], open ones then have
+//! [`ListenerLimits::drain_timeout`] to finish, and from the stop signal on each response asks its client to reconnect
+//! to another balancer (`Connection: close`).
 //!
-//! **May lose.** What is still open after that time; a request that comes on a kept connection in the moment in which
-//! it is closed.
+//! **Failures.** Requests that are still open after that time are lost. So is a request that arrives on a keep-alive
+//! connection while that connection is being closed.
 
 mod connection;
 mod delivery;
@@ -33,45 +34,45 @@
 use crate::headers::ClientResponse;
 pub use delivery::{DeliveryReceipt, DeliveryStatus};
 
-/// After the last deadline, time for the responses to be written.
+/// Additional time after the drain timeout for writing the last responses.
 const WRITE_GRACE: Duration = Duration::from_millis(100);
-/// Wait after a failed accept, so that a full descriptor table does not become a busy loop.
+/// The pause after a failed accept, so that running out of file descriptors does not cause a busy loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Wait for a place while all are taken. Left in the backlog, a client waits a moment; accepted without a descriptor
-/// left it would be dropped.
+/// The pause before the next attempt to accept while all slots are occupied. A client in the backlog waits a moment; a
+/// connection accepted without a free file descriptor would be dropped.
 const FULL_BACKOFF: Duration = Duration::from_millis(1);
-/// How often a stop looks whether all connections have ended.
+/// How often shutdown checks whether all connections have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// When a listener closes, a connection without an open request still waits this long for one that is on its way: as
-/// long as a network path may hold packets.
+/// How long a connection without an open request still waits for a request in transit when the listener closes: as long
+/// as packets may be delayed on a network path.
 pub const FINAL_REQUEST_WAIT: Duration = Duration::from_millis(500);
 
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerLimits {
-    /// Connections that may be open at the same time.
+    /// The maximum number of open connections.
     pub max_connections: usize,
     /// While more connections than this are in use, idle ones are closed.
     pub idle_eviction_threshold: usize,
-    /// Bytes of a request's head.
+    /// The maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// How long clients may take and stay idle.
+    /// Timeouts of client connections.
     pub timeouts: ClientTimeouts,
-    /// How long connections are accepted after the stop: clients need a moment to hear of it.
+    /// How long connections are accepted after the stop signal, since clients learn of the shutdown with a delay.
     pub accept_grace: Duration,
-    /// How long what is open may take after that.
+    /// How long open connections may take to finish after that.
     pub drain_timeout: Duration,
-    /// How much of that a connection without an open request waits for one: [`FINAL_REQUEST_WAIT`] in service.
+    /// How much of that time a connection without an open request waits for one: [`FINAL_REQUEST_WAIT`] in production.
     pub final_request_wait: Duration,
 }
 
-/// Answers the requests of a listener.
+/// Handles the requests of a listener.
 pub trait RequestHandler: 'static {
-    /// Whether its requests carry a [`DeliveryReceipt`] among their extensions.
+    /// Whether each request gets a [`DeliveryReceipt`] as an extension.
     const WANTS_RECEIPT: bool = false;
 
-    /// Gives the one response to a request that arrived at that time; `stopping` says that the listener is about to
-    /// close. Dropped when the client leaves.
+    /// Returns the response to a request that arrived at `arrived_at`. `stopping` is true while the listener shuts
+    /// down. The future is dropped when the client disconnects.
     fn handle_request(
         &self,
         request: Request<Incoming>,
@@ -80,17 +81,17 @@
     ) -> impl Future<Output = ClientResponse>;
 }
 
-/// A server of HTTP/1 and its handler.
+/// An HTTP/1 server with its request handler.
 pub struct Listener<H> {
     handler: Rc<H>,
     connections: Rc<ClientConnections>,
     limits: Cell<ListenerLimits>,
-    /// Each response asks its client to connect anew elsewhere.
+    /// Whether the listener shuts down; responses then carry `Connection: close`.
     stopping: Cell<bool>,
 }
 
 impl<H: RequestHandler> Listener<H> {
-    /// A listener that does nothing before [`Self::serve`].
+    /// Creates a listener; it does nothing before [`Self::serve`].
     pub fn new(handler: Rc<H>, limits: ListenerLimits) -> Rc<Self> {
         Rc::new(Self {
             handler,
@@ -104,7 +105,7 @@
         })
     }
 
-    /// Sets the limits on heads, for new connections, and on times, for all.
+    /// Sets the maximum head size for new connections, and the timeouts for all connections.
     pub fn set_limits(&self, max_header_bytes: usize, timeouts: ClientTimeouts) {
         self.limits.set(ListenerLimits {
             max_header_bytes,
@@ -114,8 +115,8 @@
         self.connections.set_timeouts(timeouts);
     }
 
-    /// Serves until `stop`, then finishes what was taken. Returns when all connections have ended or the time for
-    /// that is up.
+    /// Serves until `stop` completes, then shuts down gracefully. Returns when all connections have ended, or after the
+    /// drain timeout.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
         let (close, closing) = watch::channel(false);
         {
@@ -129,11 +130,11 @@
             tracing::info!(
                 ?accept_grace,
                 connections = self.connections.len(),
-                "listener is stopping: it asks clients to connect elsewhere"
+                "listener is stopping; clients are asked to reconnect elsewhere"
             );
-            // From here each response asks its client to go elsewhere; new connections still find us.
+            // From here on responses carry `Connection: close`; new connections are still accepted.
             self.stopping.set(true);
-            // Accepting never ends by itself: this waits for the time to pass.
+            // `accepting` never completes, so this accepts until the timeout.
             let _ = timeout(accept_grace, accepting).await;
         }
         drop(listener);
@@ -143,17 +144,17 @@
                 sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
-        // Counted from the last accept, not from the signal: what came last has its whole deadline.
+        // Starts when accepting ends, not at the stop signal, so that the last requests have their full deadline.
         let limit = self.limits.get().drain_timeout + WRITE_GRACE;
         if timeout(limit, drained).await.is_err() {
             tracing::warn!(
                 connections = self.connections.len(),
-                "connections are still open at the end of the time to finish"
+                "connections are still open after the drain timeout"
             );
         }
     }
 
-    /// Accepts connections, each with its place and its task, for good.
+    /// Accepts connections and starts a task for each; never returns.
     async fn accept(self: &Rc<Self>, listener: &TcpListener, closing: &watch::Receiver<bool>) {
         loop {
             if self.connections.is_full() {
@@ -163,9 +164,9 @@
             }
             match listener.accept().await {
                 Ok((stream, _)) => self.start_connection(stream, closing.clone()),
-                // A full descriptor table or an aborted connection: neither is a reason to end.
+                // No file descriptor left, or the connection was aborted: neither is a reason to stop.
                 Err(error) => {
-                    tracing::warn!(%error, "a connection could not be accepted");
+                    tracing::warn!(%error, "failed to accept a connection");
                     sleep(ACCEPT_BACKOFF).await;
                 }
             }
@@ -173,10 +174,10 @@
     }
 
     fn start_connection(self: &Rc<Self>, stream: TcpStream, closing: watch::Receiver<bool>) {
-        // A refinement: without it small responses come later.
+        // Errors are ignored: without the option small responses are only delayed.
         let _ = stream.set_nodelay(true);
         let (io, socket, traffic) = MeteredStream::new(stream);
-        // It has its place before the next one is accepted.
+        // Registered here rather than in the task, so that it counts before the next connection is accepted.
         let slot = self.connections.register(traffic);
         tokio::task::spawn_local(self.clone().serve_connection(io, socket, slot, closing));
     }
--- a/crates/data-plane/src/listener/connection.rs
+++ b/crates/data-plane/src/listener/connection.rs
@@ -1,9 +1,9 @@
-//! One client's connection: its requests one after another, its end, and the reading of what the client still sends.
+//! Serves one client connection: its requests one after another, its end, and draining the remaining input.
 //!
-//! **Promises.** A request whose client leaves is given up. The last response is not lost to a reset: what the client
-//! sent behind its last request is read for [`DRAIN_INPUT_TIMEOUT`] before the socket is closed. A connection that has
-//! nothing open when the listener closes waits [`ListenerLimits::final_request_wait`](super::ListenerLimits) for a
-//! request that is on its way.
+//! **Guarantees.** A request whose client disconnects is dropped. The last response is not lost to a reset: what the
+//! client sends after its last request is read for [`DRAIN_INPUT_TIMEOUT`] before the socket is closed. A connection
+//! without an open request when the listener closes waits
+//! [`ListenerLimits::final_request_wait`](super::ListenerLimits) for a request in transit.
 
 use std::convert::Infallible;
 use std::future::poll_fn;
@@ -28,32 +28,32 @@
 use crate::client_stream::{MeteredStream, SharedSocket};
 use crate::headers::{ClientResponse, MAX_HEADER_LINES};
 
-/// What a client still sends behind its last response is read for so long, and up to [`MAX_DRAINED_BYTES`].
+/// How long remaining input is read after the last response, up to [`MAX_DRAINED_BYTES`].
 pub(super) const DRAIN_INPUT_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_DRAINED_BYTES: usize = 4 << 20;
-/// The smallest buffer that the HTTP library takes.
+/// The minimum buffer size that the HTTP library accepts.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
 /// How the exchange of requests and responses on a connection ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ExchangeEnd {
-    /// In order, after a response that was the last.
+    /// Regularly, after a response that was the last one.
     Finished,
-    /// The client broke HTTP or the connection, or left while its request was open.
+    /// By invalid HTTP, a broken connection, or a client that disconnected while its request was open.
     Broken,
-    /// Its time was up, or it made room for another.
+    /// By a timeout or an eviction.
     Expired,
 }
 
-/// An exchange that is over.
-struct Exchange {
+/// The result of a completed exchange.
+struct ExchangeResult {
     end: ExchangeEnd,
-    /// Nothing was open on it, and nothing had come, when it was closed with its listener.
+    /// Whether the connection was idle when it was closed together with the listener.
     was_idle: bool,
 }
 
 impl<H: RequestHandler> Listener<H> {
-    /// Serves one connection to its end; its place is free after that.
+    /// Serves one connection until its end, and then frees its slot.
     pub(super) async fn serve_connection(
         self: Rc<Self>,
         io: MeteredStream,
@@ -62,25 +62,25 @@
         closing: watch::Receiver<bool>,
     ) {
         let reporter = H::WANTS_RECEIPT.then(DeliveryReporter::new);
-        let Exchange { end, was_idle } = self
+        let ExchangeResult { end, was_idle } = self
             .serve_requests(io, &socket, &slot, reporter.as_ref(), closing)
             .await;
-        let read = if end == ExchangeEnd::Expired || was_idle {
-            // What was not read is closed as unread: its client may send it elsewhere.
+        let drained = if end == ExchangeEnd::Expired || was_idle {
+            // Closed without draining: unread input was not processed, and the client may send it to another balancer.
             DeliveryStatus::Unknown
         } else {
             drain_or_evict(&socket, &slot.connection).await
         };
         let status = match end {
             ExchangeEnd::Broken => DeliveryStatus::Broken,
-            ExchangeEnd::Finished | ExchangeEnd::Expired => read,
+            ExchangeEnd::Finished | ExchangeEnd::Expired => drained,
         };
         if let Some(reporter) = reporter {
             reporter.report(status);
         }
     }
 
-    /// Answers requests until the connection ends, expires, or is closed with its listener.
+    /// Serves requests until the connection ends, expires, or is closed with its listener.
     async fn serve_requests(
         &self,
         io: MeteredStream,
@@ -88,7 +88,7 @@
         slot: &ConnectionSlot,
         reporter: Option<&DeliveryReporter>,
         mut closing: watch::Receiver<bool>,
-    ) -> Exchange {
+    ) -> ExchangeResult {
         let state = &*slot.connection;
         let service = service_fn(|mut request: Request<Incoming>| {
             if let Some(reporter) = reporter {
@@ -97,23 +97,23 @@
             self.respond(request, slot)
         });
         let connection = http1::Builder::new()
-            .header_read_timeout(None) // Each connection's own limits hold.
+            .header_read_timeout(None) // `ClientConnection` implements the timeouts.
             .max_buf_size(self.limits.get().max_header_bytes.max(MIN_BUFFER_BYTES))
             .max_headers(MAX_HEADER_LINES)
             .serve_connection(TokioIo::new(io), service);
         tokio::pin!(connection);
-        // Closed at once when the listener closes, a connection that was just accepted dropped a request that it had
-        // read to its end.
+        // Shutting the connection down as soon as the listener closes made connections that were just accepted drop
+        // requests that had been read completely; hence the wait.
         let (mut is_closing, mut final_request_by, mut was_idle) = (false, None, false);
         let end = loop {
-            // The connection first: its limits are judged by what has passed on it.
+            // The connection is polled first, since its timeouts depend on the bytes that it has transferred.
             tokio::select! {
                 biased;
                 result = &mut connection => break match result {
                     Ok(()) => ExchangeEnd::Finished,
                     Err(_) => ExchangeEnd::Broken,
                 },
-                () = client_gone(socket, state) => break ExchangeEnd::Broken,
+                () = client_disconnected(socket, state) => break ExchangeEnd::Broken,
                 () = state.wait_for_end() => break ExchangeEnd::Expired,
                 _ = closing.wait_for(|c| *c), if !is_closing => {
                     is_closing = true;
@@ -126,7 +126,7 @@
                 }
             }
         };
-        Exchange { end, was_idle }
+        ExchangeResult { end, was_idle }
     }
 
     async fn respond(
@@ -156,9 +156,9 @@
     }
 }
 
-/// Waits until the client has left while its request is open. The HTTP library does not see that while it holds bytes
-/// behind the request, and such a request was worked for to the end.
-async fn client_gone(socket: &SharedSocket, connection: &ClientConnection) {
+/// Waits until the client disconnects while its request is open. The HTTP library does not detect that while it has
+/// buffered bytes that follow the request, and processed such requests to the end.
+async fn client_disconnected(socket: &SharedSocket, connection: &ClientConnection) {
     poll_fn(|cx| {
         if connection.has_open_request() {
             socket.borrow_mut().poll_peer_closed(cx)
@@ -169,25 +169,25 @@
     .await;
 }
 
-/// Reads what still comes for a bounded time, unless the connection has to make room.
+/// Drains the remaining input for a limited time, or until the connection is evicted.
 async fn drain_or_evict(socket: &SharedSocket, connection: &ClientConnection) -> DeliveryStatus {
     connection.on_closing();
     tokio::select! {
-        read = timeout(DRAIN_INPUT_TIMEOUT, drain_input(socket)) => {
-            read.unwrap_or(DeliveryStatus::Unknown)
+        drained = timeout(DRAIN_INPUT_TIMEOUT, drain_input(socket)) => {
+            drained.unwrap_or(DeliveryStatus::Unknown)
         }
         () = connection.wait_for_eviction() => DeliveryStatus::Unknown,
     }
 }
 
-/// Reads what still comes until the client closes too. Closed with something unread, the kernel resets the
-/// connection, and the response may be lost on its way.
+/// Reads and discards the remaining input until the client closes too. If a socket is closed with unread input, the
+/// kernel resets the connection, and the response may be lost.
 async fn drain_input(socket: &SharedSocket) -> DeliveryStatus {
-    let mut scrap = vec![0; MIN_BUFFER_BYTES];
+    let mut discarded = vec![0; MIN_BUFFER_BYTES];
     let mut left = MAX_DRAINED_BYTES;
     while left > 0 {
         let read = poll_fn(|cx| {
-            let mut buf = ReadBuf::new(&mut scrap);
+            let mut buf = ReadBuf::new(&mut discarded);
             let read = Pin::new(&mut *socket.borrow_mut()).poll_read(cx, &mut buf);
             read.map_ok(|()| buf.filled().len())
         });
--- a/crates/data-plane/src/listener/delivery.rs
+++ b/crates/data-plane/src/listener/delivery.rs
@@ -1,25 +1,26 @@
-//! Whether the last response on a connection was read by its client. A handler that acts only once its response has
-//! arrived waits for that.
+//! Reports whether the client read the last response on a connection, for handlers that act only after their response
+//! has been delivered.
 
 use tokio::sync::watch;
 
-/// What the end of a connection tells of the last response on it.
+/// What the end of a connection reveals about the delivery of its last response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryStatus {
-    /// The client closed in order after the response: it has read it.
+    /// The client closed the connection regularly after the response, so it has read the response.
     Delivered,
     /// The connection broke.
     Broken,
-    /// It ended without a sign.
+    /// The connection ended without either indication.
     Unknown,
 }
 
-/// Tells what became of a request's response. It stands among the extensions of a request whose handler wants it.
+/// Reports whether the response to a request was delivered. It is an extension of requests to handlers that set
+/// [`RequestHandler::WANTS_RECEIPT`](super::RequestHandler::WANTS_RECEIPT).
 #[derive(Clone)]
 pub struct DeliveryReceipt(watch::Receiver<Option<DeliveryStatus>>);
 
 impl DeliveryReceipt {
-    /// Waits for the end of the connection, and says what it tells of the response.
+    /// Waits for the end of the connection and returns the delivery status of its last response.
     pub async fn wait(&mut self) -> DeliveryStatus {
         let status = self.0.wait_for(Option::is_some).await;
         status
@@ -29,7 +30,8 @@
     }
 }
 
-/// The connection's end of its receipts. Dropped without a report it stands for [`DeliveryStatus::Unknown`].
+/// The sending side of a connection's receipts. If it is dropped without a report, they yield
+/// [`DeliveryStatus::Unknown`].
 pub(super) struct DeliveryReporter {
     sender: watch::Sender<Option<DeliveryStatus>>,
     receipt: DeliveryReceipt,
@@ -42,12 +44,12 @@
         Self { sender, receipt }
     }
 
-    /// The receipt for a request on this connection.
+    /// Returns a receipt for a request on this connection.
     pub(super) fn receipt(&self) -> DeliveryReceipt {
         self.receipt.clone()
     }
 
-    /// The connection has ended.
+    /// Reports the status at the end of the connection.
     pub(super) fn report(&self, status: DeliveryStatus) {
         self.sender.send_replace(Some(status));
     }
--- a/crates/data-plane/src/listener/tests.rs
+++ b/crates/data-plane/src/listener/tests.rs
@@ -1,4 +1,4 @@
-//! A listener over loopback: its stop, the receipts of its answers, and clients that leave.
+//! A listener on the loopback interface: shutdown, delivery receipts, and clients that disconnect.
 
 use hyper::StatusCode;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -19,7 +19,7 @@
     }
 }
 
-/// Limits that none of the tests runs into.
+/// Returns limits that no test reaches.
 fn limits() -> ListenerLimits {
     ListenerLimits {
         max_connections: 8,
@@ -41,9 +41,9 @@
     (listener, at)
 }
 
-/// Tells the server to stop, and waits until it has heard that.
+/// Signals the server to stop, and waits until it has received the signal.
 async fn stop_serving(server: &Listener<OkHandler>, stop: oneshot::Sender<()>) {
-    stop.send(()).expect("it serves");
+    stop.send(()).expect("the server is running");
     while !server.stopping.get() {
         sleep(Duration::from_millis(1)).await;
     }
@@ -51,7 +51,7 @@
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 
-/// All that the server sends until it closes.
+/// Reads until the server closes the connection.
 async fn read_to_end(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     let _ = stream.read_to_end(&mut text).await;
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn request_on_its_way_at_close_is_answered() {
+async fn request_in_transit_when_the_listener_closes_is_answered() {
     let test = async {
         let (listener, at) = bind().await;
         let limits = ListenerLimits {
@@ -71,33 +71,33 @@
         let server = Listener::new(Rc::new(OkHandler), limits);
         let stopped = async move { drop(stopped.await) };
         let serving = spawn_local(server.clone().serve(listener, stopped));
-        // One that has asked before, one that has only come up, one that stays silent.
-        let mut kept = TcpStream::connect(at).await.expect("a connection");
-        kept.write_all(REQUEST).await.expect("written");
-        let mut answer = [0; 512];
-        assert!(kept.read(&mut answer).await.expect("an answer") > 0);
+        // One connection has sent a request before, one is new, and one never sends anything.
+        let mut keep_alive = TcpStream::connect(at).await.expect("a connection");
+        keep_alive.write_all(REQUEST).await.expect("written");
+        let mut response = [0; 512];
+        assert!(keep_alive.read(&mut response).await.expect("a response") > 0);
         let mut new = TcpStream::connect(at).await.expect("a connection");
         let mut silent = TcpStream::connect(at).await.expect("a connection");
         while server.connections.len() < 3 {
             sleep(Duration::from_millis(1)).await;
         }
         stop_serving(&server, stop).await;
-        // The close has reached every connection by then.
+        // Enough for every connection to be notified of the close.
         sleep(Duration::from_millis(50)).await;
-        for stream in [&mut kept, &mut new] {
+        for stream in [&mut keep_alive, &mut new] {
             stream.write_all(REQUEST).await.expect("written");
-            let answer = read_to_end(stream).await;
-            assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
-            assert!(answer.contains("connection: close"), "{answer:?}");
+            let response = read_to_end(stream).await;
+            assert!(response.starts_with("HTTP/1.1 200"), "{response:?}");
+            assert!(response.contains("connection: close"), "{response:?}");
         }
-        silent.shutdown().await.expect("it leaves");
-        assert_eq!(read_to_end(&mut silent).await, "", "closed without a word");
-        serving.await.expect("it ends");
+        silent.shutdown().await.expect("half-closed");
+        assert_eq!(read_to_end(&mut silent).await, "", "closed without data");
+        serving.await.expect("the listener ends");
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// In virtual time, so that the speed of the machine does not matter.
+/// Runs in paused time, so that the speed of the machine does not matter.
 #[tokio::test]
 async fn nothing_is_accepted_after_the_final_request_wait() {
     let test = async {
@@ -117,26 +117,28 @@
         let server = Listener::new(Rc::new(OkHandler), limits);
         let stopped = async move { drop(stopped.await) };
         let serving = spawn_local(server.clone().serve(listener, stopped));
-        let mut kept = [TcpStream::connect(at).await, TcpStream::connect(at).await]
+        let mut keep_alive = [TcpStream::connect(at).await, TcpStream::connect(at).await]
             .map(|stream| stream.expect("a connection"));
-        for stream in &mut kept {
+        for stream in &mut keep_alive {
             stream.write_all(REQUEST).await.expect("written");
-            assert!(stream.read(&mut [0; 512]).await.expect("an answer") > 0);
+            assert!(stream.read(&mut [0; 512]).await.expect("a response") > 0);
         }
         stop_serving(&server, stop).await;
         tokio::time::pause();
         sleep(limits.accept_grace + limits.final_request_wait).await;
-        TcpStream::connect(at).await.expect_err("nobody listens");
-        for stream in &mut kept {
+        TcpStream::connect(at)
+            .await
+            .expect_err("the listener is closed");
+        for stream in &mut keep_alive {
             let _ = stream.write_all(REQUEST).await;
-            assert_eq!(read_to_end(stream).await, "", "closed without a word");
+            assert_eq!(read_to_end(stream).await, "", "closed without data");
         }
-        serving.await.expect("it ends");
+        serving.await.expect("the listener ends");
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Closes behind each answer, and keeps what will be told of its receipt.
+/// Closes the connection after each response, and stores the receipts.
 #[derive(Default)]
 struct ClosingHandler(std::cell::RefCell<Vec<DeliveryReceipt>>);
 
@@ -152,52 +154,52 @@
         self.0
             .borrow_mut()
             .extend(request.extensions().get().cloned());
-        let mut answer = empty_response(StatusCode::OK);
-        answer
+        let mut response = empty_response(StatusCode::OK);
+        response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
-        answer
+        response
     }
 }
 
 #[tokio::test]
-async fn receipt_tells_whether_the_answer_was_read() {
+async fn receipt_reports_whether_the_response_was_read() {
     let test = async {
         let (listener, at) = bind().await;
         let limits = limits();
         let handler = Rc::new(ClosingHandler::default());
         let server = Listener::new(handler.clone(), limits);
         spawn_local(server.serve(listener, std::future::pending()));
-        for receipt in [
+        for status in [
             DeliveryStatus::Delivered,
             DeliveryStatus::Broken,
             DeliveryStatus::Unknown,
         ] {
             let mut stream = TcpStream::connect(at).await.expect("a connection");
             stream.write_all(REQUEST).await.expect("written");
-            if receipt == DeliveryStatus::Broken {
-                // Closed with the answer unread, it is reset.
-                stream.readable().await.expect("an answer");
+            if status == DeliveryStatus::Broken {
+                // Dropping the stream with the response unread resets the connection.
+                stream.readable().await.expect("a response");
             } else {
                 assert!(read_to_end(&mut stream).await.starts_with("HTTP/1.1 200"));
             }
-            let kept = (receipt == DeliveryStatus::Unknown).then_some(stream);
-            let mut receipts = handler.0.borrow_mut().pop().expect("asked");
-            assert_eq!(receipts.wait().await, receipt);
-            drop(kept);
+            let kept_open = (status == DeliveryStatus::Unknown).then_some(stream);
+            let mut receipt = handler.0.borrow_mut().pop().expect("a receipt");
+            assert_eq!(receipt.wait().await, status);
+            drop(kept_open);
         }
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Answers nothing, and counts the requests that were given up.
+/// Never responds, and counts the requests whose futures were dropped.
 #[derive(Default)]
 struct PendingHandler {
     requests: Cell<usize>,
-    given_up: Rc<Cell<usize>>,
+    dropped: Rc<Cell<usize>>,
 }
 
-/// Counts when it is dropped.
+/// Increments the counter when it is dropped.
 struct DropCounter(Rc<Cell<usize>>);
 
 impl Drop for DropCounter {
@@ -208,13 +210,13 @@
 
 impl RequestHandler for PendingHandler {
     async fn handle_request(&self, _: Request<Incoming>, _: Instant, _: bool) -> ClientResponse {
-        let _counter = DropCounter(self.given_up.clone());
+        let _counter = DropCounter(self.dropped.clone());
         self.requests.set(self.requests.get() + 1);
         std::future::pending().await
     }
 }
 
-/// Longest wait for anything that has to happen.
+/// The maximum wait for an expected condition.
 const MAX_WAIT: Duration = Duration::from_secs(6);
 
 async fn wait_until(what: &str, happened: impl Fn() -> bool) {
@@ -225,20 +227,20 @@
     };
     timeout(MAX_WAIT, happened)
         .await
-        .unwrap_or_else(|_| panic!("{what} does not happen"));
+        .unwrap_or_else(|_| panic!("timed out waiting for {what}"));
 }
 
-/// How a client leaves while its request is open.
+/// How a client disconnects while its request is open.
 #[derive(Clone, Copy, Debug)]
 enum ClientExit {
     Closes,
     Resets,
-    /// It half closes, and would read on.
+    /// Closes its sending side and could still read.
     HalfCloses,
 }
 
 #[tokio::test]
-async fn request_is_dropped_when_its_client_leaves() {
+async fn request_is_dropped_when_its_client_disconnects() {
     let test = async {
         let (listener, at) = bind().await;
         let timeouts = ClientTimeouts {
@@ -259,14 +261,14 @@
             ClientExit::Resets,
             ClientExit::HalfCloses,
         ] {
-            // Nothing; a part of a request; a whole one; more than the HTTP library buffers.
-            for behind in [&b""[..], b"GET / HT", REQUEST, &[b'x'; 12_000]] {
+            // Nothing, a partial request, a complete request, and more than the HTTP library buffers.
+            for trailing in [&b""[..], b"GET / HT", REQUEST, &[b'x'; 12_000]] {
                 let mut stream = TcpStream::connect(at).await.expect("a connection");
                 clients += 1;
                 stream.write_all(REQUEST).await.expect("written");
                 wait_until("a request", || handler.requests.get() == clients).await;
-                stream.write_all(behind).await.expect("written");
-                let mut kept = None;
+                stream.write_all(trailing).await.expect("written");
+                let mut kept_open = None;
                 match exit {
                     ClientExit::Closes => drop(stream),
                     ClientExit::Resets => {
@@ -276,13 +278,16 @@
                         drop(stream);
                     }
                     ClientExit::HalfCloses => {
-                        stream.shutdown().await.expect("half closed");
-                        kept = Some(stream);
+                        stream.shutdown().await.expect("half-closed");
+                        kept_open = Some(stream);
                     }
                 }
-                let what = format!("the end after {exit:?} with {} bytes behind", behind.len());
-                wait_until(&what, || handler.given_up.get() == clients).await;
-                drop(kept);
+                let what = format!(
+                    "the drop after {exit:?} with {} trailing bytes",
+                    trailing.len()
+                );
+                wait_until(&what, || handler.dropped.get() == clients).await;
+                drop(kept_open);
             }
         }
     };
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -1,8 +1,8 @@
-//! What a balancer counts for its operators: requests by route and outcome, their duration, and what it knows of the
-//! system. In the OpenMetrics text form, for Prometheus.
+//! The metrics of a balancer: requests by route and outcome, their duration, and the state of the system as known to
+//! the balancer. They are exported in the OpenMetrics text format, for Prometheus.
 //!
-//! Owns the registry. The counters of a route are looked up when it comes into force, not for each request; those of a
-//! route that is gone are removed. Counts start at zero with each process.
+//! Owns the registry. The counters of a route are looked up when its configuration is applied, not for each request,
+//! and are removed with the route. Counters start at zero with each process.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,21 +24,20 @@
 const OPENMETRICS_CONTENT_TYPE: HeaderValue =
     HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
 
-/// Upper bounds of the buckets of request durations, in seconds: latency targets lie between a fifth of a second and
-/// some seconds.
+/// The upper bounds of the request duration buckets, in seconds. Latency targets are between 0.2 s and a few seconds.
 const DURATION_BUCKETS_SECONDS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 30.0,
 ];
 
-/// What is registered, in the OpenMetrics text form.
+/// Encodes all registered metrics in the OpenMetrics text format.
 pub fn encode_text(registry: &Registry) -> String {
     let mut text = String::new();
-    // Writing to memory does not fail.
+    // Writing to a string does not fail.
     let _ = encode(&mut text, registry);
     text
 }
 
-/// A response that carries metrics in the OpenMetrics text form.
+/// Returns a response with metrics in the OpenMetrics text format.
 pub fn metrics_response(text: String) -> ClientResponse {
     let mut response = ClientResponse::new(text.into());
     response
@@ -58,16 +57,16 @@
     route: String,
 }
 
-/// What became of a request. The names of the variants are the values of the label `outcome`.
+/// The outcome of a request. The names of the variants are the values of the label `outcome`.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, EncodeLabelValue)]
 pub enum RequestOutcome {
-    /// An upstream's response was passed on.
+    /// An upstream's response was forwarded.
     Served,
-    /// It has not run, and its client was advised to send it again.
+    /// The request has not run, and the client was told when to retry it.
     Refused,
-    /// It was no valid request, too large, or came too slowly.
+    /// The request was invalid or too large, arrived too slowly, or has no service.
     Malformed,
-    /// It may have run, and there is no response.
+    /// The request may have run, and there is no response.
     Failed,
 }
 
@@ -79,7 +78,7 @@
     RequestOutcome::Failed,
 ];
 
-/// All that one balancer counts.
+/// The metrics of one balancer.
 pub struct Metrics {
     registry: RefCell<Registry>,
     requests: Family<RequestLabels, Counter>,
@@ -87,23 +86,23 @@
     routes: RefCell<BTreeMap<String, Rc<RouteMetrics>>>,
     /// Requests that no route matches.
     pub unrouted_requests: Counter,
-    /// The revision (`rev`) of the configuration in force.
+    /// The revision (`rev`) of the active configuration.
     pub configuration_revision: Gauge,
-    /// Balancers of the fleet, as the control plane reports it.
+    /// The number of balancers in the fleet, as reported by the control plane.
     pub balancers: Gauge,
-    /// Upstreams that are known.
+    /// The number of known upstreams.
     pub upstreams: Gauge,
 }
 
-/// The counters of one route.
+/// The metrics of one route.
 pub struct RouteMetrics {
-    /// By discriminant of the outcome.
+    /// Indexed by the discriminant of the outcome.
     requests_by_outcome: [Counter; OUTCOMES.len()],
     request_seconds: Histogram,
 }
 
 impl RouteMetrics {
-    /// Counts a request of this route that arrived then and has its response now.
+    /// Records the response to a request of this route that arrived at `arrived_at`.
     pub fn record_response(&self, outcome: RequestOutcome, arrived_at: Instant) {
         self.requests_by_outcome[outcome as usize].inc();
         self.request_seconds
@@ -112,7 +111,7 @@
 }
 
 impl Metrics {
-    /// Metrics at zero; those of abandoned requests are counted by the engine itself.
+    /// Creates the metrics, all at zero. Abandoned attempts are counted by the engine and only registered here.
     pub fn new(abandoned: &AbandonedAttempts) -> Self {
         let new_histogram: fn() -> Histogram = || Histogram::new(DURATION_BUCKETS_SECONDS);
         let metrics = Self {
@@ -129,7 +128,7 @@
         metrics
     }
 
-    /// Names what is counted. Names and help texts are part of what operators see.
+    /// Registers all metrics. Their names and help texts are part of the interface for operators.
     fn register(&self, abandoned: &AbandonedAttempts) {
         let mut registry = self.registry.borrow_mut();
         registry.register(
@@ -162,7 +161,7 @@
         abandoned.register(&mut registry);
     }
 
-    /// The counters of a route; one that is known goes on from where it stands.
+    /// Returns the metrics of a route. Those of a known route keep their values.
     pub fn route(&self, name: &str) -> Rc<RouteMetrics> {
         if let Some(known) = self.routes.borrow().get(name) {
             return known.clone();
@@ -182,7 +181,7 @@
         counters
     }
 
-    /// Removes the counters of all routes but these.
+    /// Removes the metrics of all routes except these.
     pub fn retain_routes<'a>(&self, names: impl Iterator<Item = &'a str>) {
         let mut gone = self.routes.take();
         let kept = names.filter_map(|name| gone.remove_entry(name));
@@ -198,7 +197,7 @@
         }
     }
 
-    /// All of it in the OpenMetrics text form.
+    /// Returns all metrics in the OpenMetrics text format.
     pub fn text(&self) -> String {
         encode_text(&self.registry.borrow())
     }
--- a/crates/data-plane/src/metrics/tests.rs
+++ b/crates/data-plane/src/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! Counters in the text form, while their route is there and after.
+//! Metrics of a route in the text format, before and after the route is removed.
 
 use super::*;
 
@@ -32,5 +32,5 @@
         .route("a")
         .record_response(RequestOutcome::Served, arrived);
     let line = "shorefront_requests_total{route=\"a\",outcome=\"Served\"} 2";
-    assert!(metrics.text().contains(line), "counted on");
+    assert!(metrics.text().contains(line), "the counter keeps its value");
 }
