--- a/crates/data-plane/src/routes.rs
+++ b/crates/data-plane/src/routes.rs
@@ -1,23 +1,23 @@
-//! The routes in force: which service a request goes to and as what class, and what the engine has to know for that.
+//! Routing: determines the service and the request class of each request, and keeps the engine up to date with the
+//! configuration.
 //!
-//! Modules in the order in which a request meets them, then in that of a watch update:
+//! Submodules, first in the order in which they process a request, then in the order in which they process an update:
 //!
-//! - `request`: the way of a request, from its head to its response.
-//! - `route_table`: the route by host and longest prefix, and the service by weight.
-//! - `client_deadline`: how much time a client gives, and whether it has been elsewhere before.
-//! - `watch_updates`: what the control plane sent, by version, and what is requested of it.
-//! - `configuration`: a configuration comes into force; the settings of each service.
-//! - `services`: services and their request classes, by indexes that stay.
-//! - `membership`: upstreams and key ranges as the engine is told of them.
+//! - `request`: processes a request, from its head to its response.
+//! - `route_table`: finds the route by host and longest prefix, and the service by weight.
+//! - `client_deadline`: determines the client's deadline and whether the client has probably sent the request before.
+//! - `watch_updates`: the state received from the control plane, with its versions.
+//! - `configuration`: applies a configuration and derives the settings of each service.
+//! - `services`: services and their request classes, with stable indexes.
+//! - `membership`: sends upstreams and key ranges to the engine.
 //!
-//! Owns what a balancer holds of the replicated state, a cache of the control plane's; nothing of it is stored. It is
-//! changed by watch updates alone.
+//! **State.** The balancer's copy of the replicated state. It is kept only in memory and changed only by watch updates.
 //!
-//! **Promises.** A configuration is in force whole or not at all, and never an older one than before. Each request that
-//! has a route is counted with its outcome.
+//! **Guarantees.** A configuration is applied completely or not at all, and is never replaced by an older one. Each
+//! request that has a route is counted with its outcome.
 //!
-//! **Neighbours down.** Without the control plane all stays as last received. A balancer that has received nothing yet
-//! refuses requests with advice to come again.
+//! **Failures.** Without the control plane, the state stays as last received. A balancer that has received nothing yet
+//! refuses requests with a `Retry-After`.
 
 mod client_deadline;
 mod configuration;
@@ -44,15 +44,16 @@
 use crate::engine::EngineHandle;
 use crate::metrics::Metrics;
 
-/// The bodies of requests, while they are read or held, may take this part of the memory together.
+/// The memory limit divided by this is the budget for request bodies that are being read or held.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// No time in a configuration counts as longer than a day: a clock to which a longer one is added may overflow.
+/// The maximum duration in a configuration, one day; longer ones are reduced to it. Adding a longer duration to a clock
+/// might overflow.
 const MAX_DURATION_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// Zones and regions of the system, and where this balancer stands among them. Fixed for the life of the process.
+/// The zones and regions of the system, and the location of this balancer. Fixed for the life of the process.
 struct Topology {
-    /// Zone names in order: the engine knows a zone by its place here.
+    /// Zone names in order; the engine identifies a zone by its index here.
     zones: Vec<String>,
     /// The region of each zone, in the same order.
     regions: Vec<String>,
@@ -72,13 +73,14 @@
         }
     }
 
-    /// The engine's number of a zone; one that is not in the settings comes behind all that are.
+    /// Returns the number by which the engine identifies a zone. All zones that are not in the settings share the
+    /// number after the last one.
     fn zone_number(&self, zone: &str) -> u32 {
         let known = self.zones.iter().position(|z| z == zone);
         known.unwrap_or(self.zones.len()) as u32
     }
 
-    /// The numbers of the zones in these regions.
+    /// Returns the numbers of the zones in these regions.
     fn zones_in(&self, regions: &[String]) -> Vec<u32> {
         let zones = self.regions.iter().enumerate();
         zones
@@ -87,18 +89,18 @@
             .collect()
     }
 
-    /// The distance of each zone: 0 within the own region, 1 beyond it.
+    /// Returns the distance of each zone: 0 in this balancer's region, 1 in any other.
     fn distances(&self) -> Vec<Span> {
         let distance = |region: &String| Span(i64::from(*region != self.own_region));
         self.regions.iter().map(distance).collect()
     }
 }
 
-/// The routes in force, and the handler of clients' requests.
+/// The active routes; handles the requests of clients.
 pub struct Routes {
     engine: EngineHandle,
     topology: Topology,
-    /// Figures of the users' rules.
+    /// The limits that the settings prescribe, such as the one on retries.
     bounds: Bounds,
     body_budget: BodyBudget,
     control_state: RefCell<ControlState>,
@@ -106,15 +108,15 @@
     services: RefCell<ServiceTable>,
     membership: Membership,
     draining: Cell<bool>,
-    /// Wakes the sessions with the control plane when there is something new to send.
+    /// Wakes the sessions with the control plane when the watch request has changed.
     changes: ChangeNotifier,
     metrics: Metrics,
-    /// Holds the listener to the limits of the configuration.
+    /// Applies the limits of the configuration to the listener.
     on_limits: Box<dyn Fn(&RequestLimits)>,
 }
 
 impl Routes {
-    /// No routes yet. `on_limits` is called with the limits of each configuration that comes into force.
+    /// Creates an empty set of routes. `on_limits` is called with the limits of each configuration that is applied.
     pub fn new(
         settings: &Settings,
         engine: EngineHandle,
@@ -138,12 +140,12 @@
         })
     }
 
-    /// Whether it can serve: it has a configuration and somewhere to send to, and is not about to end.
+    /// Returns whether the balancer can serve: it has a configuration, the engine is ready, and it is not draining.
     pub fn is_ready(&self) -> bool {
         !self.draining.get() && self.control_state.borrow().has_config() && self.engine.is_ready()
     }
 
-    /// What was counted, in the OpenMetrics text form.
+    /// Returns the metrics in the OpenMetrics text format.
     pub fn metrics_text(&self) -> String {
         self.metrics.upstreams.set(self.membership.len() as i64);
         let fleet = self.control_state.borrow().fleet;
@@ -152,14 +154,14 @@
         self.metrics.text()
     }
 
-    /// The process is about to end: from now on the control plane sends clients elsewhere.
+    /// Reports to the control plane that the process is shutting down, so that it directs clients to other balancers.
     pub fn start_draining(&self) {
         self.draining.set(true);
         self.changes.notify();
     }
 }
 
-/// A time of a configuration, in milliseconds, of which no more than a day counts.
+/// Converts a duration of a configuration from milliseconds; at most one day.
 fn bounded_duration(ms: u64) -> Duration {
     Duration::from_millis(ms.min(MAX_DURATION_MS))
 }
--- a/crates/data-plane/src/routes/client_deadline.rs
+++ b/crates/data-plane/src/routes/client_deadline.rs
@@ -1,7 +1,7 @@
-//! How much time a client gives its request, and whether the request has been elsewhere before.
+//! Determines the client's deadline of a request, and whether the client has probably sent the request before.
 //!
-//! A client says in `Deadline-Ms` how much time it has left. One that says clearly less than others of its route has
-//! lost time with an earlier attempt: it was refused by another balancer, or waited there.
+//! A client states the remaining time in `Deadline-Ms`. If it is clearly shorter than that of other clients of the same
+//! route, the client has lost time with an earlier attempt: another balancer refused it or let it wait.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -13,19 +13,20 @@
 use super::route_table::ActiveRoute;
 
 const DEADLINE: HeaderName = HeaderName::from_static("deadline-ms");
-/// The longest deadline is that of this long and of the window before: some first tries of each client.
+/// The length of a window. The longest deadline is taken over the current and the previous window, which contain some
+/// first attempts of each client.
 const DEADLINE_WINDOW: Duration = Duration::from_secs(30);
 
-/// The time that a client gives a request.
+/// The deadline that a client sets for a request.
 pub(super) struct ClientDeadline {
-    /// From the arrival of the request; no longer than the route's.
+    /// The time from the arrival of the request; at most the route's deadline.
     pub(super) deadline: Duration,
-    /// The client has probably sent the request before.
+    /// Whether the client has probably sent the request before.
     pub(super) is_resent: bool,
 }
 
 impl ClientDeadline {
-    /// Reads it from the head of a request. Without the header the route's deadline holds.
+    /// Reads the deadline from the headers of a request. Without the header, the route's deadline applies.
     pub(super) fn from_headers(
         headers: &HeaderMap,
         route: &ActiveRoute,
@@ -50,7 +51,7 @@
     }
 }
 
-/// The longest deadline that clients of a route gave of late: that of first attempts.
+/// The longest deadline that clients of a route have recently set, which is that of first attempts.
 #[derive(Default)]
 pub(super) struct MaxDeadline(Cell<Windows>);
 
@@ -58,12 +59,12 @@
 struct Windows {
     current: Duration,
     previous: Duration,
-    /// When the current window began; none before the first request.
+    /// When the current window began; `None` before the first request.
     since: Option<Instant>,
 }
 
 impl MaxDeadline {
-    /// Takes in a deadline, and gives the longest of the current window and the one before.
+    /// Records a deadline and returns the longest one of the current and the previous window.
     pub(super) fn observe(&self, now: Instant, deadline: Duration) -> Duration {
         let mut windows = self.0.get();
         let is_current = |since: &Instant| now < *since + DEADLINE_WINDOW;
--- a/crates/data-plane/src/routes/configuration.rs
+++ b/crates/data-plane/src/routes/configuration.rs
@@ -1,5 +1,5 @@
-//! A configuration comes into force: its routes and services, the limits of clients, and the settings of each service's
-//! decision module.
+//! Applies a configuration: its routes and services, the limits for clients, and the settings of each service's
+//! balancer.
 
 use std::time::Duration;
 
@@ -13,23 +13,24 @@
 use super::{MAX_DURATION_MS, Routes, bounded_duration};
 use crate::engine::EngineEvent;
 
-/// The decision modules' housekeeping comes no more often than this: a fifth of a core has other work.
+/// The minimum interval of the balancers' periodic work, which limits its CPU use: a process may have only a fifth of a
+/// core.
 const MIN_TICK: Duration = Duration::from_millis(25);
-/// A late response keeps some value: the users' rules say that it earns less, not how much less.
+/// The value of a late response. It is worth less than one in time, but the requirements don't specify how much less.
 const LATE_VALUE: f64 = 0.3;
-/// A client whose deadline is shorter than the longest by this part of the route's latency target has been refused or
-/// has waited elsewhere: a connection takes less.
+/// The route's latency target divided by this is the margin by which a deadline has to be shorter than the longest one
+/// for the request to count as sent before. Connecting takes less time than this margin.
 const RESENT_TARGET_DIVISOR: u32 = 4;
 
 impl Routes {
-    /// Puts a configuration in force, as of this log index. [`Self::send_settings`] passes it to the engine.
+    /// Applies the configuration at this log index. [`Self::send_settings`] passes it to the engine.
     pub(super) fn apply_config(&self, index: u64, config: &Config) {
         tracing::info!(
             revision = config.revision,
             index,
             routes = config.routes.len(),
             services = config.services.len(),
-            "configuration is in force"
+            "configuration applied"
         );
         {
             let mut services = self.services.borrow_mut();
@@ -47,7 +48,7 @@
         (self.on_limits)(&config.limits);
     }
 
-    /// A route as it is matched and counted; its classes are put in force.
+    /// Returns the entry of a route for the route table, and activates its request class in each of its services.
     fn active_route(&self, route: &Route, services: &mut ServiceTable) -> ActiveRoute {
         let class = self.request_class(route);
         let mut splits = Vec::new();
@@ -72,7 +73,7 @@
         }
     }
 
-    /// A route as the decision module knows it.
+    /// Returns the request class of a route for the balancers.
     fn request_class(&self, route: &Route) -> RequestClass {
         let span = |ms: u64| Span(ms.min(MAX_DURATION_MS) as i64 * 1000);
         let homes = &route.home_regions;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// The settings of a service's decision module in a fleet of this size.
+    /// Returns the settings of a service's balancer in a fleet of this size.
     fn service_settings(&self, service: &Service, fleet: FleetView) -> ServiceSettings {
         let classes = service.classes.clone();
         let attempts = classes.iter().filter_map(|c| c.max_attempts).max();
@@ -117,8 +118,9 @@
         settings
     }
 
-    /// How long what an upstream in slow start has earned may wait to be spent. In one second a fleet sends what it
-    /// earns in that and in the wait; half of the slack is left for sends that arrive together.
+    /// Returns how long unused credit of an upstream in slow start remains valid. Within one second, the fleet can send
+    /// the credit earned in that second and in this period. Half of the allowed slack is kept for requests that arrive
+    /// at the same time.
     fn slow_start_credit_ttl(&self, service: &Service) -> Span {
         let (excess, slack) = (self.bounds.warmup_excess, self.bounds.warmup_slack);
         let rate_per_s = service.slow_start_rate_per_s.max(0.1);
@@ -135,9 +137,9 @@
         for (index, service) in self.services.borrow().iter().enumerate() {
             let mut settings = self.service_settings(service, fleet);
             if settings.classes.is_empty() {
-                // No route has used it yet; the index is taken all the same.
-                let any = RequestClass::safe(Span(1_000_000), Span(1_000_000));
-                settings.classes.push(any);
+                // No route has used the service yet, but the settings need a class.
+                let placeholder = RequestClass::safe(Span(1_000_000), Span(1_000_000));
+                settings.classes.push(placeholder);
             }
             self.engine.send_event(EngineEvent::SettingsChanged {
                 service: index,
--- a/crates/data-plane/src/routes/membership.rs
+++ b/crates/data-plane/src/routes/membership.rs
@@ -1,7 +1,8 @@
-//! Upstreams and key ranges as they are sent to the engine: all upstreams, or those of a zone that changed.
+//! Sends upstreams and key ranges to the engine: either all upstreams, or the changed ones of a zone.
 //!
-//! Owns which upstreams the engine knows, by service, and when those in slow start have started. An upstream of a
-//! service that is not configured is not sent; it is with the next configuration, when all are sent.
+//! Owns the set of upstreams that the engine knows, with their services, and the start times of upstreams in slow
+//! start. An upstream of a service that is not configured is not sent; the next configuration causes all upstreams to
+//! be sent.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,16 +17,16 @@
 use super::watch_updates::ControlState;
 use crate::engine::{EngineEvent, ListedUpstream};
 
-/// An upstream's start is known by what is left of its slow start, as of the update. Moved by less than this it is the
-/// same start.
+/// An upstream's start time is computed from the remaining slow start in each update and therefore varies. It is taken
+/// as a new start only if it is later by more than this.
 const START_TOLERANCE: Duration = Duration::from_millis(1000);
 
-/// What was sent to the engine of each upstream.
+/// The upstreams that the engine knows.
 pub(super) struct Membership {
     service_by_upstream: RefCell<FxHashMap<String, usize>>,
-    /// When an upstream in slow start has started, as first received.
+    /// The start times of upstreams in slow start, as first received.
     started_at: RefCell<FxHashMap<String, SystemTime>>,
-    /// Upstream lists count their times from here.
+    /// The origin of the times in upstream lists.
     epoch: Instant,
 }
 
@@ -40,17 +41,17 @@
 }
 
 impl Membership {
-    /// Upstreams that the engine knows.
+    /// Returns the number of upstreams that the engine knows.
     pub(super) fn len(&self) -> usize {
         self.service_by_upstream.borrow().len()
     }
 
-    /// The time that upstream lists go by, in milliseconds.
+    /// Returns the current time for upstream lists, in milliseconds.
     pub(super) fn now_ms(&self) -> u64 {
         self.epoch.elapsed().as_millis() as u64
     }
 
-    /// Notes a start at this time, unless it is the one that is known.
+    /// Records the start time of an upstream, unless it is the known one within [`START_TOLERANCE`].
     fn record_start(&self, upstream: String, at: SystemTime) {
         let mut started = self.started_at.borrow_mut();
         let known = started.entry(upstream).or_insert(at);
@@ -62,7 +63,7 @@
 }
 
 impl Routes {
-    /// Sends the engine all upstreams of all services.
+    /// Sends all upstreams of all services to the engine.
     pub(super) fn send_all_upstreams(&self) {
         let mut lists: Vec<Vec<ListedUpstream>> = Vec::new();
         lists.resize_with(self.services.borrow().len(), Vec::new);
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Sends the engine those of a zone's upstreams that have changed.
+    /// Sends the changed upstreams of a zone to the engine.
     pub(super) fn send_changed_upstreams(&self, zone: &str, ids: BTreeSet<String>) {
         let mut lists: BTreeMap<usize, Vec<ListedUpstream>> = BTreeMap::new();
         let control_state = self.control_state.borrow();
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Sends the engine the owners of the key ranges of these services.
+    /// Sends the owners of the key ranges of these services to the engine.
     pub(super) fn send_key_owners<'a>(&self, services: impl Iterator<Item = &'a String>) {
         let control_state = self.control_state.borrow();
         for name in services {
@@ -146,7 +147,7 @@
         self.services.borrow().index_of(name)
     }
 
-    /// An upstream as it is sent to the engine. One in an evacuated zone drains.
+    /// Returns an upstream in the form that the engine expects. Upstreams in an evacuated zone are draining.
     fn listed_upstream(
         &self,
         control_state: &ControlState,
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Notes which of these upstreams are in slow start, and since when.
+    /// Records the start times of those of these upstreams that are in slow start.
     pub(super) fn record_starts(&self, list: &UpstreamList, ids: &BTreeSet<String>) {
         let (clock, now_ms) = (SystemTime::now(), self.membership.now_ms());
         let services = self.services.borrow();
@@ -184,8 +185,8 @@
         }
     }
 
-    /// An evacuated zone is returned: its upstreams had no requests for a while and may be cold, so all of them start
-    /// slowly.
+    /// Puts all upstreams of a zone whose evacuation has ended into slow start, since they had no requests for a while
+    /// and may be cold.
     pub(super) fn restart_zone(&self, zone: &str) {
         let control_state = self.control_state.borrow();
         let Some(list) = control_state.zones.get(zone) else {
@@ -198,7 +199,7 @@
     }
 }
 
-/// An upstream of which nothing but its id is known.
+/// Returns an upstream of which only the id is known.
 fn unknown_upstream(id: String) -> ListedUpstream {
     ListedUpstream {
         id,
@@ -213,7 +214,7 @@
     }
 }
 
-/// An upstream that is no longer listed.
+/// Returns the entry for an upstream that is no longer listed.
 fn gone_upstream(id: String) -> ListedUpstream {
     ListedUpstream {
         status: Status::Gone,
--- a/crates/data-plane/src/routes/request.rs
+++ b/crates/data-plane/src/routes/request.rs
@@ -1,5 +1,5 @@
-//! The way of a request from its head to its response: checks that all readers would read it the same, finds its
-//! route, reads its body within the limits, hands it to the engine, and turns what comes of it into a response.
+//! Processes a request from its head to its response: checks that the request is unambiguous, finds its route, reads
+//! its body within the limits, submits it to the engine, and converts the result into a response.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -22,38 +22,39 @@
 use crate::metrics::RequestOutcome;
 use crate::upstream_pool::ForwardedRequest;
 
-/// `Retry-After` of a request that finds no configuration, or no memory for its body: time for an update to come.
+/// The `Retry-After` of a request that is refused for lack of a configuration or of memory for its body. Long enough
+/// for an update to arrive.
 const NOT_READY_RETRY_AFTER: Span = Span(500_000);
 
-/// Headers that mean nothing when they come twice.
+/// Headers that must not occur more than once.
 const SINGLE_VALUE_HEADERS: [&str; 4] = ["host", "content-length", "attempt-id", "deadline-ms"];
-/// The key of a request, for services whose upstreams divide their keys.
+/// The header with the key of a request, for sharded services.
 const SHARD_KEY: HeaderName = HeaderName::from_static("shard-key");
-/// What an upstream says to the balancer only.
+/// Response headers that upstreams send only to the balancer; they are not forwarded.
 const BALANCER_ONLY_HEADERS: [HeaderName; 2] = [
     HeaderName::from_static("upstream-load"),
     HeaderName::from_static("not-run"),
 ];
 
-/// Why a request that has a route does not get an upstream's response.
+/// Why a request does not get an upstream's response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestError {
-    /// In this part.
+    /// The named part of the request is malformed.
     #[error("malformed: {0}")]
     Malformed(&'static str),
     #[error("the body is larger than the limit")]
     BodyTooLarge,
-    #[error("the body did not come within the request's deadline")]
+    #[error("the body was not received before the request's deadline")]
     BodyTimeout,
-    #[error("none of the route's services has a weight")]
+    #[error("none of the route's services has a weight above zero")]
     NoService,
-    /// It has not run and may be sent again.
+    /// The request has not run and may be sent again.
     #[error("refused before it ran")]
     Refused { retry_after: Span },
-    /// It may have run.
-    #[error("no response within the request's deadline")]
+    /// The request may have run.
+    #[error("no response before the request's deadline")]
     DeadlineExceeded,
-    /// It may have run.
+    /// The request may have run.
     #[error("no response from an upstream")]
     NoResponse,
 }
@@ -91,8 +92,9 @@
         arrived_at: Instant,
         _: bool,
     ) -> ClientResponse {
-        // A length beside a transfer coding is read by the coding (RFC 9112, 6.3); another reader may have gone by
-        // the length, and what it took for the body must not be taken for a request here.
+        // If a request has both a length and a transfer coding, the coding applies (RFC 9112, 6.3). An intermediary may
+        // have used the length instead; closing the connection prevents that part of what it took for the body is read
+        // as a request here.
         let chunked = request.headers().contains_key(TRANSFER_ENCODING);
         let mut response = self.respond(request, arrived_at).await;
         if chunked || response.status() == StatusCode::BAD_REQUEST {
@@ -105,7 +107,7 @@
 }
 
 impl Routes {
-    /// Finds the route of a request and answers it, and counts what became of it.
+    /// Finds the route of a request, obtains the response, and records the outcome.
     async fn respond(&self, request: Request<Incoming>, arrived_at: Instant) -> ClientResponse {
         let (head, body) = request.into_parts();
         if let Err(error) = check_head(&head) {
@@ -128,7 +130,7 @@
         response
     }
 
-    /// Reads the body of a request that has a route, and lets the engine get a response for it.
+    /// Reads the body of a request that has a route, and submits the request to the engine.
     async fn forward(
         &self,
         route: &ActiveRoute,
@@ -146,7 +148,7 @@
         if length.is_some_and(|l| l > max_body_bytes as u64) {
             return Err(RequestError::BodyTooLarge);
         }
-        // Held until the response is there: as long as the body may be sent again.
+        // Held until the response is complete, since the body may be sent again until then.
         let _reservation = self
             .body_budget
             .reserve(length.unwrap_or(0) as usize)
@@ -178,7 +180,7 @@
         into_result(reply, &method)
     }
 
-    /// The key of a request, if the upstreams of its service divide their keys.
+    /// Returns the key of a request if its service is sharded.
     fn shard_key(&self, service: usize, head: &Parts) -> Option<u16> {
         let value = head.headers.get(SHARD_KEY)?;
         let key = value.to_str().ok()?.trim().parse().ok();
@@ -186,12 +188,13 @@
     }
 }
 
-/// Checks that a request is framed and named such that no upstream can read it in another way.
+/// Checks that the head of a request is unambiguous, so that every upstream interprets it in the same way.
 fn check_head(head: &Parts) -> Result<(), RequestError> {
     if head.uri.authority().is_some() {
         return Err(RequestError::Malformed("target"));
     }
-    // A success to it has no end but the connection's (RFC 9110, 9.3.6), and would look whole when cut.
+    // A successful response to CONNECT ends only with the connection (RFC 9110, 9.3.6), so that a truncated one would
+    // look complete.
     if head.method == Method::CONNECT {
         return Err(RequestError::Malformed("method"));
     }
@@ -206,7 +209,7 @@
     Ok(())
 }
 
-/// Reads a body to its end, within a size and until a time.
+/// Reads a complete body of at most `max_bytes` bytes before `until`.
 async fn read_body(
     body: Incoming,
     max_bytes: usize,
@@ -220,7 +223,7 @@
     }
 }
 
-/// What the engine made of a request, for its client.
+/// Converts the engine's reply into a response or an error.
 fn into_result(reply: EngineReply, method: &Method) -> Result<ClientResponse, RequestError> {
     match reply {
         EngineReply::Served(response) => Ok(client_response(response, method)),
@@ -230,7 +233,7 @@
     }
 }
 
-/// An upstream's response as it goes to the client; one to HEAD keeps the length that it tells of.
+/// Returns an upstream's response as forwarded to the client. A response to HEAD keeps its `Content-Length`.
 fn client_response(response: Response<Bytes>, method: &Method) -> ClientResponse {
     let length = response
         .headers()
--- a/crates/data-plane/src/routes/route_table.rs
+++ b/crates/data-plane/src/routes/route_table.rs
@@ -1,4 +1,5 @@
-//! The routes by host and prefix. Replaced whole with each configuration; a request that has its route keeps it.
+//! The routes by host and prefix. Each configuration replaces the whole table; requests that already have a route keep
+//! it.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -10,15 +11,15 @@
 use super::client_deadline::MaxDeadline;
 use crate::metrics::RouteMetrics;
 
-/// The golden ratio as a fraction of 2³²: steps of it spread evenly over the range, however many are taken.
+/// The golden ratio as a fraction of 2³². Multiples of it, modulo 2³², are evenly distributed for any number of steps.
 const GOLDEN_RATIO_STEP: u32 = 0x9e37_79b9;
 
-/// A route in force.
+/// A route of the active configuration.
 pub(super) struct ActiveRoute {
     pub(super) prefix: String,
     pub(super) deadline: Duration,
     pub(super) splits: Vec<Split>,
-    /// A client whose deadline is this much shorter than the longest was elsewhere before.
+    /// A request whose deadline is shorter than the longest one by more than this has probably been sent before.
     pub(super) resent_margin: Duration,
     pub(super) max_recent_deadline: MaxDeadline,
     pub(super) metrics: Rc<RouteMetrics>,
@@ -27,23 +28,24 @@
 /// One of the services that share a route.
 #[derive(Clone, Copy)]
 pub(super) struct Split {
-    /// Index in the service table.
+    /// The index in the service table.
     pub(super) service: usize,
-    /// The route's class in that service.
+    /// The index of the route's class in that service.
     pub(super) class: usize,
     pub(super) weight: u32,
 }
 
-/// The routes in force.
+/// The routes of the active configuration.
 #[derive(Default)]
 pub(super) struct RouteTable {
-    /// By host in lower case; for each the longest prefix first.
+    /// The routes by lower-case host, longest prefix first.
     routes_by_host: RefCell<FxHashMap<String, Vec<Rc<ActiveRoute>>>>,
-    split_turn: Cell<u32>,
+    /// The position of the next request in the sequence that distributes requests over splits.
+    split_position: Cell<u32>,
 }
 
 impl RouteTable {
-    /// Puts these routes, each with its host, in the place of all that were in force.
+    /// Replaces all routes by these, each given with its host.
     pub(super) fn replace<'a>(&self, routes: impl Iterator<Item = (&'a str, ActiveRoute)>) {
         let mut by_host: FxHashMap<String, Vec<Rc<ActiveRoute>>> = FxHashMap::default();
         for (host, route) in routes {
@@ -56,28 +58,30 @@
         self.routes_by_host.replace(by_host);
     }
 
-    /// The route with the longest prefix of this path, for a host with or without a port.
+    /// Returns the route of this host with the longest prefix of `path`. Ignores a port in `host`.
     pub(super) fn find(&self, host: &str, path: &str) -> Option<Rc<ActiveRoute>> {
         let host = without_port(host);
         let by_host = self.routes_by_host.borrow();
         let routes = match by_host.get(host) {
             Some(routes) => routes,
-            // Only a host that isn't in lower case costs an allocation.
+            // Allocates only for hosts that are not in lower case, or unknown.
             None => by_host.get(&host.to_ascii_lowercase())?,
         };
         routes.iter().find(|r| path.starts_with(&r.prefix)).cloned()
     }
 
-    /// Which of a route's services takes the next request: by weight, evenly spread; none without a weight.
+    /// Selects the service of a route for the next request. Requests are distributed evenly according to the weights.
+    /// Returns `None` if all weights are 0.
     pub(super) fn next_split(&self, route: &ActiveRoute) -> Option<Split> {
         let total: u64 = route.splits.iter().map(|s| u64::from(s.weight)).sum();
         if total == 0 {
             return None;
         }
-        let turn = self.split_turn.get();
-        self.split_turn.set(turn.wrapping_add(GOLDEN_RATIO_STEP));
-        // Weights may add up to more than one of them can be.
-        let mut at = ((u128::from(turn) * u128::from(total)) >> 32) as u64;
+        let position = self.split_position.get();
+        self.split_position
+            .set(position.wrapping_add(GOLDEN_RATIO_STEP));
+        // The sum of the weights may exceed 32 bits.
+        let mut at = ((u128::from(position) * u128::from(total)) >> 32) as u64;
         for split in &route.splits {
             if at < u64::from(split.weight) {
                 return Some(*split);
--- a/crates/data-plane/src/routes/services.rs
+++ b/crates/data-plane/src/routes/services.rs
@@ -1,5 +1,5 @@
-//! The services and their request classes. An index keeps its meaning for the life of the process: the engine knows a
-//! service and a class by it, and an upstream's response may come after the configuration that sent the request.
+//! The services and their request classes. Indexes are never reused during the life of the process: the engine
+//! identifies services and classes by them, and a response may arrive after the configuration has been replaced.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use protocol::config;
 use rustc_hash::FxHashMap;
 
-/// The slow start of a service counts no longer than a day, in seconds.
+/// The maximum duration of a service's slow start, in seconds: one day.
 const MAX_SLOW_START_S: f64 = 86_400.0;
 
-/// A service, and the routes that are its classes.
+/// A service with one request class per route.
 pub(super) struct Service {
     pub(super) name: String,
-    /// One of each route that it ever had; retired while the route is not in force.
+    /// A class for each route that the service ever had; retired while the route is not active.
     pub(super) classes: Vec<RequestClass>,
     class_by_route: FxHashMap<String, usize>,
     pub(super) slow_start: Duration,
     pub(super) slow_start_rate_per_s: f64,
-    /// Its upstreams divide its keys among them.
+    /// Whether the keys of the service are divided among its upstreams.
     pub(super) is_sharded: bool,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Sets the class of a route, and gives its index.
+    /// Sets the class of a route and returns its index.
     pub(super) fn set_class(&mut self, route: &str, class: &RequestClass) -> usize {
         if let Some(&known) = self.class_by_route.get(route) {
             self.classes[known].clone_from(class);
@@ -52,7 +52,8 @@
 pub(super) struct ServiceTable(Vec<Service>);
 
 impl ServiceTable {
-    /// Takes in the services of a configuration. Those that it does not name stay, without a class in force.
+    /// Applies the services of a configuration. Services that it does not contain are kept. All classes are retired
+    /// until [`Service::set_class`] sets them again.
     pub(super) fn update(&mut self, services: &[config::Service]) {
         for settings in services {
             let index = self.index_of(&settings.name).unwrap_or_else(|| {
@@ -80,17 +81,17 @@
         self.0.iter().find(|s| s.name == name)
     }
 
-    /// The service at an index that this table gave.
+    /// Returns the service at an index of this table.
     pub(super) fn get(&self, index: usize) -> &Service {
         &self.0[index]
     }
 
-    /// The service at an index that this table gave.
+    /// Returns the service at an index of this table.
     pub(super) fn get_mut(&mut self, index: usize) -> &mut Service {
         &mut self.0[index]
     }
 
-    /// All services in the order of their indexes.
+    /// Iterates over all services in the order of their indexes.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Service> {
         self.0.iter()
     }
--- a/crates/data-plane/src/routes/watch_updates.rs
+++ b/crates/data-plane/src/routes/watch_updates.rs
@@ -1,5 +1,5 @@
-//! What the control plane sent, by version, and what is requested of it. Each part of an update is taken only if it is
-//! newer than what is held; then what has changed is sent to the engine, in one order: settings, upstreams, key owners.
+//! The state received from the control plane and its versions. Each part of an update is applied only if it is newer
+//! than the held one. Then the changes are sent to the engine, always in the order settings, upstreams, key owners.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 use crate::change_notifier::ChangeWatcher;
 use crate::control_client::UpdateHandler;
 
-/// What is held of the replicated state, as last received. Log indexes are 0 for what was never received.
+/// The replicated state as last received. Log indexes are 0 for parts that were never received.
 #[derive(Default)]
 pub(super) struct ControlState {
     pub(super) config_index: u64,
@@ -21,22 +21,22 @@
     evacuations_index: u64,
     pub(super) evacuated_zones: Vec<String>,
     keys_index: u64,
-    /// Who holds which keys, by service.
+    /// The owners of key ranges, by service.
     pub(super) key_ranges: BTreeMap<String, KeyRangeView>,
-    /// Upstreams by zone.
+    /// The upstreams by zone.
     pub(super) zones: BTreeMap<String, UpstreamList>,
-    /// Zones of which a difference came whose base is not held: the whole list is requested.
+    /// Zones for which a difference to a missing version was received; their full list is requested.
     zones_missing_base: BTreeSet<String>,
     pub(super) fleet: Option<FleetView>,
 }
 
 impl ControlState {
-    /// Whether a configuration is in force.
+    /// Returns whether a configuration has been applied.
     pub(super) fn has_config(&self) -> bool {
         self.config_index > 0
     }
 
-    /// The version of a zone's list to build on; 0 asks for the whole list.
+    /// Returns the version of a zone's list to which a difference is requested; 0 requests the full list.
     fn requested_version(&self, zone: &str, list: &UpstreamList) -> u64 {
         if self.zones_missing_base.contains(zone) {
             0
@@ -46,11 +46,11 @@
     }
 }
 
-/// What an update changed of the zones' upstreams.
+/// The changes of an update to the upstreams of zones.
 struct ZoneChanges<'a> {
-    /// Ids of the upstreams that changed, by zone.
+    /// The ids of the changed upstreams, by zone.
     changed: Vec<(&'a str, BTreeSet<String>)>,
-    /// A difference came whose base is not held.
+    /// Whether the update contained a difference to a missing version.
     is_missing_base: bool,
 }
 
@@ -130,7 +130,7 @@
     }
 }
 
-/// The parts of an update. Each says whether it brought something new.
+/// Methods that apply the parts of an update. Those that return a `bool` return whether the part was newer.
 impl Routes {
     fn take_config(&self, update: &WatchUpdate) -> bool {
         let held = self.control_state.borrow().config_index;
@@ -159,7 +159,7 @@
                 UpdateOutcome::MissingBase => {
                     tracing::debug!(
                         zone,
-                        "upstream list cannot be brought up to date: its base is missing; asking for all of it"
+                        "upstream list update is based on a missing version; requesting the full list"
                     );
                     state.zones_missing_base.insert(zone.clone());
                     changes.is_missing_base = true;
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -1,11 +1,12 @@
-//! A data-plane balancer as a process: composes its parts, serves until it is told to stop, and ends in order.
+//! The data-plane process: creates its components, serves until it is stopped, and shuts down gracefully.
 //!
-//! `compose` is the one place in which the parts meet. `shutdown` holds the times between SIGTERM and the end,
-//! `readiness` answers the platform's checks.
+//! `compose` creates and connects the components. `shutdown` computes the times between SIGTERM and exit; `readiness`
+//! responds to the platform's readiness checks.
 //!
-//! **Promises.** What clients sent up to 3 s after the stop is answered before the process ends. **Neighbours down.**
-//! Without the control plane it serves what it last received; if the engine ends the process does too, since nothing
-//! would be answered any more and a restart is better.
+//! **Guarantees.** Requests that clients sent up to 3 s after the stop signal get a response before the process exits.
+//!
+//! **Failures.** Without the control plane, the last received configuration stays in use. If the engine ends, the
+//! process exits, since no request would get a response anymore and a restart is better.
 
 mod readiness;
 mod shutdown;
@@ -38,42 +39,42 @@
     LoadReportFormat, PoolConfig, UpstreamPool, UpstreamProtocol, implies_not_run,
 };
 
-/// Descriptors that are neither a client's nor an upstream's.
+/// File descriptors that are used neither for clients nor for upstreams.
 const RESERVED_FDS: usize = 264;
-/// Descriptors for clients and upstreams, whatever the settings say.
+/// The minimum number of file descriptors for clients and upstreams, regardless of the settings.
 const MIN_CONNECTION_FDS: usize = 32;
-/// The decision modules work to this much less than the client's deadline, so that a response at the deadline still
-/// arrives: the way to the client, and a busy moment here.
+/// The balancers' deadline is this much earlier than the client's, so that a response at that deadline still arrives in
+/// time despite the network latency to the client and a delay in this process.
 const RESPONSE_HEADROOM: Duration = Duration::from_millis(30);
-/// Timers fire on multiples of this, so that those of many services fire together.
+/// Timers fire on multiples of this, so that timers of many services fire together.
 const TIMER_GRANULARITY: Duration = Duration::from_millis(25);
-/// An upstream that does not say how long it keeps idle connections keeps them for so long at least.
+/// The assumed idle timeout of upstreams that don't announce one.
 const DEFAULT_UPSTREAM_KEEPALIVE: Duration = Duration::from_secs(8);
-/// Responses that are read, or not yet written to their clients, may take this part of the memory together.
+/// The memory limit divided by this is the budget for responses that are being read or not yet written to clients.
 const RESPONSE_MEMORY_DIVISOR: usize = 4;
 
-/// Why a data plane ended before it was told to.
+/// Why the data plane failed to start or ended unexpectedly.
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
-    /// The settings do not say where to serve.
+    /// The settings contain no address for the HTTP listener.
     #[error("`listen.http` is not set")]
     NoHttpAddress,
-    /// An address of the settings cannot be listened on.
+    /// Binding to an address of the settings failed.
     #[error("{setting} on {address}: {source}")]
     Bind {
-        /// The key below `listen`.
+        /// The setting under `listen` that contains the address.
         setting: &'static str,
-        /// Its value.
+        /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The engine's task ended; nothing would be answered any more.
+    /// The engine's task ended, so that no request would get a response anymore.
     #[error("the engine ended")]
     EngineEnded,
 }
 
-/// What upstreams say, in the words of the users' protocol.
+/// Returns the headers and statuses of the protocol between the data plane and its upstreams.
 pub fn upstream_protocol() -> UpstreamProtocol {
     UpstreamProtocol {
         deadline_header: HeaderName::from_static("deadline-ms"),
@@ -85,7 +86,8 @@
         ],
         request_id_header: Some(HeaderName::from_static("attempt-id")),
         seal_header: Some(HeaderName::from_static("upstream-seal")),
-        // Whatever else an upstream says is its answer; these would be promises that it did not make.
+        // Any other status counts as the upstream's response. A status that implies that the request has not run would
+        // give the client a guarantee that the upstream did not make.
         is_served: |status| !status.is_server_error() && !implies_not_run(status),
         forwards_errors: true,
         load_report: LoadReportFormat::Slots(HeaderName::from_static("upstream-load")),
@@ -99,22 +101,22 @@
     }
 }
 
-/// Clients' connections, and as many to upstreams.
+/// Returns the maximum number of client connections, which is also that of upstream connections.
 fn max_connections(settings: &Settings) -> usize {
     let fds = settings.limits.max_fds.saturating_sub(RESERVED_FDS);
     fds.max(MIN_CONNECTION_FDS) / 2
 }
 
-/// The parts of a data plane in the order in which a request meets them.
+/// The components of the data plane in the order in which a request passes through them.
 struct DataPlane {
     listener: Rc<Listener<Routes>>,
     routes: Rc<Routes>,
     engine: JoinHandle<()>,
-    /// Tells the engine something from outside a request.
+    /// Sends an event that does not belong to a request to the engine.
     send_event: Box<dyn Fn(EngineEvent)>,
 }
 
-/// Composes the parts of the data plane, from the one that a request meets last.
+/// Creates the components of the data plane, starting with the one that a request reaches last.
 fn compose(settings: &Settings, limits: ListenerLimits) -> DataPlane {
     let pool = UpstreamPool::new(PoolConfig {
         max_connections: max_connections(settings),
@@ -133,19 +135,20 @@
     let (engine, handle) = Engine::new(config, pool);
     let engine = spawn_local(engine.run());
     let send_event = Box::new(handle.event_sender());
-    // The routes hold the listener to the configuration's limits, and the listener hands its requests to the routes.
-    let limited: Rc<OnceCell<Weak<Listener<Routes>>>> = Rc::default();
+    // Set below, since listener and routes refer to each other: the listener passes requests to the routes, and the
+    // routes apply the configuration's limits to the listener.
+    let limited_listener: Rc<OnceCell<Weak<Listener<Routes>>>> = Rc::default();
     let on_limits = {
-        let limited = limited.clone();
+        let limited_listener = limited_listener.clone();
         move |limits: &RequestLimits| {
-            if let Some(listener) = limited.get().and_then(Weak::upgrade) {
+            if let Some(listener) = limited_listener.get().and_then(Weak::upgrade) {
                 listener.set_limits(limits.max_header_bytes, client_timeouts(limits));
             }
         }
     };
     let routes = Routes::new(settings, handle, Box::new(on_limits));
     let listener = Listener::new(routes.clone(), limits);
-    limited.get_or_init(|| Rc::downgrade(&listener));
+    limited_listener.get_or_init(|| Rc::downgrade(&listener));
     DataPlane {
         listener,
         routes,
@@ -163,7 +166,7 @@
     })
 }
 
-/// Keeps sessions with the control plane for the life of the process, with the seeds of each reload of the settings.
+/// Starts the control client, and adds the seeds of reloaded settings to it.
 fn start_control_client(
     balancer: Balancer,
     routes: Rc<Routes>,
@@ -180,12 +183,12 @@
     });
 }
 
-/// Serves until `stop`, then finishes what was taken. Takes the seeds of settings that are reloaded meanwhile; the rest
-/// of them holds from the next start on.
+/// Serves until `stop` completes, then shuts down gracefully. Of settings that are reloaded meanwhile, only the seeds
+/// are applied; all others require a restart.
 ///
 /// # Errors
 ///
-/// The settings have no address to serve on, one cannot be listened on, or the engine ended.
+/// The settings contain no HTTP address, binding to an address fails, or the engine ends.
 pub async fn run(
     settings: Settings,
     reloads: mpsc::UnboundedReceiver<Settings>,
--- a/crates/data-plane/src/runtime/readiness.rs
+++ b/crates/data-plane/src/runtime/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the platform's readiness checks, and whoever reads the metrics, on an address of their own.
+//! Serves readiness checks of the platform and metrics on a separate address.
 
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
 use crate::metrics::metrics_response;
 use crate::routes::Routes;
 
-/// The platform's checks are few.
+/// The maximum number of connections; readiness checks are infrequent.
 pub(super) const MAX_READINESS_CONNECTIONS: usize = 16;
 
 /// Handles `/-/ready` and `/-/metrics`.
--- a/crates/data-plane/src/runtime/shutdown.rs
+++ b/crates/data-plane/src/runtime/shutdown.rs
@@ -1,7 +1,7 @@
-//! The times between SIGTERM and the end of the process, and the limits that clients have meanwhile.
+//! Computes the times between SIGTERM and process exit, and the limits of the client listener.
 //!
-//! SIGTERM, then connections are accepted for a while (`accept_grace`), then what is open may finish
-//! (`drain_timeout`); what was not sent to an upstream by then is rejected shortly before, and [`EXIT_MARGIN`] is left.
+//! After SIGTERM, new connections are still accepted for `accept_grace`. Open requests then have `drain_timeout` to
+//! finish. Shortly before its end, requests that were not sent to an upstream are rejected. [`EXIT_MARGIN`] remains.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 use super::client_timeouts;
 use crate::listener::{FINAL_REQUEST_WAIT, ListenerLimits};
 
-/// New connections are accepted for this part of the time from SIGTERM to the end at the most: clients need it to hear
-/// of the stop.
+/// The maximum fraction of the grace period for which new connections are accepted, since clients learn of the shutdown
+/// with a delay.
 const ACCEPT_SHARE_OF_GRACE: f64 = 0.5;
-/// Nothing is taken later than this after SIGTERM. A request that was taken after 4.4 s of 10 was sent on twice, and
-/// the process ended while its upstream was at work. The platform asks for a response to whatever a client sent up to
-/// 3 s after the signal.
+/// How long after SIGTERM requests are accepted at most. A request that was accepted 4.4 s into a grace period of 10 s
+/// was sent to upstreams twice, and the process exited while its upstream was still processing it. The platform
+/// requires responses to requests that clients sent up to 3 s after the signal.
 const LAST_REQUEST_AFTER_SIGTERM: Duration = Duration::from_millis(2800);
-/// This much is left at the end.
+/// The part of the grace period that is left unused at its end.
 pub(super) const EXIT_MARGIN: Duration = Duration::from_millis(500);
-/// What has not run by then is rejected so long before the last responses have to be out.
+/// How long before the end of the drain timeout requests that have not been sent to an upstream are rejected.
 const REJECT_LEAD_TIME: Duration = Duration::from_millis(300);
 
-/// The limits of the clients' side, with so many connections and so much time from SIGTERM to the end.
+/// Returns the limits of the client listener; `grace` is the time from SIGTERM to process exit.
 pub(super) fn client_limits(max_connections: usize, grace: Duration) -> ListenerLimits {
     let limits = RequestLimits::default();
     let accept_grace = grace
@@ -41,7 +41,7 @@
     }
 }
 
-/// How long after SIGTERM what was not sent to an upstream is rejected.
+/// Returns how long after SIGTERM requests that have not been sent to an upstream are rejected.
 pub(super) fn reject_unsent_after(limits: &ListenerLimits) -> Duration {
     (limits.accept_grace + limits.drain_timeout).saturating_sub(REJECT_LEAD_TIME)
 }
--- a/crates/data-plane/src/runtime/tests.rs
+++ b/crates/data-plane/src/runtime/tests.rs
@@ -1,10 +1,10 @@
-//! The times between SIGTERM and the end.
+//! The times between SIGTERM and process exit.
 
 use super::shutdown::EXIT_MARGIN;
 use super::*;
 
-/// What a client sent later than this after SIGTERM has to be answered, whatever its upstream does.
-const ANSWERED_FROM: Duration = Duration::from_secs(3);
+/// Requests that are accepted later than this after SIGTERM would have to get a response whatever their upstream does.
+const MAX_ACCEPT_TIME: Duration = Duration::from_secs(3);
 
 #[test]
 fn nothing_is_accepted_that_could_not_be_answered_before_the_end() {
@@ -13,7 +13,7 @@
         let limits = client_limits(100, grace);
         assert!(limits.accept_grace <= grace / 2, "{grace_s}");
         assert!(
-            limits.accept_grace + limits.final_request_wait < ANSWERED_FROM,
+            limits.accept_grace + limits.final_request_wait < MAX_ACCEPT_TIME,
             "{grace_s}"
         );
         let end = limits.accept_grace + limits.drain_timeout;
