--- a/crates/protocol/src/array_struct.rs
+++ b/crates/protocol/src/array_struct.rs
@@ -1,10 +1,11 @@
-//! Structs with named fields in the code that are arrays without names on the wire.
+//! Structs with named fields that are serialized as arrays without field names.
 //!
-//! On a link of 1 Mbit/s field names would be most of a list. The order of the fields is the order on the wire:
-//! a field is never moved or taken out, and a new one is a new [`PROTOCOL_VERSION`](crate::wire::PROTOCOL_VERSION).
+//! Field names would make up most of an encoded list, which matters on a 1 Mbit/s link. Fields are encoded in
+//! declaration order, so they must not be reordered or removed, and adding one requires a new
+//! [`PROTOCOL_VERSION`](crate::wire::PROTOCOL_VERSION).
 
-/// Defines a struct that is serialized as an array of its fields, in the order in which they stand. Fields are
-/// written by reference: nothing is cloned.
+/// Defines a struct that is serialized as an array of its fields, in declaration order. Fields are serialized by
+/// reference, without cloning.
 macro_rules! array_struct {
     (
         $(#[$meta:meta])*
--- a/crates/protocol/src/compact_config.rs
+++ b/crates/protocol/src/compact_config.rs
@@ -1,7 +1,8 @@
-//! A configuration as it goes to data-plane balancers: arrays without field names, and names that recur written once.
-//! About a sixth of the operator's text, so that a link of 1 Mbit/s carries a thousand routes in a third of a second.
+//! Compact encoding of a configuration for data-plane balancers: arrays without field names, with host and service
+//! names stored once and referenced by index.
 //!
-//! What balancers have no use for is left out; the whole text stays with the control plane.
+//! It takes about a sixth of the size of the operator's JSON, so that a 1 Mbit/s link transfers a thousand routes in
+//! a third of a second. Fields that balancers do not use are omitted; the control plane keeps the complete text.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,20 +10,20 @@
 use crate::config::{Config, RequestKind, RequestLimits, Route, Service, TrafficSplit};
 
 array_struct! {
-    /// A configuration in rows. An array of five on the wire.
+    /// A configuration in compact form. Encoded as an array of five elements.
     #[derive(Clone, Debug, Default, PartialEq)]
     pub struct CompactConfig {
         revision: u64,
         limits: RequestLimits,
         services: Vec<ServiceRow>,
-        /// In alphabetical order.
+        /// Sorted, without duplicates.
         hosts: Vec<String>,
         routes: Vec<RouteRow>,
     }
 }
 
 array_struct! {
-    /// A [`Service`].
+    /// The compact form of a [`Service`].
     #[derive(Clone, Debug, PartialEq)]
     struct ServiceRow {
         name: String,
@@ -35,11 +36,11 @@
 }
 
 array_struct! {
-    /// A [`Route`].
+    /// The compact form of a [`Route`].
     #[derive(Clone, Debug, PartialEq)]
     struct RouteRow {
         name: String,
-        /// Position in `hosts`.
+        /// Index into [`CompactConfig::hosts`].
         host: usize,
         path_prefix: String,
         is_idempotent: bool,
@@ -52,7 +53,7 @@
     }
 }
 
-/// Where a route's requests go. Services are given by their positions in `services`.
+/// Destination of a route's requests. Services are indices into [`CompactConfig::services`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 enum Destination {
@@ -61,21 +62,22 @@
 }
 
 array_struct! {
+    /// The compact form of a [`TrafficSplit`].
     #[derive(Clone, Debug, PartialEq)]
     struct WeightedService {
-        /// Position in `services`.
+        /// Index into [`CompactConfig::services`].
         service: usize,
         weight: u32,
     }
 }
 
 impl CompactConfig {
-    /// The number of the configuration, as its operator gave it.
+    /// Returns the revision number that the operator assigned to the configuration.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The rows of a valid configuration. A route that names a service that is not there is left out.
+    /// Converts a valid configuration. A route that refers to an unknown service is omitted.
     pub fn from_config(config: &Config) -> Self {
         let mut hosts: Vec<String> = config.routes.iter().map(|r| r.host.clone()).collect();
         hosts.sort_unstable();
@@ -96,7 +98,7 @@
         }
     }
 
-    /// The configuration that it was made from. A row that points nowhere is left out.
+    /// Converts back to a configuration. A row with an index that is out of range is omitted.
     pub fn to_config(&self) -> Config {
         let routes = self.routes.iter().filter_map(|row| self.route(row));
         Config {
@@ -108,9 +110,9 @@
     }
 
     fn route(&self, row: &RouteRow) -> Option<Route> {
-        let name = |position: usize| self.services.get(position).map(|s| s.name.clone());
+        let name = |index: usize| self.services.get(index).map(|s| s.name.clone());
         let (service, split) = match &row.destination {
-            Destination::Service(position) => (Some(name(*position)?), None),
+            Destination::Service(index) => (Some(name(*index)?), None),
             Destination::Split(parts) => {
                 let part = |part: &WeightedService| {
                     Some(TrafficSplit {
@@ -142,20 +144,20 @@
 }
 
 impl RouteRow {
-    /// `None` if the route's service or its host is not in these lists.
+    /// Converts a route; returns `None` if `services` or `hosts` lacks its service or host.
     fn from_route(route: &Route, services: &[Service], hosts: &[String]) -> Option<Self> {
-        let position = |name: &str| services.iter().position(|s| s.name == name);
+        let index_of = |name: &str| services.iter().position(|s| s.name == name);
         let destination = match (&route.split, &route.service) {
             (Some(parts), _) => {
                 let part = |part: &TrafficSplit| {
                     Some(WeightedService {
-                        service: position(&part.service)?,
+                        service: index_of(&part.service)?,
                         weight: part.weight,
                     })
                 };
                 Destination::Split(parts.iter().filter_map(part).collect())
             }
-            (None, service) => Destination::Service(position(service.as_deref()?)?),
+            (None, service) => Destination::Service(index_of(service.as_deref()?)?),
         };
         Some(Self {
             name: route.name.clone(),
--- a/crates/protocol/src/compact_config/tests.rs
+++ b/crates/protocol/src/compact_config/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::wire::{decode_body, encode_frame};
 
-/// A configuration as operators send it, with this many routes and each kind of each field among them.
+/// Returns an operator's configuration with this many routes, which together cover each kind of value of each field.
 fn config_text(routes: usize) -> String {
     let route = |n: usize| {
         let mut route = json!({"name": format!("r-{n:07x}"), "type": "mutating",
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn round_trip_at_a_third_of_the_text() {
+fn round_trip_in_a_third_of_the_json_size() {
     for routes in [0, 1, 7, 1500] {
         let text = config_text(routes);
         let config: Config = serde_json::from_str(&text).expect("valid");
--- a/crates/protocol/src/config.rs
+++ b/crates/protocol/src/config.rs
@@ -1,115 +1,117 @@
-//! The configuration as both planes read it, in the form of the operators' page: routes, services, limits.
+//! The operators' configuration, as read by the control plane and the data plane: routes, services and limits.
 //!
-//! These are types only. What is valid, and how a revision follows another, is decided by the control plane
-//! (`control_plane::configuration`); the error texts of serde name the fields as operators write them.
+//! This module only defines types. Validation and the order of revisions are the control plane's concern
+//! (`control_plane::configuration`). Serde names are those that operators write, because error messages show them.
 
 use serde::{Deserialize, Serialize};
 
-/// A complete configuration. Fields beyond these are kept in its text, which operators get back as they sent it.
+/// A complete configuration. Other fields are ignored here; the control plane stores the text that the operator sent
+/// and returns it unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Config {
-    /// Number of the configuration; each accepted one has a higher one.
+    /// Revision number, higher for each accepted configuration.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// Which requests are accepted, and where they go. The order has no meaning.
+    /// Routes that accept and forward requests. Their order is not significant.
     pub routes: Vec<Route>,
-    /// The services that routes name.
+    /// Services that routes refer to.
     pub services: Vec<Service>,
-    /// What a client may send.
+    /// Limits on clients' requests.
     #[serde(default)]
     pub limits: RequestLimits,
 }
 
-/// What clients may ask for, and how.
+/// A rule that selects requests by host and path, and defines how they are handled.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Route {
-    /// Unique among the routes.
+    /// Name, unique among the routes.
     pub name: String,
-    /// Host that its requests name.
+    /// Host of the requests that match.
     pub host: String,
-    /// A request belongs to the route of its host with the longest prefix of its path.
+    /// Path prefix of the requests that match. Among the routes of a host, the longest matching prefix wins.
     pub path_prefix: String,
-    /// What repeating its requests may do.
+    /// Whether requests may be executed more than once.
     #[serde(rename = "type")]
     pub kind: RequestKind,
-    /// Milliseconds after which a request is answered with an error.
+    /// Deadline in milliseconds, after which the client gets an error response.
     pub deadline_ms: u64,
-    /// Milliseconds within which an answer earns its full value (latency target).
+    /// Latency target in milliseconds: a response within this time has its full value.
     pub target_ms: u64,
-    /// A lower number goes first when not all requests can be served.
+    /// Priority under overload; lower numbers are served first.
     #[serde(default)]
     #[serde(rename = "prio")]
     pub priority: u32,
-    /// The service that gets its requests. Exactly one of this and `split` is given.
+    /// Service that receives the requests. Exactly one of `service` and `split` is set.
     #[serde(default)]
     #[serde(rename = "svc")]
     pub service: Option<String>,
-    /// The services that share its requests.
+    /// Services that share the requests.
     #[serde(default)]
     pub split: Option<Vec<TrafficSplit>>,
-    /// Attempts for each request, the first included.
+    /// Maximum number of attempts for each request, including the first.
     #[serde(default = "one_attempt")]
     #[serde(rename = "tries")]
     pub max_attempts: u32,
-    /// Regions whose upstreams may get its requests; all if empty.
+    /// Regions whose upstreams may receive the requests; all regions if empty.
     #[serde(default)]
     pub home_regions: Vec<String>,
 }
 
-/// One of the services that share a route's requests.
+/// The share of one service in a route's requests.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename = "Part")]
 pub struct TrafficSplit {
-    /// The service.
+    /// Name of the service.
     #[serde(rename = "svc")]
     pub service: String,
-    /// Its share is this weight, divided by the sum of all weights of the route. 0: none.
+    /// Weight of the service. Its share is this weight divided by the sum of the route's weights; 0 means no requests.
     pub weight: u32,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename = "Kind", rename_all = "lowercase")]
 pub enum RequestKind {
-    /// It may run more than once.
+    /// May be executed more than once.
     Idempotent,
-    /// It may run once at most: it is sent again only after proof that it has not run.
+    /// May be executed at most once: it is retried only after proof that it was not executed.
     Mutating,
 }
 
-/// A service: upstreams that do the same.
+/// A service: a set of interchangeable upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Service {
-    /// Unique among the services.
+    /// Name, unique among the services.
     pub name: String,
-    /// Path of its health check.
+    /// Path of the health check.
     #[serde(default)]
     pub health_path: String,
-    /// Connections that one balancer may have open to one of its upstreams.
+    /// Maximum number of connections from one balancer to one upstream.
     #[serde(default)]
     pub max_conns: u32,
-    /// Seconds of slow start after an upstream has started; 0 for none.
+    /// Duration of slow start in seconds, from the start of an upstream; 0 disables slow start.
     #[serde(default)]
     pub warmup_s: f64,
-    /// Requests a second that an upstream bears in slow start.
+    /// Requests per second that an upstream can serve during slow start.
     #[serde(default)]
     pub warmup_per_s: f64,
-    /// Its upstreams divide its keys: each runs only requests whose `Shard-Key` it holds a lease on.
+    /// Whether the keys of the service are partitioned among its upstreams: each executes only requests whose
+    /// `Shard-Key` it holds a lease on.
     #[serde(default)]
     pub sharded: bool,
 }
 
-/// What a client may send, and how long it may take. A client beyond a limit gets an error.
+/// Limits on the size and duration of clients' requests. A client that exceeds one gets an error response.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Limits", default)]
 pub struct RequestLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: usize,
-    /// Milliseconds within which a request's head has to be complete.
+    /// Time in milliseconds within which a request head has to be complete.
     pub header_timeout_ms: u64,
-    /// Milliseconds after which a connection without a request is closed.
+    /// Time in milliseconds after which an idle connection is closed.
     pub idle_timeout_ms: u64,
 }
 
@@ -129,7 +131,8 @@
 }
 
 impl Route {
-    /// The services that share its requests, with their weights; none if it names no service.
+    /// Returns the services that share the requests, with their weights; empty if the route has neither `service` nor
+    /// `split`.
     pub fn weighted_services(&self) -> Vec<(&str, u32)> {
         match (&self.split, &self.service) {
             (Some(parts), _) => parts
--- a/crates/protocol/src/key_load.rs
+++ b/crates/protocol/src/key_load.rs
@@ -1,7 +1,7 @@
-//! Load of the keys of sharded services, as balancers report it: how long upstreams were at requests for which keys.
+//! Load of the keys of sharded services, as reported by balancers: the time that upstreams spent on requests for them.
 //!
-//! A report is a sample: one that is lost makes an estimate worse and breaks nothing. `placement::KeyLoad` makes an
-//! estimate of the reports, by which the leader rebalances key ranges.
+//! Reports are samples: losing one only makes the estimate less accurate. `placement::KeyLoad` computes the estimate
+//! that the leader uses to rebalance key ranges.
 
 use std::collections::{BTreeMap, btree_map};
 
@@ -9,23 +9,23 @@
 
 use crate::array_struct::array_struct;
 
-/// Keys in a bucket. Load is counted by buckets: busy keys lie close together.
+/// Number of keys in a bucket. Load is counted per bucket rather than per key because busy keys are close together.
 pub const KEYS_PER_BUCKET: u16 = 16;
-/// Milliseconds of an upstream's time in one unit of [`BucketLoad::units`].
+/// Milliseconds of upstream time in one unit of [`BucketLoad::units`].
 pub const LOAD_UNIT_MS: u64 = 10;
 
 array_struct! {
-    /// Load of one bucket of keys. An array of two on the wire.
+    /// Load of one bucket of keys. Encoded as an array of two elements.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub struct BucketLoad {
-        /// The bucket: its keys are those from `bucket * KEYS_PER_BUCKET` on.
+        /// Index of the bucket, whose first key is `bucket * KEYS_PER_BUCKET`.
         pub bucket: u16,
-        /// Time that upstreams were at requests for its keys, in units of [`LOAD_UNIT_MS`].
+        /// Time that upstreams spent on requests for these keys, in units of [`LOAD_UNIT_MS`].
         pub units: u16,
     }
 }
 
-/// Load of keys by service, since the report before.
+/// Load of keys by service since the previous report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyLoadReport {
@@ -33,17 +33,17 @@
 }
 
 impl KeyLoadReport {
-    /// A report of no load.
+    /// Creates an empty report.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether no service is in it.
+    /// Returns whether the report contains no service.
     pub fn is_empty(&self) -> bool {
         self.by_service.is_empty()
     }
 
-    /// Appends the load of a bucket of a service's keys. Loads of the same bucket are not added up.
+    /// Appends the load of one bucket. Repeated entries for a bucket are not merged.
     pub fn push(&mut self, service: &str, load: BucketLoad) {
         if let Some(loads) = self.by_service.get_mut(service) {
             loads.push(load);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The loads of a service's keys; empty if it is not in the report.
+    /// Returns the bucket loads of a service; empty if the service is not in the report.
     pub fn loads(&self, service: &str) -> &[BucketLoad] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
--- a/crates/protocol/src/key_ranges.rs
+++ b/crates/protocol/src/key_ranges.rs
@@ -1,19 +1,17 @@
-//! Which upstream owns which keys of a sharded service: as it is replicated, and as it is sent to balancers.
+//! Ownership of the key ranges of a sharded service, as replicated and as sent to balancers.
 //!
-//! **State.** [`KeyRangeMap`] is part of the replicated state of the control plane; it changes only as log entries
-//! are applied. [`KeyRangeView`] is a balancer's copy.
+//! **State.** [`KeyRangeMap`] is part of the control plane's replicated state and changes only when log entries are
+//! applied. [`KeyRangeView`] is a balancer's copy. Neither does I/O or reads a clock.
 //!
 //! **Invariants.**
-//! - Ranges never overlap. Once all keys are divided, together they hold every key.
+//! - Ranges never overlap. Once all keys have been assigned, the ranges cover the complete key space.
 //! - A range has an owner that may be granted a lease, or an upstream that has to release it first, or neither.
-//! - A change names the fencing token of the range that it was decided on, and raises it by one. So of two changes
-//!   that were decided on the same state only the first takes effect, and a later owner of a key always has a
-//!   higher token than an earlier one: an upstream refuses the lower.
+//! - Each change carries the fencing token of the range that it was based on, and increments it. Of two changes based
+//!   on the same state, only the first takes effect. A later owner of a key always has a higher token than an earlier
+//!   one, and upstreams reject the lower token.
 //!
-//! **May be lost.** A [`KeyRangeView`] is built anew from the indices that its balancer names.
-//!
-//! **Neighbours.** A balancer that hears nothing keeps the ranges that it has; the upstreams refuse what they do not
-//! own. No I/O and no clock.
+//! **Failures.** A balancer that receives no updates keeps its last ranges; upstreams reject requests for keys that
+//! they do not own. A lost [`KeyRangeView`] is rebuilt: the balancer requests all changes since index 0.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,34 +20,35 @@
 
 use crate::array_struct::array_struct;
 
-/// An upstream that may own keys.
+/// An upstream that may hold leases on keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseHolder {
-    /// Its id in the platform's list. An id is never used again for another upstream.
+    /// Id in the platform's list of upstreams. Ids are never reused.
     #[serde(rename = "i")]
     pub id: String,
-    /// Address of its HTTP interface. Another upstream may have it later.
+    /// Address of the HTTP interface. Another upstream may use it later.
     #[serde(rename = "a")]
     pub addr: SocketAddr,
 }
 
-/// Who owns a range.
+/// Ownership state of a range.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ownership {
-    /// Nobody, and nobody has to release it.
+    /// No owner, and no earlier owner that has to release the range.
     #[default]
     #[serde(rename = "n")]
     Unowned,
-    /// This upstream may be granted a lease, with the handoff that the owner before it gave on its release, if any.
+    /// This upstream may be granted a lease. The string is the handoff data that the previous owner supplied on
+    /// release, if any.
     #[serde(rename = "h")]
     Assigned(LeaseHolder, Option<String>),
-    /// Nobody, until this upstream has released it or its leases have run out.
+    /// No owner until this upstream has released the range or its leases have expired.
     #[serde(rename = "l")]
     Releasing(LeaseHolder),
 }
 
 impl Ownership {
-    /// The upstream that may hold a lease, whether it is to keep or to release it.
+    /// Returns the upstream that may still hold a lease, including one that is to release it.
     pub fn holder(&self) -> Option<&LeaseHolder> {
         match self {
             Self::Assigned(holder, _) | Self::Releasing(holder) => Some(holder),
@@ -58,81 +57,81 @@
     }
 }
 
-/// A run of keys with one owner. It stands in its map under its first key.
+/// A contiguous range of keys with one owner. The first key is the range's key in [`KeyRangeMap`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRange {
-    /// The last key in it.
+    /// Last key, inclusive.
     #[serde(rename = "t")]
     pub last: u16,
-    /// Rises with each change of the range.
+    /// Fencing token, incremented by each change of the range.
     #[serde(rename = "f")]
     pub fencing_token: u64,
-    /// Index of the log entry that changed it last.
+    /// Index of the log entry that last changed the range.
     #[serde(rename = "x")]
     index: u64,
-    /// Who owns it.
+    /// Current ownership.
     #[serde(rename = "o")]
     pub ownership: Ownership,
 }
 
-/// A change of a range, or of a part of one. What is left of the range to either side keeps its owner, under the
-/// raised token too.
+/// A change of ownership of a range or a part of one. The remaining parts of the range keep their owner, but also get
+/// the incremented token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRangeChange {
-    /// The first key that changes its owner.
+    /// First key of the change.
     #[serde(rename = "s")]
     pub first: u16,
-    /// The last key that does.
+    /// Last key of the change, inclusive.
     #[serde(rename = "t")]
     pub last: u16,
-    /// Token of the range that the change was decided on; 0 if there was none. With another token in its place the
-    /// change is void.
+    /// Token of the range that the change is based on; 0 if no range existed. The change has no effect if the current
+    /// token differs.
     #[serde(rename = "w")]
     pub expected_token: u64,
-    /// Who is to own the keys.
+    /// New ownership of the keys.
     #[serde(rename = "o")]
     pub ownership: Ownership,
 }
 
-/// A service's ranges, as replicated.
+/// The key ranges of a service, as replicated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRangeMap {
-    /// By first key.
+    /// Ranges by first key.
     #[serde(rename = "slices")]
     ranges: BTreeMap<u16, KeyRange>,
 }
 
 array_struct! {
-    /// A range as it is sent to balancers. An array of three on the wire.
+    /// A range as sent to balancers. Encoded as an array of three elements.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub struct KeyRangeRow {
-        /// The first key in it.
+        /// First key.
         pub first: u16,
-        /// The last key in it.
+        /// Last key, inclusive.
         pub last: u16,
-        /// Id of the upstream that may be sent requests for these keys.
+        /// Id of the upstream that may receive requests for these keys.
         pub owner: Option<String>,
     }
 }
 
 impl KeyRangeMap {
-    /// Whether the keys have not been divided yet.
+    /// Returns whether no keys have been assigned yet.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// All ranges, each with its first key, in the order of the keys.
+    /// Iterates over all ranges and their first keys, in key order.
     pub fn iter(&self) -> impl Iterator<Item = (u16, &KeyRange)> {
         self.ranges.iter().map(|(first, range)| (*first, range))
     }
 
-    /// The range that begins with this key.
+    /// Returns the range that starts at `first`.
     pub fn get(&self, first: u16) -> Option<&KeyRange> {
         self.ranges.get(&first)
     }
 
-    /// Applies the change of the log entry at `index`. Returns whether it took effect: it is void unless it lies
-    /// within one range that still has the expected token, or, with an expected token of 0, touches none.
+    /// Applies the change from the log entry at `index` and returns whether it took effect. It takes effect only if it
+    /// lies within a single range that still has the expected token or, with an expected token of 0, overlaps no range.
     pub fn apply(&mut self, index: u64, change: &KeyRangeChange) -> bool {
         let (first, last) = (change.first, change.last);
         if first > last {
@@ -181,7 +180,7 @@
         true
     }
 
-    /// The ranges that changed after the log entry at `index`, as they are now.
+    /// Returns the current state of the ranges that changed after the log entry at `index`.
     pub fn changed_since(&self, index: u64) -> Vec<KeyRangeRow> {
         let row = |(first, range): (&u16, &KeyRange)| {
             let owner = match &range.ownership {
@@ -202,16 +201,16 @@
     }
 }
 
-/// A service's ranges at a balancer.
+/// A balancer's copy of the key ranges of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyRangeView {
-    /// By first key.
+    /// Rows by first key.
     rows: BTreeMap<u16, KeyRangeRow>,
 }
 
 impl KeyRangeView {
-    /// Takes in ranges that are newer than all that it has. Where they overlap those, the older ones go whole: the
-    /// rest of a range that was split comes as a row of its own.
+    /// Applies rows that are newer than the whole view. Existing rows that overlap a new one are removed entirely: the
+    /// remainder of a range that was split is always sent as separate rows.
     pub fn apply(&mut self, rows: &[KeyRangeRow]) {
         for row in rows {
             let overlapping: Vec<u16> = self
@@ -228,7 +227,7 @@
         }
     }
 
-    /// All ranges, in the order of the keys.
+    /// Iterates over all ranges, in key order.
     pub fn rows(&self) -> impl Iterator<Item = &KeyRangeRow> {
         self.rows.values()
     }
--- a/crates/protocol/src/key_ranges/tests.rs
+++ b/crates/protocol/src/key_ranges/tests.rs
@@ -21,27 +21,27 @@
 }
 
 #[test]
-fn second_change_of_one_state_is_void() {
+fn second_change_based_on_one_state_has_no_effect() {
     let mut ranges = KeyRangeMap::default();
     let assigned = |id: &str| Ownership::Assigned(holder(id), None);
     assert!(ranges.apply(1, &change(0, 99, 0, assigned("a"))));
     assert!(
         !ranges.apply(2, &change(0, 99, 0, assigned("b"))),
-        "it exists by now"
+        "the range already exists"
     );
     assert!(
         !ranges.apply(2, &change(50, 120, 0, assigned("b"))),
-        "it overlaps"
+        "overlaps an existing range"
     );
     assert!(ranges.apply(2, &change(100, u16::MAX, 0, assigned("b"))));
     assert!(ranges.apply(3, &change(0, 99, 1, Ownership::Releasing(holder("a")))));
     assert!(
         !ranges.apply(4, &change(0, 99, 1, assigned("c"))),
-        "decided on an earlier state"
+        "based on an earlier state"
     );
     assert!(
         !ranges.apply(4, &change(0, 100, 2, assigned("c"))),
-        "beyond the range"
+        "extends beyond the range"
     );
     assert_eq!(ranges.get(0).map(|s| s.fencing_token), Some(2));
 }
@@ -64,11 +64,11 @@
     );
     assert!(
         !ranges.apply(3, &change(0, u16::MAX, 1, assigned("b"))),
-        "decided on the whole"
+        "based on the range before the split"
     );
     assert!(
         !ranges.apply(3, &change(0, 99, 1, assigned("b"))),
-        "the token rose for the rest too"
+        "the token of the remaining part was incremented too"
     );
     assert!(ranges.apply(3, &change(0, 99, 2, assigned("b"))));
     let mut view = KeyRangeView::default();
@@ -113,7 +113,7 @@
     assert_eq!(
         rows,
         [row(4096, 8191, Some("i-9".into()))],
-        "what changed, and as it is now"
+        "only the changed range, in its current state"
     );
     view.apply(&rows);
     assert_eq!(
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,16 +1,16 @@
-//! Messages between the system's own processes, and what they get from outside: settings and configuration.
+//! The wire protocol between the system's processes, and the formats of their settings and configuration.
 //!
-//! | module | what is in it |
+//! | module | contents |
 //! | --- | --- |
-//! | [`settings`] | the file that a process is started with |
-//! | [`config`] | the configuration that operators send |
-//! | [`compact_config`] | the same as it goes to data-plane balancers |
-//! | [`wire`] | frames between processes, and their messages |
-//! | [`upstream_list`] | a zone's upstreams, complete or by difference to a version |
-//! | [`key_ranges`] | which upstream owns which keys of a sharded service |
-//! | [`key_load`] | how much load which of these keys bring |
+//! | [`settings`] | the settings file of a process |
+//! | [`config`] | the configuration that operators submit |
+//! | [`compact_config`] | the compact encoding of the configuration for data-plane balancers |
+//! | [`wire`] | messages between processes and their framing |
+//! | [`upstream_list`] | the versioned upstream list of a zone, sent as snapshots and deltas |
+//! | [`key_ranges`] | ownership of the key ranges of sharded services |
+//! | [`key_load`] | reported load of these keys |
 //!
-//! No clock, and no I/O but that of [`wire::frame`] on a stream that the caller opened, and of
+//! The crate reads no clock. It does I/O only in [`wire::frame`], on streams that the caller opened, and in
 //! [`settings::Settings::read`].
 
 mod array_struct;
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,8 +1,8 @@
-//! The settings file that the platform writes for a process and names in [`SETTINGS_ENV_VAR`].
+//! The settings file of a process, written by the platform at the path in [`SETTINGS_ENV_VAR`].
 //!
-//! Names of fields and types here are those of the platform's page: error texts show them. A field that is not known
-//! is ignored, so that a later platform can add some. The file is read at the start and again on SIGHUP, and never
-//! written.
+//! Field and type names are those of the platform's documentation, because error messages show them. Unknown fields
+//! are ignored, so that later versions of the platform can add some. The file is read at startup and again on SIGHUP,
+//! and never written.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,83 +11,82 @@
 
 use serde::Deserialize;
 
-/// Environment variable that holds the path of the settings file.
+/// Name of the environment variable that holds the path of the settings file.
 pub const SETTINGS_ENV_VAR: &str = "SHOREFRONT_SETTINGS";
 
-/// A settings file.
+/// Contents of the settings file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Settings {
-    /// Name of this machine, unique in the system.
+    /// Name of this machine, unique in the deployment.
     pub node: String,
-    /// The platform's word for what this machine is for. Not used: the command line says which plane a process runs.
+    /// Role that the platform assigns to this machine. Unused: the command line selects the plane that a process runs.
     #[serde(default)]
     pub role: String,
-    /// The platform's words for what this machine serves. Not used.
+    /// Roles that the platform lists for this machine. Unused.
     #[serde(default)]
     pub serves: Vec<String>,
     /// Address of this machine.
     pub ip: std::net::IpAddr,
-    /// Zone that this machine is in; `zone_map` has to name it.
+    /// Zone of this machine; has to be in `zone_map`.
     pub zone: String,
-    /// Region that the zone is in.
+    /// Region of the zone.
     pub region: String,
-    /// The region of every zone.
+    /// Region of each zone.
     pub zone_map: BTreeMap<String, String>,
     /// Addresses to listen on.
     pub listen: Listen,
-    /// First and last port that are free for connections between the system's processes. The first is used, on all
-    /// machines alike.
+    /// First and last port available for connections between the system's processes. All machines use the first.
     pub port_range: (u16, u16),
-    /// `ctl` addresses of control processes, to start from.
+    /// `ctl` addresses of the control processes to contact first.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The system starts for the first time: control processes among the seeds begin a new log.
+    /// Whether this is the first start of the deployment: control processes among the seeds then create a new log.
     #[serde(default)]
     pub bootstrap: bool,
-    /// The platform's word on whether this machine is to vote. Not used: who has a `data_dir` may.
+    /// Whether the platform wants this machine to vote. Unused: every machine with a `data_dir` may vote.
     #[serde(default)]
     pub quorum_member: bool,
-    /// What this machine has.
+    /// Resource limits of this machine.
     #[serde(default)]
     pub limits: MachineLimits,
-    /// Directory for what has to survive a restart. Without one a control process never votes and keeps no log.
+    /// Directory for persistent data. Without one, a control process never votes and stores no log.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
-    /// The platform's heartbeat interval in milliseconds, more than 0. Not used beyond that check.
+    /// Heartbeat interval of the platform in milliseconds. Checked to be greater than 0, otherwise unused.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// Bounds that the rules of the platform name.
+    /// Time and rate bounds that the platform requires.
     #[serde(default)]
     pub bounds: Bounds,
-    /// Losses that have to be borne.
+    /// Failures that the system has to tolerate.
     #[serde(default)]
     pub tolerate: Tolerate,
-    /// The platform's interface that lists upstreams.
+    /// Platform API that lists upstreams.
     #[serde(default)]
     pub cloud_api: Option<PlatformApi>,
 }
 
-/// Addresses to listen on; what is missing is not served.
+/// Addresses to listen on. An interface without an address is disabled.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Listen {
-    /// Requests of clients.
+    /// Client requests.
     pub http: Option<SocketAddr>,
     /// Readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Operators' calls to the control plane.
+    /// Operator API of the control plane.
     pub ctl: Option<SocketAddr>,
-    /// The directory of balancers for clients.
+    /// Directory through which clients find balancers.
     pub dir: Option<SocketAddr>,
 }
 
-/// What the machine has.
+/// Resource limits of the machine.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename = "Limits", default)]
 pub struct MachineLimits {
     /// Memory in MiB.
     pub mem_mb: usize,
-    /// File descriptors that a process may have open.
+    /// Maximum number of open file descriptors of a process.
     pub max_fds: usize,
 }
 
@@ -100,11 +99,11 @@
     }
 }
 
-/// Losses at one time with which all rules still hold.
+/// Simultaneous failures under which the system keeps all its guarantees.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Tolerate {
-    /// Voters of the replicated log.
+    /// Number of failed voters of the replicated log.
     pub nodes: usize,
 }
 
@@ -114,34 +113,35 @@
     }
 }
 
-/// Bounds that the rules of the platform name.
+/// Time and rate bounds that the platform requires.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// Milliseconds after an upstream drains in the platform's list after which no new request may go to it.
+    /// Time in milliseconds from the moment that the platform lists an upstream as draining, after which no new request
+    /// may be sent to it.
     pub drain_ms: u64,
-    /// Seconds from SIGTERM to SIGKILL.
+    /// Time in seconds from SIGTERM to SIGKILL.
     pub grace_s: f64,
-    /// Milliseconds within which an accepted configuration is applied by all balancers.
+    /// Time in milliseconds within which all balancers have to apply an accepted configuration.
     pub apply_ms: u64,
-    /// Milliseconds for which an operator's call is sent again until it has an answer.
+    /// Time in milliseconds for which an operator's call is retried until it is answered.
     pub ack_ms: u64,
-    /// Milliseconds within which an evacuation has to have its effect. Not used.
+    /// Time in milliseconds within which an evacuation has to take effect. Unused.
     pub evacuate_ms: u64,
-    /// Longest time in seconds for which a client may keep an answer of the directory.
+    /// Maximum time in seconds for which a client may cache a directory response.
     pub ttl_max_s: f64,
-    /// An upstream in slow start gets at most this multiple of its rate, over any second.
+    /// Multiple of its slow-start rate that an upstream may receive in any second during slow start.
     pub warmup_excess: f64,
-    /// And this many requests beyond that.
+    /// Number of requests that an upstream may receive in addition to `warmup_excess`.
     pub warmup_slack: f64,
-    /// Longest lease on keys, in milliseconds.
+    /// Maximum duration of a lease on keys in milliseconds.
     pub max_hold_ms: u64,
-    /// Window of the retry budget in seconds: in any such time all balancers together send at most `retry_ratio` of
-    /// a service's requests, and `retry_slack` more, as further attempts. 0: no bound.
+    /// Window of the retry budget in seconds. In any window, the retries of all balancers for a service are limited to
+    /// `retry_ratio` times its requests plus `retry_slack`. 0 means no limit.
     pub retry_window_s: f64,
-    /// Further attempts for each request.
+    /// Retries per request in the retry budget.
     pub retry_ratio: f64,
-    /// Further attempts beyond that share.
+    /// Number of retries in the retry budget in addition to `retry_ratio`.
     pub retry_slack: f64,
 }
 
@@ -164,16 +164,16 @@
     }
 }
 
-/// The platform's interface that lists upstreams.
+/// Platform API that lists upstreams.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename = "Platform")]
 pub struct PlatformApi {
-    /// Its address.
+    /// Address of the API.
     pub addr: SocketAddr,
-    /// Calls a second that it takes. Not used.
+    /// Calls per second that the API allows. Unused.
     #[serde(default)]
     pub rate_per_s: f64,
-    /// Milliseconds by which its lists may be behind. Not used.
+    /// Maximum age of the returned lists in milliseconds. Unused.
     #[serde(default)]
     pub max_lag_ms: u64,
 }
@@ -182,57 +182,57 @@
     1500
 }
 
-/// Why settings can't be used. Operators see these texts: they name the file and the field.
+/// Error in the settings. The messages are for operators and name the file and the field.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The process was started without [`SETTINGS_ENV_VAR`].
+    /// [`SETTINGS_ENV_VAR`] is not set.
     #[error("{SETTINGS_ENV_VAR} is not set: it names the settings file")]
     VariableNotSet,
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file is not JSON, or a field is missing or of another type.
+    /// The file is not valid JSON, or a field is missing or has the wrong type.
     #[error("{path}: field `{field}`, line {}: {source}", source.line())]
     Malformed {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Path of the field in the file; `.` for the whole.
+        /// Path of the field in the file; `.` for the top level.
         field: String,
-        /// What is wrong, with its line.
+        /// The parse error, with its line number.
         source: serde_json::Error,
     },
-    /// A field has a value that can't be used.
+    /// A field has an invalid value.
     #[error("{path}: field `{field}`: {reason}")]
     Invalid {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What is wrong with it.
+        /// Why the value is invalid.
         reason: &'static str,
     },
 }
 
 impl Settings {
-    /// Path of the settings file.
+    /// Returns the path of the settings file from the environment.
     ///
     /// # Errors
-    /// [`SettingsError::VariableNotSet`].
+    /// Returns [`SettingsError::VariableNotSet`] if the variable is not set.
     pub fn path() -> Result<PathBuf, SettingsError> {
         std::env::var_os(SETTINGS_ENV_VAR)
             .map(PathBuf::from)
             .ok_or(SettingsError::VariableNotSet)
     }
 
-    /// Reads and checks the file.
+    /// Reads and validates the settings file.
     ///
     /// # Errors
-    /// [`SettingsError::Unreadable`], and those of [`parse`](Self::parse).
+    /// Returns [`SettingsError::Unreadable`] if the file cannot be read, and the errors of [`parse`](Self::parse).
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read(path).map_err(|source| SettingsError::Unreadable {
             path: path.into(),
@@ -241,10 +241,11 @@
         Self::parse(path, &text)
     }
 
-    /// Reads and checks the text of a file; `path` only stands in errors.
+    /// Parses and validates the contents of a settings file. `path` is only used in error messages.
     ///
     /// # Errors
-    /// [`SettingsError::Malformed`] and [`SettingsError::Invalid`].
+    /// Returns [`SettingsError::Malformed`] if the contents cannot be deserialized, and [`SettingsError::Invalid`] if a
+    /// value is invalid.
     pub fn parse(path: &Path, text: &[u8]) -> Result<Self, SettingsError> {
         let mut reader = serde_json::Deserializer::from_slice(text);
         let settings: Self = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
@@ -273,22 +274,23 @@
         Ok(settings)
     }
 
-    /// Address at which this machine's control process takes connections of peers and of data-plane balancers.
+    /// Returns the address on which this machine's control process accepts connections from peers and data-plane
+    /// balancers.
     pub fn internal_addr(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.port_range.0)
     }
 
-    /// The same of the machine whose `ctl` address is given: ports are alike on all.
+    /// Returns the internal address of the machine with this `ctl` address. All machines use the same port.
     pub fn internal_addr_of(&self, ctl: SocketAddr) -> SocketAddr {
         SocketAddr::new(ctl.ip(), self.port_range.0)
     }
 
-    /// The same of the seeds.
+    /// Returns the internal addresses of the seeds.
     pub fn internal_seeds(&self) -> impl Iterator<Item = SocketAddr> {
         self.seeds.iter().map(|ctl| self.internal_addr_of(*ctl))
     }
 
-    /// Time from SIGTERM to SIGKILL; an hour at most.
+    /// Returns the time from SIGTERM to SIGKILL, at most one hour.
     pub fn grace_period(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.grace_s.clamp(0.0, 3600.0))
     }
--- a/crates/protocol/src/upstream_list.rs
+++ b/crates/protocol/src/upstream_list.rs
@@ -1,21 +1,23 @@
-//! A zone's upstreams, as they go from process to process: by difference to whoever has a version that the
-//! difference can build on, complete to everyone else.
+//! Versioned list of a zone's upstreams, replicated between processes: as a delta to a receiver that has a known base
+//! version, as a snapshot to all others.
 //!
-//! **State.** [`UpstreamList`] is one zone's list: at the control process that polls the platform for it, at those
-//! that pass it on, and at the balancers that use it. It is kept in memory only.
+//! **State.** [`UpstreamList`] is the list of one zone. It exists at the control process that polls the platform (the
+//! writer, which assigns versions), at the control processes that relay the list, and at the balancers that use it.
+//! It is kept in memory only.
 //!
-//! **Promises.**
-//! - A receiver has at each version exactly what was sent at it: a difference is taken in only if its outcome has
-//!   the digest that it names.
-//! - A version never goes back.
-//! - An upstream that once drained drains for good, on whatever path and under whatever version that was learned.
-//!   An id has one life, and its end can't be taken back by a sender that knows less.
+//! **Guarantees.**
+//! - At each version, a receiver has exactly the list that the writer had: a delta is applied only if the result has
+//!   the digest in the delta.
+//! - Versions never decrease.
+//! - An upstream that was once seen as draining stays draining, regardless of the path and the version by which the
+//!   drain was learned. Ids are never reused, so a sender with older information cannot revert a drain.
 //!
-//! **Neighbours.** A receiver that hears nothing keeps what it has. A sender that was wiped starts with lower
-//! versions; it learns the higher ones of its receivers ([`UpstreamList::observe_version`]) and goes above them.
+//! **Failures.** A receiver that gets no updates keeps its list. A sender that lost its state starts with lower
+//! versions; it learns the higher versions of its receivers ([`UpstreamList::observe_version`]) and continues above
+//! them.
 //!
-//! No I/O and no clock: `now` is in milliseconds of any clock that does not go back within a process, `unix_ms` in
-//! milliseconds since 1970.
+//! The module does no I/O and reads no clock: `now` is in milliseconds of any clock that is monotonic within the
+//! process, `unix_ms` in milliseconds since the Unix epoch.
 
 mod update;
 
@@ -23,61 +25,64 @@
 
 pub use update::{UpdateOutcome, Upstream, UpstreamDelta, UpstreamSnapshot, UpstreamUpdate};
 
-/// Versions back that a difference can build on. A zone's list changes a few times a second at most.
+/// Number of past versions that a delta can be based on. A zone's list changes at most a few times per second.
 const MAX_HISTORY_STEPS: usize = 64;
-/// Ids of drained upstreams that are remembered: many times what a zone replaces within the time in which an old
-/// message that shows one of them ready can still arrive.
+/// Number of drained ids that are remembered: many times the number of upstreams that a zone replaces while an old
+/// message that lists one of them as ready can still arrive.
 const MAX_DRAINED_IDS: usize = 4096;
-/// Two reports of the same slow start may differ by this much: they are as of different moments.
+/// Difference up to which two reports of the remaining slow start count as equal: they are taken at different times.
 const WARMUP_TOLERANCE_MS: u64 = 500;
-/// Low bits of a version that tell its author; those above are milliseconds since 1970 or a count beyond them.
-const AUTHOR_BITS: u32 = 10;
+/// Number of low bits of a version that hold the writer's id. The bits above are milliseconds since the Unix epoch, or
+/// a counter that has advanced beyond them.
+const WRITER_ID_BITS: u32 = 10;
 
-/// An upstream in a list.
+/// An upstream in the list, with the time at which it was received.
 #[derive(Clone, Debug)]
 struct Entry {
     upstream: Upstream,
-    /// When it was received; the rest of its slow start is as of then.
+    /// Time of receipt, from which `warmup_remaining_ms` counts down.
     received_at: u64,
 }
 
-/// A change of a list from one version to the next.
+/// The change from one version of the list to the next.
 #[derive(Clone, Debug)]
 struct HistoryStep {
+    /// Version before the change.
     base_version: u64,
     /// Ids that are new, changed or removed since that version.
     changed_ids: BTreeSet<String>,
 }
 
-/// The upstreams of one zone, with what is needed to send differences.
+/// The upstreams of one zone, with the history that is needed to send deltas.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamList {
-    /// 0 before the first list.
+    /// Current version; 0 before the first list.
     version: u64,
-    /// The highest version that anybody was seen to have; the next one has to be above it.
+    /// Highest version observed at any process; the next assigned version has to be higher.
     highest_seen_version: u64,
-    /// Of `entries`.
+    /// Checksum of `entries`.
     digest: u32,
     entries: BTreeMap<String, Entry>,
-    /// The latest steps up to `version`, oldest first.
+    /// Most recent changes up to `version`, oldest first.
     history: VecDeque<HistoryStep>,
+    /// Ids of upstreams that are known to have drained.
     drained_ids: BTreeSet<String>,
-    /// The same, in the order in which they were learned.
+    /// The same ids in the order in which they were recorded.
     drained_order: VecDeque<String>,
 }
 
 impl UpstreamList {
-    /// The version of the list; 0 before the first.
+    /// Returns the version of the list; 0 before the first list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The upstreams as of `now`, in the order of their ids. Those that are known to have drained are `draining`.
+    /// Returns the upstreams as of `now`, ordered by id. Those that are known to have drained are marked as draining.
     pub fn upstreams(&self, now: u64) -> impl Iterator<Item = Upstream> {
         self.entries.values().map(move |e| self.upstream_at(e, now))
     }
 
-    /// The upstream with this id as of `now`.
+    /// Returns the upstream with this id as of `now`.
     pub fn upstream(&self, id: &str, now: u64) -> Option<Upstream> {
         self.entries.get(id).map(|e| self.upstream_at(e, now))
     }
@@ -91,21 +96,21 @@
         }
     }
 
-    // At the control process that polls the platform for the zone.
+    // Used by the writer: the control process that polls the platform for the zone.
 
-    /// Sets the list to what the platform lists. Returns whether that is a new version, to be sent. `author` tells
-    /// control processes apart: no two have the same version.
+    /// Replaces the list by the platform's. Returns whether this created a new version, which has to be sent.
+    /// `writer_id` identifies the control process, so that no two of them assign the same version.
     pub fn set_platform_list(
         &mut self,
         list: Vec<Upstream>,
         now: u64,
         unix_ms: u64,
-        author: u64,
+        writer_id: u64,
     ) -> bool {
         let mut next = BTreeMap::new();
         for mut upstream in list {
             upstream.draining |= self.drained_ids.contains(&upstream.id);
-            // A slow start is sent once; that it gets shorter is no change.
+            // The remaining slow start is sent once. Its decrease over time is not a change.
             let unchanged = self.entries.get(&upstream.id).filter(|entry| {
                 let remaining_ms = entry.warmup_remaining_ms(now);
                 let warmup_remaining_ms = entry.upstream.warmup_remaining_ms;
@@ -125,41 +130,42 @@
         if changed_ids.is_empty() && self.version > 0 {
             return false;
         }
-        let version = self.next_version(unix_ms, author);
+        let version = self.next_version(unix_ms, writer_id);
         self.advance_to(version, next, changed_ids);
         true
     }
 
-    /// Sets the same list once more, with the drains that were learned from others meanwhile. Returns whether that
-    /// is a new version, to be sent.
-    pub fn refresh_platform_list(&mut self, now: u64, unix_ms: u64, author: u64) -> bool {
+    /// Sets the current list again, including drains that were learned from other processes since. Returns whether
+    /// this created a new version, which has to be sent.
+    pub fn refresh_platform_list(&mut self, now: u64, unix_ms: u64, writer_id: u64) -> bool {
         let list = self.upstreams(now).collect();
-        self.version > 0 && self.set_platform_list(list, now, unix_ms, author)
+        self.version > 0 && self.set_platform_list(list, now, unix_ms, writer_id)
     }
 
-    /// Somebody has this version, from this author in an earlier life or from another one. If it is above the list's,
-    /// the list gets a version above it, since a receiver takes nothing lower. Returns whether it did.
-    pub fn observe_version(&mut self, version: u64, unix_ms: u64, author: u64) -> bool {
+    /// Records that a process has this version, assigned by another writer or by this one before a restart. If it is
+    /// higher than the list's version, the list gets a version above it, because receivers ignore lower ones. Returns
+    /// whether the list's version changed.
+    pub fn observe_version(&mut self, version: u64, unix_ms: u64, writer_id: u64) -> bool {
         self.highest_seen_version = self.highest_seen_version.max(version);
-        // Before the first list there is nothing to be sent: an empty one would end every upstream.
+        // Before the first list nothing may be sent: an empty list would remove every upstream.
         if version <= self.version || self.version == 0 {
             return false;
         }
-        self.version = self.next_version(unix_ms, author);
+        self.version = self.next_version(unix_ms, writer_id);
         self.history.clear();
         true
     }
 
-    /// A version above any that this list has had or seen, and no other author's.
-    fn next_version(&self, unix_ms: u64, author: u64) -> u64 {
-        let above = (self.version.max(self.highest_seen_version) >> AUTHOR_BITS) + 1;
-        (above.max(unix_ms) << AUTHOR_BITS) | (author & ((1 << AUTHOR_BITS) - 1))
+    /// Returns a version that is higher than all versions of this list or observed so far, and unique to the writer.
+    fn next_version(&self, unix_ms: u64, writer_id: u64) -> u64 {
+        let above = (self.version.max(self.highest_seen_version) >> WRITER_ID_BITS) + 1;
+        (above.max(unix_ms) << WRITER_ID_BITS) | (writer_id & ((1 << WRITER_ID_BITS) - 1))
     }
 
-    // At whoever sends it.
+    // Used by senders.
 
-    /// What a receiver with this version lacks: a difference if it can be built on that version, else the complete
-    /// list; nothing if the receiver is up to date or there is no list yet.
+    /// Returns the update for a receiver that has `version`: a delta if that version is in the history, otherwise a
+    /// snapshot. Returns `None` if the receiver is up to date or there is no list yet.
     pub fn update_since(&self, version: u64, now: u64) -> Option<UpstreamUpdate> {
         if version >= self.version {
             return None;
@@ -191,7 +197,7 @@
         }))
     }
 
-    /// The complete list; nothing before the first.
+    /// Returns the complete list; `None` before the first list.
     pub fn snapshot(&self, now: u64) -> Option<UpstreamUpdate> {
         let upstreams = self
             .entries
@@ -205,8 +211,8 @@
         }))
     }
 
-    /// The upstream without the drains that were learned elsewhere: the digest is of the list as it was received,
-    /// and whoever polls the platform sends those drains with its next version.
+    /// Returns an upstream without the drains that were learned from other updates. The digest covers the list as it
+    /// was received; the writer sends those drains with its next version.
     fn upstream_as_received(&self, id: &str, now: u64) -> Option<Upstream> {
         let entry = self.entries.get(id)?;
         Some(Upstream {
@@ -215,11 +221,11 @@
         })
     }
 
-    // At whoever receives it.
+    // Used by receivers.
 
-    /// Takes in an update from another process. Drains are learned from it even if it is stale or lacks its base.
+    /// Applies an update from another process. Its drains are recorded even if it is stale or its base is missing.
     pub fn apply_update(&mut self, update: &UpstreamUpdate, now: u64) -> UpdateOutcome {
-        let mut affected_ids = self.learn_drains(update.upstreams());
+        let mut affected_ids = self.record_drains(update.upstreams());
         if update.version() <= self.version {
             return UpdateOutcome::Stale(affected_ids);
         }
@@ -254,21 +260,21 @@
         UpdateOutcome::Applied(affected_ids)
     }
 
-    /// Remembers which of these drain. Returns the ids in the list that were not known to.
-    fn learn_drains(&mut self, upstreams: &[Upstream]) -> BTreeSet<String> {
-        let mut learned = BTreeSet::new();
+    /// Records which of these upstreams are draining. Returns the ids in the list that were not known to be draining.
+    fn record_drains(&mut self, upstreams: &[Upstream]) -> BTreeSet<String> {
+        let mut newly_drained = BTreeSet::new();
         for upstream in upstreams.iter().filter(|upstream| upstream.draining) {
             let id = &upstream.id;
             if self.remember_drained(id.clone()) && self.entries.contains_key(id) {
-                learned.insert(id.clone());
+                newly_drained.insert(id.clone());
             }
         }
-        learned
+        newly_drained
     }
 
-    // Both.
+    // Used by both.
 
-    /// Ids that are new, changed or removed in `next`.
+    /// Returns the ids that are new, changed or removed in `next`.
     fn changed_ids(&self, next: &BTreeMap<String, Entry>) -> BTreeSet<String> {
         let is_unchanged = |(id, entry): &(&String, &Entry)| {
             next.get(*id)
@@ -279,6 +285,7 @@
         changed.map(|(id, _)| id).chain(new).cloned().collect()
     }
 
+    /// Sets the new version and entries, and appends the change to the history.
     fn advance_to(
         &mut self,
         version: u64,
@@ -305,7 +312,7 @@
         }
     }
 
-    /// Returns whether it was not remembered yet. The oldest are forgotten beyond [`MAX_DRAINED_IDS`].
+    /// Records a drained id and returns whether it is new. Evicts the oldest ids beyond [`MAX_DRAINED_IDS`].
     fn remember_drained(&mut self, id: String) -> bool {
         if !self.drained_ids.insert(id.clone()) {
             return false;
@@ -321,15 +328,15 @@
 }
 
 impl Entry {
-    /// Milliseconds for which the upstream is in slow start from `now` on.
+    /// Returns the remaining slow start in milliseconds as of `now`.
     fn warmup_remaining_ms(&self, now: u64) -> u64 {
         let elapsed = now.saturating_sub(self.received_at);
         self.upstream.warmup_remaining_ms.saturating_sub(elapsed)
     }
 }
 
-/// Checksum of all that decides where requests may go, in the order of the ids. Slow start is not in it: it is as of
-/// a moment.
+/// Returns the checksum of all fields that determine where requests may be sent, in order of the ids. Slow start is
+/// excluded because its remaining time changes constantly.
 fn digest(entries: &BTreeMap<String, Entry>) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     for Entry { upstream, .. } in entries.values() {
--- a/crates/protocol/src/upstream_list/update.rs
+++ b/crates/protocol/src/upstream_list/update.rs
@@ -1,4 +1,4 @@
-//! Upstreams and their lists as they go on the wire.
+//! Wire format of upstreams and of updates to upstream lists.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,42 +7,42 @@
 use serde::{Deserialize, Serialize};
 
 array_struct! {
-    /// An upstream, as the control process that polls its zone knows it. An array of six on the wire.
+    /// An upstream, as known to the control process that polls its zone. Encoded as an array of six elements.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub struct Upstream {
-        /// Its id in the platform's list. An id has one life: it is never ready again once it drained.
+        /// Id in the platform's list. Ids are never reused: an id that has drained never becomes ready again.
         pub id: String,
-        /// The service that it belongs to.
+        /// Name of its service.
         pub service: String,
-        /// Address at which it takes requests.
+        /// Address on which it accepts requests.
         pub addr: SocketAddr,
-        /// Requests that it runs at a time.
+        /// Number of requests that it executes concurrently.
         pub slots: u32,
-        /// It takes no new requests and ends those that it has.
+        /// Whether it is draining: it accepts no new requests and completes those in progress.
         pub draining: bool,
-        /// Milliseconds for which it is still in slow start, as of the moment at which it is sent.
+        /// Remaining slow start in milliseconds at the time of sending.
         pub warmup_remaining_ms: u64,
     }
 }
 
-/// A zone's upstreams, from one process to another.
+/// An update of a zone's upstream list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamUpdate {
-    /// All of them.
+    /// The complete list.
     #[serde(rename = "w")]
     Snapshot(UpstreamSnapshot),
-    /// What differs from an earlier version, which the receiver has.
+    /// The difference from an earlier version that the receiver has.
     #[serde(rename = "c")]
     Delta(UpstreamDelta),
 }
 
 array_struct! {
-    /// A complete list. An array of two on the wire.
+    /// A complete list. Encoded as an array of two elements.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub struct UpstreamSnapshot {
         /// Version of the list.
         pub version: u64,
-        /// All upstreams in it.
+        /// All upstreams in the list.
         pub upstreams: Vec<Upstream>,
     }
 }
@@ -50,22 +50,23 @@
 /// The difference between two versions of a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamDelta {
-    /// Version that it leads to.
+    /// Version of the list after the delta is applied.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Checksum (CRC-32) of the complete list at that version: a receiver that comes to another one lacked the base.
+    /// CRC-32 checksum of the complete list at that version. A receiver that computes a different checksum does not
+    /// have the base version.
     #[serde(rename = "d")]
     pub digest: u32,
-    /// Upstreams that are new or changed, as they are now.
+    /// New and changed upstreams, in their current state.
     #[serde(rename = "n")]
     pub changed: Vec<Upstream>,
-    /// Ids of upstreams that are no longer in the list.
+    /// Ids of removed upstreams.
     #[serde(rename = "g")]
     pub removed: Vec<String>,
 }
 
 impl UpstreamUpdate {
-    /// Version of the list that it leads to.
+    /// Returns the version of the list after the update is applied.
     pub(super) fn version(&self) -> u64 {
         match self {
             Self::Snapshot(snapshot) => snapshot.version,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The upstreams that it carries.
+    /// Returns the upstreams in the update.
     pub(super) fn upstreams(&self) -> &[Upstream] {
         match self {
             Self::Snapshot(snapshot) => &snapshot.upstreams,
@@ -82,13 +83,13 @@
     }
 }
 
-/// What became of an [`UpstreamUpdate`] at its receiver.
+/// Result of applying an [`UpstreamUpdate`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpdateOutcome {
-    /// It is not newer than the list and was not taken in. These ids are newly known to drain all the same.
+    /// The update is not newer than the list and was not applied, except for drains: it marked these ids as draining.
     Stale(BTreeSet<String>),
-    /// It was taken in. These ids are new, changed, removed, or newly known to drain.
+    /// The update was applied. These ids were added, changed, removed, or marked as draining.
     Applied(BTreeSet<String>),
-    /// It is a difference to a version that is not here: a complete list is wanted.
+    /// The update is a delta from a version that the receiver does not have. A snapshot is required.
     MissingBase,
 }
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -1,19 +1,17 @@
-//! Messages between the system's own processes, and the frames that carry them.
+//! Messages between the system's processes, and their framing. The module holds no state.
 //!
 //! | module | connection | messages |
 //! | --- | --- | --- |
-//! | [`frame`] | all | a length in four bytes, then one message in CBOR |
-//! | [`handshake`] | all | [`Handshake`]: who calls, and the protocol version it speaks |
-//! | [`session`] | data plane to control plane | [`SessionMessage`] there, [`WatchUpdate`] back |
+//! | [`frame`] | all | a four-byte length, then one message in CBOR |
+//! | [`handshake`] | all | [`Handshake`]: identity and protocol version of the connecting process |
+//! | [`session`] | data plane to control plane | [`SessionMessage`] to the control plane, [`WatchUpdate`] back |
 //! | [`peer`] | control process to control process | [`PeerMessage`] |
 //!
-//! **State.** None: these are types and their encoding.
+//! **Compatibility.** Names on the wire, their order and the numbers of the protocol do not change when a Rust name
+//! changes, so that different builds interoperate during a rollout. `tests/golden.rs` checks each frame.
 //!
-//! **Promises.** Names on the wire, their order and the numbers of the protocol stay when a Rust name changes
-//! (`tests/golden.rs` holds each frame), so that two builds run beside each other during a roll-out.
-//!
-//! **Neighbours.** A process that speaks another protocol version is refused by its [`Handshake`]. A frame that
-//! can't be read ends the connection it came on; time-outs are the caller's.
+//! **Failures.** A process with another protocol version is rejected on its [`Handshake`]. A frame that cannot be
+//! decoded ends its connection. Timeouts are the caller's responsibility.
 
 pub mod frame;
 pub mod handshake;
--- a/crates/protocol/src/wire/frame.rs
+++ b/crates/protocol/src/wire/frame.rs
@@ -1,7 +1,7 @@
-//! Frames: the length of the body as a big-endian `u32`, then one message in CBOR (RFC 8949).
+//! Framing: the length of the body as a big-endian `u32`, then the body, one message in CBOR (RFC 8949).
 //!
-//! **Promises.** No frame has a body of more than [`MAX_FRAME_BYTES`], sent or received. Memory is taken as bytes
-//! arrive, not as the length announces. Whatever bytes come, the outcome is a message or a [`FrameError`].
+//! Bodies are limited to [`MAX_FRAME_BYTES`] in both directions. Memory is allocated as bytes arrive, not according to
+//! the announced length. Any input results in a message or a [`FrameError`].
 
 use std::io;
 
@@ -9,30 +9,30 @@
 use serde::de::DeserializeOwned;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Largest body of a frame, in bytes: a configuration of ten thousand routes fits many times.
+/// Maximum size of a frame body in bytes. A configuration of ten thousand routes is many times smaller.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// Size of the length that precedes a body.
+/// Size of the length prefix.
 const LENGTH_PREFIX_BYTES: usize = 4;
-/// Memory that a body gets before any of it has arrived.
+/// Maximum memory allocated for a body before any of it has arrived.
 const INITIAL_BODY_CAPACITY_BYTES: usize = 64 << 10;
 
-/// Why a frame could not be made, sent, received or read. After any of them the connection is of no more use.
+/// Error when encoding, sending, receiving or decoding a frame. The connection is unusable afterwards.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The body would have, or is announced to have, more than [`MAX_FRAME_BYTES`].
-    #[error("frame of {length} bytes, at most {MAX_FRAME_BYTES} are allowed")]
+    /// The encoded body or the announced length exceeds [`MAX_FRAME_BYTES`].
+    #[error("frame body of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")]
     TooLong {
         /// Length of the body in bytes.
         length: usize,
     },
-    /// The message has no form in CBOR.
-    #[error("message can't be encoded: {0}")]
+    /// The message cannot be represented in CBOR.
+    #[error("message cannot be encoded: {0}")]
     Encode(#[source] ciborium::ser::Error<io::Error>),
-    /// The body is not CBOR, or not the message that is expected on this connection.
-    #[error("message can't be decoded: {0}")]
+    /// The body is not valid CBOR, or not a message of the expected type.
+    #[error("message cannot be decoded: {0}")]
     Decode(#[source] ciborium::de::Error<io::Error>),
-    /// The connection failed, or ended in the middle of a frame ([`io::ErrorKind::UnexpectedEof`]).
+    /// The connection failed, or ended before the frame was complete ([`io::ErrorKind::UnexpectedEof`]).
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -49,11 +49,11 @@
     }
 }
 
-/// Encodes a message into a frame, its length included.
+/// Encodes a message as a frame, including the length prefix.
 ///
 /// # Errors
-/// [`FrameError::TooLong`] if the body has more than [`MAX_FRAME_BYTES`], [`FrameError::Encode`] if the message
-/// has no form in CBOR.
+/// Returns [`FrameError::TooLong`] if the body exceeds [`MAX_FRAME_BYTES`], and [`FrameError::Encode`] if the message
+/// cannot be represented in CBOR.
 pub fn encode_frame<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
     let mut frame = vec![0; LENGTH_PREFIX_BYTES];
     ciborium::into_writer(message, &mut frame).map_err(FrameError::Encode)?;
@@ -65,18 +65,18 @@
     Ok(frame)
 }
 
-/// Decodes the message in the body of a frame, which is what follows the length.
+/// Decodes a message from the body of a frame, without the length prefix.
 ///
 /// # Errors
-/// [`FrameError::Decode`] if the body is not such a message.
+/// Returns [`FrameError::Decode`] if the body is not a message of type `T`.
 pub fn decode_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, FrameError> {
     ciborium::from_reader(body).map_err(FrameError::Decode)
 }
 
-/// Writes a message as a frame. It does not flush.
+/// Writes a message as a frame, without flushing the writer.
 ///
 /// # Errors
-/// Those of [`encode_frame`], and [`FrameError::Io`] if the connection failed.
+/// Returns the errors of [`encode_frame`], and [`FrameError::Io`] if the connection failed.
 pub async fn send_message<T: Serialize>(
     writer: &mut (impl AsyncWrite + Unpin),
     message: &T,
@@ -84,12 +84,13 @@
     Ok(writer.write_all(&encode_frame(message)?).await?)
 }
 
-/// Reads the next frame and decodes its message. It waits without limit, and must not be dropped in the middle of
-/// a frame if the connection is to be read further.
+/// Reads the next frame and decodes its message. There is no timeout. The function is not cancel safe: if it is dropped
+/// in the middle of a frame, the connection cannot be read any further.
 ///
 /// # Errors
-/// [`FrameError::TooLong`] before any of the body is read, [`FrameError::Decode`], or [`FrameError::Io`] if the
-/// connection failed or ended.
+/// Returns [`FrameError::TooLong`] before reading the body if the announced length exceeds the limit,
+/// [`FrameError::Decode`] if the body is not a message of type `T`, and [`FrameError::Io`] if the connection failed or
+/// ended.
 pub async fn receive_message<T: DeserializeOwned>(
     reader: &mut (impl AsyncRead + Unpin),
 ) -> Result<T, FrameError> {
@@ -105,8 +106,8 @@
     decode_body(&body)
 }
 
-/// Checksum (CRC-32) of a message's encoding, by which two processes see whether they have the same. Never 0,
-/// which stands for "none yet".
+/// Returns the CRC-32 checksum of a message's encoding, which two processes compare to detect a difference. Never
+/// returns 0, which stands for "none yet".
 pub fn digest<T: Serialize>(message: &T) -> u32 {
     let mut bytes = Vec::new();
     let encoded = ciborium::into_writer(message, &mut bytes);
--- a/crates/protocol/src/wire/frame/tests.rs
+++ b/crates/protocol/src/wire/frame/tests.rs
@@ -20,7 +20,7 @@
             receive_message::<WatchRequest>(&mut &bytes[..cut])
                 .await
                 .is_err(),
-            "cut at {cut}"
+            "truncated at {cut}"
         );
     }
     let over_limit = [0xff, 0xff, 0xff, 0xff, 0];
--- a/crates/protocol/src/wire/handshake.rs
+++ b/crates/protocol/src/wire/handshake.rs
@@ -1,33 +1,33 @@
-//! The first frame of each connection, and how processes are described to each other.
+//! The first frame of each connection, and the types that identify processes.
 
 use std::net::SocketAddr;
 
 use raft::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// Version of the protocol that this build speaks. A caller with another one is refused on its [`Handshake`].
+/// Protocol version of this build. A connecting process with another version is rejected on its [`Handshake`].
 pub const PROTOCOL_VERSION: u32 = 5;
 
-/// First frame on every connection, from whoever opened it.
+/// First frame of every connection, sent by the process that opened it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Handshake {
-    /// A data-plane balancer opens its session: [`SessionMessage`](super::SessionMessage)s follow.
+    /// Opens the session of a data-plane balancer. [`SessionMessage`](super::SessionMessage)s follow.
     DataPlane {
-        /// [`PROTOCOL_VERSION`] of the caller.
+        /// [`PROTOCOL_VERSION`] of the sender.
         #[serde(rename = "protocol")]
         protocol_version: u32,
-        /// The caller.
+        /// The sender.
         balancer: Balancer,
     },
-    /// A control process opens its side of a peer connection: [`PeerMessage`](super::PeerMessage)s follow.
+    /// Opens one direction of a connection between control processes. [`PeerMessage`](super::PeerMessage)s follow.
     Control {
-        /// [`PROTOCOL_VERSION`] of the caller.
+        /// [`PROTOCOL_VERSION`] of the sender.
         #[serde(rename = "protocol")]
         protocol_version: u32,
-        /// The caller's id as a member of the replicated log.
+        /// Id of the sender in the replicated log.
         #[serde(rename = "id")]
         node_id: NodeId,
-        /// The caller, with the address under which it takes connections itself.
+        /// The sender, with the address on which it accepts connections.
         #[serde(rename = "at")]
         control_node: ControlNode,
     },
@@ -36,16 +36,16 @@
 /// A data-plane balancer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Balancer {
-    /// Name of its machine, from the settings.
+    /// Name of its machine from the settings.
     #[serde(rename = "n")]
     pub node: String,
-    /// Zone that it is in.
+    /// Zone of its machine.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Region that the zone is in.
+    /// Region of the zone.
     #[serde(rename = "r")]
     pub region: String,
-    /// Address at which it takes clients' requests.
+    /// Address on which it accepts client requests.
     #[serde(rename = "h")]
     pub http_addr: SocketAddr,
 }
@@ -53,17 +53,17 @@
 /// A control process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ControlNode {
-    /// Address at which it takes connections of peers and of data-plane balancers.
+    /// Address on which it accepts connections from peers and data-plane balancers.
     #[serde(rename = "i")]
     pub internal_addr: SocketAddr,
-    /// Zone that it is in.
+    /// Zone of its machine.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Region that the zone is in.
+    /// Region of the zone.
     #[serde(rename = "r")]
     pub region: String,
-    /// It has a disk and takes part in the replicated log. One without never votes and keeps no log: it only
-    /// points callers to those that do, and answers as a directory.
+    /// Whether it has a disk and takes part in the replicated log. A process without a disk never votes and stores no
+    /// log: it only redirects callers to the processes with a disk, and serves the directory.
     #[serde(rename = "d")]
     pub has_disk: bool,
 }
--- a/crates/protocol/src/wire/peer.rs
+++ b/crates/protocol/src/wire/peer.rs
@@ -1,7 +1,7 @@
-//! Control process to control process.
+//! Messages between control processes.
 //!
-//! **Promises.** [`PeerMessage::Raft`] carries the replicated log, which makes good for lost messages itself. All
-//! else is soft state and may be lost with a connection: sessions and zones are sent in full when one is made.
+//! [`PeerMessage::Raft`] carries the consensus protocol, which tolerates lost messages. All other messages carry soft
+//! state that may be lost with a connection: sessions and zones are sent in full on each new connection.
 
 use std::net::SocketAddr;
 
@@ -18,16 +18,16 @@
     /// A message of the consensus protocol.
     #[serde(rename = "Log")]
     Raft(Message),
-    /// The sender wants to become a member of the replicated log.
+    /// Asks to add the sender to the members of the replicated log.
     Join {
-        /// Its id in the log.
+        /// Id of the sender in the log.
         #[serde(rename = "id")]
         node_id: NodeId,
-        /// Address at which it takes connections of peers.
+        /// Address on which the sender accepts connections from peers.
         #[serde(rename = "inner")]
         internal_addr: SocketAddr,
     },
-    /// All sessions of data-plane balancers with the sender, and all control processes that it knows.
+    /// All sessions that data-plane balancers have with the sender, and all control processes that it knows.
     Sessions {
         /// The sessions.
         sessions: Vec<Session>,
@@ -35,50 +35,51 @@
         #[serde(rename = "controls")]
         control_nodes: Vec<ControlNode>,
     },
-    /// What differs from the last [`Sessions`](Self::Sessions) or [`SessionChanges`](Self::SessionChanges).
+    /// Changes since the last [`Sessions`](Self::Sessions) or [`SessionChanges`](Self::SessionChanges).
     #[serde(rename = "Moved")]
     SessionChanges {
-        /// Sessions that are new or changed.
+        /// New and changed sessions.
         #[serde(rename = "sessions")]
         changed: Vec<Session>,
-        /// Nodes of the balancers whose sessions ended.
+        /// Node names of the balancers whose sessions ended.
         #[serde(rename = "gone")]
         removed: Vec<String>,
-        /// All control processes that the sender knows, if they changed.
+        /// All control processes that the sender knows, if the set changed.
         #[serde(rename = "controls")]
         control_nodes: Option<Vec<ControlNode>>,
     },
-    /// What balancers reported of the load of keys; sent to the leader.
+    /// Key load reported by balancers, forwarded to the leader.
     #[serde(rename = "Work")]
     KeyLoad(KeyLoadReport),
-    /// The sender is alive.
+    /// Heartbeat.
     #[serde(rename = "Alive")]
     Heartbeat {
-        /// Address of the process that it takes for the leader.
+        /// Address of the current leader as known to the sender.
         leader: Option<SocketAddr>,
     },
-    /// A process that takes no part in the log asks whether the receiver leads, confirmed by a majority.
+    /// Asks the receiver to confirm its leadership with a majority. Sent by processes that take no part in the log.
     #[serde(rename = "Confirm")]
     ConfirmLeadership {
-        /// Chosen by the sender, and never used again.
+        /// Token chosen by the sender, never reused.
         token: u64,
     },
-    /// Answers [`ConfirmLeadership`](Self::ConfirmLeadership) while the sender leads; there is no other answer.
+    /// Response to [`ConfirmLeadership`](Self::ConfirmLeadership) if the sender is the leader; otherwise there is no
+    /// response.
     #[serde(rename = "Confirmed")]
     LeadershipConfirmed {
-        /// The token of the question.
+        /// Token of the request.
         token: u64,
     },
-    /// A zone's upstreams.
+    /// An update of a zone's upstream list.
     #[serde(rename = "Zone")]
     ZoneUpdate {
         /// The zone.
         zone: String,
-        /// Its upstreams: complete, or by difference.
+        /// Snapshot or delta of its upstreams.
         #[serde(rename = "told")]
         update: UpstreamUpdate,
     },
-    /// An update of the zone built on a version that the sender does not have: it wants a complete list.
+    /// Requests a snapshot of a zone, after a delta from a version that the sender does not have.
     #[serde(rename = "Want")]
     ZoneSnapshotRequest {
         /// The zone.
@@ -86,16 +87,16 @@
     },
 }
 
-/// A data-plane balancer's session, as control processes tell each other of it.
+/// A data-plane balancer's session, as exchanged between control processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Session {
     /// The balancer.
     #[serde(rename = "b")]
     pub balancer: Balancer,
-    /// It can serve requests.
+    /// Whether the balancer can serve requests.
     #[serde(rename = "r")]
     pub ready: bool,
-    /// It is shutting down and wants no new clients.
+    /// Whether the balancer is shutting down and should get no new clients.
     #[serde(rename = "l")]
     pub draining: bool,
 }
--- a/crates/protocol/src/wire/session.rs
+++ b/crates/protocol/src/wire/session.rs
@@ -1,11 +1,11 @@
-//! A data-plane balancer's session with a control process: the balancer says what it has, the control process
-//! sends what it lacks.
+//! A data-plane balancer's session with a control process: the balancer reports the versions that it has, and the
+//! control process sends what is newer.
 //!
-//! **Promises.** A [`WatchUpdate`] carries only what is newer than its [`WatchRequest`] names, so that repeating a
-//! request is harmless. An index never falls at a balancer within a process's life.
+//! **Guarantees.** A [`WatchUpdate`] contains only state that is newer than the [`WatchRequest`] states, so repeating a
+//! request is harmless. At a balancer, an index never decreases during the lifetime of the process.
 //!
-//! **Neighbours.** A balancer that hears nothing keeps what it has. A control process without quorum contact sends
-//! nothing that has to be agreed on and says so ([`WatchUpdate::out_of_contact`]).
+//! **Failures.** A balancer that receives no updates keeps its state. A control process that cannot reach a quorum
+//! sends no replicated state, and reports that ([`WatchUpdate::out_of_contact`]).
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,57 +18,57 @@
 use crate::key_ranges::KeyRangeRow;
 use crate::upstream_list::UpstreamUpdate;
 
-/// A data-plane balancer to its control process.
+/// A message from a data-plane balancer to its control process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SessionMessage {
-    /// What it has and how it is; asks for what it lacks.
+    /// Reports the balancer's state and versions, and requests newer ones.
     #[serde(rename = "a")]
     Watch(WatchRequest),
-    /// Nothing differs from its last [`Watch`](Self::Watch); it is alive.
+    /// Heartbeat: nothing changed since the last [`Watch`](Self::Watch).
     #[serde(rename = "s")]
     KeepAlive,
-    /// Load of the keys of sharded services, since its last report.
+    /// Load of the keys of sharded services since the last report.
     #[serde(rename = "w")]
     KeyLoad(KeyLoadReport),
 }
 
-/// What a data-plane balancer has. It is answered with what it lacks.
+/// State and versions of a data-plane balancer. The response contains what is newer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchRequest {
-    /// Index in the replicated log of the configuration that it applies; 0 for none.
+    /// Index in the replicated log of the applied configuration; 0 for none.
     #[serde(rename = "c")]
     pub config_index: u64,
-    /// Index of the last change of evacuated zones that it has; 0 for none.
+    /// Index of the last known change of evacuated zones; 0 for none.
     #[serde(rename = "e")]
     pub evacuations_index: u64,
-    /// Index of the last change of key ranges that it has; 0 for none.
+    /// Index of the last known change of key ranges; 0 for none.
     #[serde(rename = "h", skip_serializing_if = "is_zero")]
     pub key_ranges_index: u64,
-    /// The version that it has of each zone's upstreams; 0 where it wants a complete list.
+    /// Version of each zone's upstream list; 0 to request a snapshot.
     #[serde(rename = "z", skip_serializing_if = "BTreeMap::is_empty")]
     pub zone_versions: BTreeMap<String, u64>,
-    /// The fleet size and its own position that it last heard.
+    /// Last known fleet size and position of the balancer.
     #[serde(rename = "b", skip_serializing_if = "Option::is_none")]
     pub fleet: Option<FleetView>,
-    /// [`digest`](super::digest) of the control processes that it knows; 0 for none.
+    /// [`digest`](super::digest) of the known control processes; 0 for none.
     #[serde(rename = "k")]
     pub control_nodes_digest: u32,
-    /// It can serve requests.
+    /// Whether the balancer can serve requests.
     #[serde(rename = "r")]
     pub ready: bool,
-    /// It is shutting down: it ends the requests that it has and wants no new clients.
+    /// Whether the balancer is shutting down: it completes the requests in progress and should get no new clients.
     #[serde(rename = "l")]
     pub draining: bool,
-    /// Another session brings it updates; the control process waits a moment before it sends them here too.
+    /// Whether the balancer gets its updates from another session. The control process then delays updates on this one.
     #[serde(rename = "s")]
     pub is_secondary: bool,
 }
 
 impl WatchRequest {
-    /// Whether `next` has to be sent at once instead of with the next heartbeat: others wait for it where clients
-    /// may be sent, which session brings updates, or which zone's complete list is wanted differs. The rest only
-    /// spares an update that would be sent twice.
+    /// Returns whether `next` has to be sent immediately rather than with the next heartbeat. Other processes depend on
+    /// changes of readiness, of the session that delivers updates, and of requested snapshots. All other changes only
+    /// avoid sending an update twice.
     pub fn is_urgent_change(&self, next: &Self) -> bool {
         let wanted_lists =
             |request: &Self| request.zone_versions.values().filter(|v| **v == 0).count();
@@ -78,39 +78,38 @@
     }
 }
 
-/// What a data-plane balancer lacks, from its control process; empty as a heartbeat.
+/// State that is newer than the balancer's, sent by its control process. Empty if sent as a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchUpdate {
-    /// The sender has no quorum contact: more may have been agreed on than it knows. It then sends nothing that
-    /// has to be agreed on.
+    /// Whether the sender cannot reach a quorum. Its replicated state may then be outdated, and it sends none of it.
     #[serde(rename = "o", skip_serializing_if = "std::ops::Not::not")]
     pub out_of_contact: bool,
     /// The configuration.
     #[serde(rename = "c", skip_serializing_if = "Option::is_none")]
     pub config: Option<Indexed<Arc<CompactConfig>>>,
-    /// All zones that get no requests.
+    /// All evacuated zones, which get no requests.
     #[serde(rename = "e", skip_serializing_if = "Option::is_none")]
     pub evacuated_zones: Option<Indexed<Vec<String>>>,
-    /// Key ranges that changed, by service.
+    /// Changed key ranges by service.
     #[serde(rename = "h", skip_serializing_if = "Option::is_none")]
     pub key_ranges: Option<Indexed<BTreeMap<String, Vec<KeyRangeRow>>>>,
-    /// Upstreams by zone.
+    /// Updates of upstream lists by zone.
     #[serde(rename = "z", skip_serializing_if = "BTreeMap::is_empty")]
     pub zone_updates: BTreeMap<String, UpstreamUpdate>,
-    /// The fleet, if it is other than the balancer has it.
+    /// Fleet size and position of the balancer, if changed.
     #[serde(rename = "b", skip_serializing_if = "Option::is_none")]
     pub fleet: Option<FleetView>,
-    /// All live control processes, if their digest is other than the balancer's.
+    /// All live control processes, if their digest differs from the balancer's.
     #[serde(rename = "k", skip_serializing_if = "Option::is_none")]
     pub control_nodes: Option<Vec<ControlNode>>,
 }
 
-/// A part of the replicated state, with the index of the log entry that changed it last. An array of two on the
-/// wire.
+/// A part of the replicated state, with the index of the log entry that last changed it. Encoded as an array of two
+/// elements.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Indexed<T> {
-    /// Index of the entry in the replicated log.
+    /// Index of the log entry.
     pub index: u64,
     /// The state as of that entry.
     pub value: T,
@@ -129,13 +128,13 @@
     }
 }
 
-/// The fleet of data-plane balancers, as one of them sees it.
+/// Size of the fleet of data-plane balancers, and the position of one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetView {
     /// Number of balancers.
     #[serde(rename = "n")]
     pub balancers: u32,
-    /// Position of the receiver among them, from 0.
+    /// Zero-based position of the receiver in the fleet.
     #[serde(rename = "p")]
     pub position: u32,
 }
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -1,8 +1,8 @@
-//! Wire compatibility: the encoded frames of sample messages, kept as files that an earlier build wrote. Builds run
-//! beside each other, so a frame has to be read, and written again, exactly as it stands in its file.
+//! Wire compatibility tests: compare encoded sample messages with fixture files written by an earlier build. Different
+//! builds run at the same time, so each frame has to decode, and encode again, to exactly the bytes of its fixture.
 //!
-//! `SHOREFRONT_WRITE_FIXTURES=1 cargo test -p protocol --test golden` writes the files anew. Without the variable a
-//! missing file is a failure.
+//! `SHOREFRONT_WRITE_FIXTURES=1 cargo test -p protocol --test golden` rewrites the fixtures. Without the variable, a
+//! missing fixture fails the test.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
@@ -23,7 +23,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Set to `1`, it has the files written instead of compared.
+/// Environment variable that, if set to `1`, makes the tests write the fixtures before they compare them.
 const WRITE_FIXTURES_ENV_VAR: &str = "SHOREFRONT_WRITE_FIXTURES";
 
 fn fixture_path(name: &str) -> PathBuf {
@@ -32,7 +32,7 @@
         .join(format!("{name}.frame"))
 }
 
-/// Compares a message with the frame in its file: decoded, and encoded again.
+/// Compares a message with the frame in its fixture: encoded, decoded, and encoded again.
 fn assert_golden<T>(name: &str, sample: &T)
 where
     T: Debug + PartialEq + Serialize + DeserializeOwned,
@@ -218,12 +218,17 @@
     }
 }
 
-/// A zone's list in which, after its first version, one upstream drains, one is new and in slow start, and one was removed;
-/// and that first version.
+/// Returns a zone's list and its first version. Since that version, one upstream started to drain, one was added in
+/// slow start, and one was removed.
 fn sample_zone() -> (UpstreamList, u64) {
-    let (unix_ms, author) = (1_700_000_000_000, 5);
+    let (unix_ms, writer_id) = (1_700_000_000_000, 5);
     let mut zone = UpstreamList::default();
-    assert!(zone.set_platform_list((1..=4).map(sample_upstream).collect(), 0, unix_ms, author));
+    assert!(zone.set_platform_list(
+        (1..=4).map(sample_upstream).collect(),
+        0,
+        unix_ms,
+        writer_id
+    ));
     let first = zone.version();
     let draining = Upstream {
         draining: true,
@@ -236,7 +241,7 @@
         ..sample_upstream(9)
     };
     let next = vec![sample_upstream(1), draining, sample_upstream(4), warming];
-    assert!(zone.set_platform_list(next, 10, unix_ms + 10, author));
+    assert!(zone.set_platform_list(next, 10, unix_ms + 10, writer_id));
     (zone, first)
 }
 
@@ -311,7 +316,7 @@
     }
 }
 
-/// Ranges with each kind of owner, one of which was split.
+/// Returns ranges with each kind of ownership, one of which was split.
 fn sample_key_range_map() -> KeyRangeMap {
     let mut ranges = KeyRangeMap::default();
     for (number, ownership) in (0u16..).zip(sample_ownerships()) {
@@ -367,7 +372,8 @@
     ]
 }
 
-// The names of the fixtures. A new variant does not compile without one; its sample goes to those above.
+// Fixture names. The matches are exhaustive, so that a new variant does not compile without a fixture name. Its sample
+// is to be added above.
 
 fn handshake_fixture(handshake: &Handshake) -> &'static str {
     match handshake {
@@ -400,7 +406,7 @@
     }
 }
 
-/// `None` for messages of the log: the `raft` crate defines them.
+/// Returns `None` for [`PeerMessage::Raft`], whose messages the `raft` crate defines.
 fn peer_message_fixture(message: &PeerMessage) -> Option<&'static str> {
     match message {
         PeerMessage::Raft(_) => None,
@@ -420,7 +426,7 @@
 fn protocol_version_and_frame_limit() {
     assert_eq!(PROTOCOL_VERSION, 5);
     assert_eq!(MAX_FRAME_BYTES, 16 * 1024 * 1024);
-    // CBOR takes five bytes for the kind and length of so long a string.
+    // CBOR uses five bytes for the type and length of a string of this size.
     let longest = "x".repeat(MAX_FRAME_BYTES - 5);
     assert_eq!(
         encode_frame(&longest).expect("a frame").len(),
