--- a/crates/standalone-proxy/src/api/mod.rs
+++ b/crates/standalone-proxy/src/api/mod.rs
@@ -1,7 +1,7 @@
-//! The interface to clients: classes, tenants and deadlines by header, under `/api`.
+//! The HTTP interface for clients under `/api`. Headers specify the class, the tenant and the deadline of a request.
 //!
-//! A request is checked, read to its end, and handed to the engine; its client gets the engine's one reply. Whoever
-//! disconnects drops the future that waits here, which tells the engine.
+//! A request is validated, read completely, and submitted to the engine, whose reply becomes the response. If the
+//! client disconnects, the future of its request is dropped, which notifies the engine.
 
 mod open_ids;
 mod validation;
@@ -31,25 +31,25 @@
 use open_ids::OpenIds;
 use validation::{cookie, header_text, validate_head};
 
-/// The largest body that a client may send.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// A body must be complete this long after its head: clients here send both at once.
+/// Timeout for receiving a body after its head. Short because clients of this proxy send both at once.
 const BODY_TIMEOUT: Duration = Duration::from_millis(750);
-/// Bodies that are read or held may take one part in so many of the memory together.
-const MEMORY_PER_BODIES: usize = 8;
-/// What an upstream says to the balancer only.
+/// Request bodies that are being received or held may together use the process's memory limit divided by this.
+const BODY_MEMORY_DIVISOR: usize = 8;
+/// Response headers from upstreams to the balancer, which are not forwarded to clients.
 const INTERNAL_HEADERS: [HeaderName; 2] = [
     HeaderName::from_static("x-load"),
     HeaderName::from_static("x-not-run"),
 ];
 
-/// Answers clients' requests.
+/// Handler of client requests.
 pub(crate) struct Api {
     engine: EngineHandle,
     site: SiteSettings,
-    /// By class.
+    /// Effect of each class, by class index.
     effects: Vec<Effect>,
-    /// By class.
+    /// Deadline of each class, by class index.
     deadlines: Vec<Duration>,
     open_ids: OpenIds,
     bodies: BodyBudget,
@@ -65,21 +65,25 @@
             effects: settings.classes.iter().map(|c| c.effect).collect(),
             deadlines: settings.classes.iter().map(deadline).collect(),
             open_ids: OpenIds::default(),
-            bodies: BodyBudget::new(config.max_memory_bytes / MEMORY_PER_BODIES),
+            bodies: BodyBudget::new(config.max_memory_bytes / BODY_MEMORY_DIVISOR),
         }
     }
 
-    /// The longest that any client waits.
+    /// Returns the longest deadline of all classes, which bounds the time that any client waits.
     pub(crate) fn longest_deadline(&self) -> Duration {
         self.deadlines.iter().max().copied().unwrap_or_default()
     }
 
-    async fn answer_api(&self, request: Request<Incoming>, arrived: Instant) -> ClientResponse {
+    async fn handle_api_request(
+        &self,
+        request: Request<Incoming>,
+        arrived: Instant,
+    ) -> ClientResponse {
         let (head, body) = request.into_parts();
-        if let Err(what) = validate_head(&head) {
-            return bad_request(what);
+        if let Err(reason) = validate_head(&head) {
+            return bad_request(reason);
         }
-        // With no transfer coding the length is known ahead.
+        // The length is known in advance because requests with a transfer coding are rejected.
         let length = body.size_hint().exact().unwrap_or(u64::MAX);
         if length > MAX_BODY_BYTES as u64 {
             return empty_response(StatusCode::PAYLOAD_TOO_LARGE);
@@ -92,18 +96,18 @@
             Ok(Err(_)) => return bad_request("body"),
             Err(_) => return empty_response(StatusCode::REQUEST_TIMEOUT),
         };
-        // Two requests of one id could not be told apart at an upstream.
+        // An upstream could not distinguish two concurrent requests with the same id.
         let id = head.headers.get("x-request-id");
         let Some(_open_id) = id.and_then(|id| self.open_ids.open(id)) else {
             return empty_response(StatusCode::CONFLICT);
         };
         match self.incoming_request(&head, &body, arrived) {
             Ok(incoming) => self.submit(incoming, head, body).await,
-            Err(what) => bad_request(what),
+            Err(reason) => bad_request(reason),
         }
     }
 
-    /// Hands a request to the engine and waits for its reply.
+    /// Submits a request to the engine and waits for its reply.
     async fn submit(&self, incoming: IncomingRequest, head: Parts, body: Bytes) -> ClientResponse {
         let forward = ForwardedRequest {
             method: head.method,
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Reads what the balancer needs to know; the error names what is wrong.
+    /// Extracts the request properties that the engine needs. The error names the invalid part.
     fn incoming_request(
         &self,
         head: &Parts,
@@ -129,10 +133,10 @@
         arrived: Instant,
     ) -> Result<IncomingRequest, &'static str> {
         let class = self.class_of(head)?;
-        if !self.fits_effect(class, head, body) {
+        if !self.matches_effect(class, head, body) {
             return Err("method");
         }
-        // No client waits longer than its class's deadline, whatever it says.
+        // The deadline of the class is an upper bound for the client's.
         let deadline = deadline_of(head)?.min(self.deadlines[class]);
         let tenant = self.tenant_of(head)?;
         let work_us = header_text(head, "x-cost-hint").and_then(|v| v.trim().parse::<f64>().ok());
@@ -164,8 +168,8 @@
         tenant.ok_or("X-Tenant")
     }
 
-    /// Whether method, body and idempotency key are those of the class's effect.
-    fn fits_effect(&self, class: usize, head: &Parts, body: &Bytes) -> bool {
+    /// Returns whether the method, body and idempotency key are valid for the effect of the class.
+    fn matches_effect(&self, class: usize, head: &Parts, body: &Bytes) -> bool {
         let key = head.headers.get("idempotency-key");
         match self.effects[class] {
             Effect::Safe => head.method == Method::GET && body.is_empty(),
@@ -175,7 +179,7 @@
     }
 }
 
-/// How long the client waits, as it says.
+/// Returns the time that the client is willing to wait, from its `X-Deadline-Ms` header.
 fn deadline_of(head: &Parts) -> Result<Duration, &'static str> {
     header_text(head, "x-deadline-ms")
         .filter(|text| text.bytes().all(|b| b.is_ascii_digit()))
@@ -201,11 +205,11 @@
                 StatusCode::SERVICE_UNAVAILABLE
             })
         } else if path == "/api" || path.starts_with("/api/") {
-            self.answer_api(request, arrived).await
+            self.handle_api_request(request, arrived).await
         } else {
             empty_response(StatusCode::NOT_FOUND)
         };
-        // What follows on the connection of a client whose request makes no sense makes none either.
+        // Data that follows an invalid request cannot be interpreted reliably, so the connection is closed.
         if response.status().is_client_error() {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
--- a/crates/standalone-proxy/src/api/open_ids.rs
+++ b/crates/standalone-proxy/src/api/open_ids.rs
@@ -1,24 +1,24 @@
-//! The ids of open requests.
+//! Ids of the requests in progress.
 
 use std::cell::RefCell;
 
 use hyper::header::HeaderValue;
 use rustc_hash::FxHashSet;
 
-/// Which ids are in use.
+/// Set of the request ids in use.
 #[derive(Default)]
 pub(super) struct OpenIds {
     ids: RefCell<FxHashSet<HeaderValue>>,
 }
 
-/// The id of a request that is open, in use for as long as this lives.
+/// Guard for a request id, which is in use until the guard is dropped.
 pub(super) struct OpenId<'a> {
     ids: &'a OpenIds,
     id: HeaderValue,
 }
 
 impl OpenIds {
-    /// Takes an id into use; `None` where it already is.
+    /// Registers an id; returns `None` if it is already in use.
     pub(super) fn open(&self, id: &HeaderValue) -> Option<OpenId<'_>> {
         let is_new = self.ids.borrow_mut().insert(id.clone());
         is_new.then(|| OpenId {
--- a/crates/standalone-proxy/src/api/validation.rs
+++ b/crates/standalone-proxy/src/api/validation.rs
@@ -1,11 +1,11 @@
-//! Checks of a request's head, and readers of its headers.
+//! Validation of request heads, and access to header values.
 
 use hyper::header::{COOKIE, HOST, HeaderMap, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 
-/// An identifier of a request may be this long.
+/// Maximum length of a request id.
 const MAX_REQUEST_ID_BYTES: usize = 128;
-/// Headers that mean nothing when they come twice.
+/// Headers that may occur only once, because repeated values would be ambiguous.
 const SINGLE_HEADERS: [&str; 7] = [
     "host",
     "x-request-id",
@@ -16,9 +16,11 @@
     "content-length",
 ];
 
-/// Whether the request is framed and named such that nobody behind can read it in another way; the error names what is
-/// wrong. hyper drops a `Content-Length` beside a `Transfer-Encoding`, so an upstream could find a second request in
-/// the body; clients here need no transfer codings.
+/// Rejects requests whose framing or identity an upstream could interpret differently (request smuggling). The error
+/// names the invalid part.
+///
+/// Transfer codings are rejected altogether: hyper drops a `Content-Length` next to a `Transfer-Encoding`, so an
+/// upstream could find a second request in the body. Clients of this proxy do not need them.
 pub(super) fn validate_head(head: &Parts) -> Result<(), &'static str> {
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Err("Transfer-Encoding");
@@ -43,12 +45,12 @@
     }
 }
 
-/// The value of a header, if it is text.
+/// Returns the value of a header if it is valid text.
 pub(super) fn header_text<'a>(head: &'a Parts, name: &str) -> Option<&'a str> {
     head.headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// The value of the first cookie of this name.
+/// Returns the value of the first cookie with this name.
 pub(super) fn cookie<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let lines = headers.get_all(COOKIE).iter();
     lines
--- a/crates/standalone-proxy/src/config/limits.rs
+++ b/crates/standalone-proxy/src/config/limits.rs
@@ -1,4 +1,4 @@
-//! The limits that follow from the configuration: of connections, memory and time.
+//! Connection, memory and time limits derived from the configuration.
 
 use std::time::Duration;
 
@@ -11,37 +11,41 @@
 
 use super::Config;
 
-/// Descriptors that are neither a client's nor an upstream's: standard streams, the event queue, the listener, the
-/// discovery watch, signals.
+/// Descriptors reserved for uses other than client and upstream connections: standard streams, the event queue, the
+/// listener, the discovery watch and signals.
 const RESERVED_SOCKETS: usize = 24;
-/// With fewer descriptors there is nothing to serve with.
+/// Minimum number of descriptors; fewer leave too few connections to serve requests.
 pub(super) const MIN_SOCKETS: usize = 4 * RESERVED_SOCKETS;
-/// How long connections are still accepted after SIGTERM: whoever sends clients here needs a moment to hear of it.
+/// Time for which connections are still accepted after SIGTERM. Whoever directs clients to this process needs a moment
+/// to notice the shutdown.
 const ACCEPT_GRACE: Duration = Duration::from_millis(500);
-/// A head must be complete this long after its connection came up, or after its first byte on a kept one. With a
-/// body's own limit it stays under the 3 s within which whoever sends an incomplete request is owed an answer.
+/// Timeout for a request head, from the start of the connection or, on a kept-alive connection, from the first byte of
+/// the head. Together with the body timeout it is below the 3 s within which an incomplete request has to be answered.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// A kept connection is closed once it has idled for so long.
+/// Time after which an idle kept-alive connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A client's head may be this large.
+/// Maximum size of a request head.
 const MAX_HEADER_BYTES: usize = 16 << 10;
-/// Answers that are read, or not yet written to their clients, may take one part in so many of the memory together.
-const MEMORY_PER_ANSWERS: usize = 4;
-/// Where the site states no limit.
+/// Responses that are being received, or not yet written to their clients, may together use the process's memory limit
+/// divided by this.
+const RESPONSE_MEMORY_DIVISOR: usize = 4;
+/// Keepalive of upstream connections if the site configures none.
 const DEFAULT_KEEPALIVE_MS: f64 = 5000.0;
+/// Connect timeout for upstreams if the site configures none.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
-/// No stated time of this or more is taken for one.
-const MAX_STATED_MS: f64 = 1e7;
+/// Configured times of this length or more are ignored.
+const MAX_CONFIGURED_MS: f64 = 1e7;
 
 impl Config {
-    /// Half the descriptors for each side. Every attempt belongs to a client's request, so while clients keep to
-    /// their half, upstreams can never need more than theirs.
+    /// Returns the maximum number of connections to clients, and likewise to upstreams: half of the available
+    /// descriptors each. Every attempt belongs to a client's request, so as long as clients are limited to their half,
+    /// upstreams never need more than theirs.
     fn sockets_per_side(&self) -> usize {
         (self.max_sockets - RESERVED_SOCKETS) / 2
     }
 
-    /// What the listener keeps to. Idle clients give way once a quarter of the descriptors is in use. What is accepted
-    /// last before the end has its whole deadline, `longest_deadline` at most.
+    /// Returns the limits of the listener. Idle connections are closed once clients use more than a quarter of the
+    /// descriptors. Draining takes up to `longest_deadline`, so that the last accepted request has its full deadline.
     pub(crate) fn listener_limits(&self, longest_deadline: Duration) -> ListenerLimits {
         ListenerLimits {
             max_connections: self.sockets_per_side(),
@@ -53,20 +57,23 @@
             },
             accept_grace: ACCEPT_GRACE,
             drain_timeout: longest_deadline,
-            // A request that began later would not have its whole deadline.
+            // A request that started later would not have its full deadline.
             final_request_wait: Duration::ZERO,
         }
     }
 
-    /// What connections to upstreams keep to, and the protocol that upstreams speak.
+    /// Returns the limits of upstream connections and the upstream protocol.
     pub(crate) fn pool_config(&self) -> PoolConfig {
         let limits = &self.site.policy_limits;
         let report_names = self.site.stats.names.iter();
         PoolConfig {
             max_connections: self.sockets_per_side(),
-            keepalive: stated_or(limits.keepalive, DEFAULT_KEEPALIVE_MS),
-            connect_timeout: stated_or(limits.connect_timeout, DEFAULT_CONNECT_TIMEOUT_MS),
-            max_response_bytes: self.max_memory_bytes / MEMORY_PER_ANSWERS,
+            keepalive: duration_or_default(limits.keepalive, DEFAULT_KEEPALIVE_MS),
+            connect_timeout: duration_or_default(
+                limits.connect_timeout,
+                DEFAULT_CONNECT_TIMEOUT_MS,
+            ),
+            max_response_bytes: self.max_memory_bytes / RESPONSE_MEMORY_DIVISOR,
             protocol: UpstreamProtocol {
                 deadline_header: HeaderName::from_static("x-deadline-ms"),
                 target_header: None,
@@ -86,10 +93,10 @@
     }
 }
 
-/// A time that the site states in milliseconds, or the default where it states none.
-fn stated_or(stated_ms: f64, default_ms: f64) -> Duration {
-    let ms = if stated_ms > 0.0 && stated_ms < MAX_STATED_MS {
-        stated_ms
+/// Returns the configured time, or the default if none is configured.
+fn duration_or_default(configured_ms: f64, default_ms: f64) -> Duration {
+    let ms = if configured_ms > 0.0 && configured_ms < MAX_CONFIGURED_MS {
+        configured_ms
     } else {
         default_ms
     };
--- a/crates/standalone-proxy/src/config/mod.rs
+++ b/crates/standalone-proxy/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a balancer: four environment variables and a JSON file.
+//! Configuration of the process: four environment variables and a JSON file, both provided by the platform.
 
 mod limits;
 
@@ -9,39 +9,40 @@
 
 use crate::discovery::UpstreamList;
 
-/// Where the platform states no limit.
+/// Descriptor limit if the platform specifies none.
 const DEFAULT_SOCKETS: usize = 1024;
+/// Memory limit in MiB if the platform specifies none.
 const DEFAULT_MEMORY_MB: usize = 192;
 
-/// Why the configuration can't be used.
+/// Error in the configuration.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConfigError {
-    /// Nothing says where the file is.
+    /// The environment does not specify the configuration file.
     #[error("LB_CONFIG is not set")]
-    NoFile,
-    /// The file can't be read.
+    VariableNotSet,
+    /// The file cannot be read.
     #[error("{path}: {cause}")]
     Unreadable {
         path: String,
         #[source]
         cause: std::io::Error,
     },
-    /// The file is not of the form that is expected.
+    /// The file is not valid JSON, or a field is missing or has the wrong type.
     #[error("{path}: field `{field}`: {cause}")]
     Malformed {
         path: String,
         field: String,
         cause: String,
     },
-    /// A variable or field holds no address.
-    #[error("{name} is not an address: {value:?}")]
+    /// A variable or field is not a valid socket address.
+    #[error("{name} is not a socket address: {value:?}")]
     BadAddress { name: &'static str, value: String },
-    /// So few descriptors leave none for clients and upstreams.
-    #[error("the limit of {0} sockets leaves no room to serve")]
+    /// The descriptor limit is too low for client and upstream connections.
+    #[error("a limit of {0} sockets is too low to serve requests")]
     TooFewSockets(usize),
 }
 
-/// The file; what it holds beyond this is for others.
+/// Contents of the configuration file. Other fields are ignored.
 #[derive(Deserialize)]
 struct ConfigFile {
     #[serde(default)]
@@ -66,9 +67,9 @@
 }
 
 impl ConfigFile {
-    /// Reads the file that the environment names.
+    /// Reads the file that `LB_CONFIG` specifies.
     fn read() -> Result<Self, ConfigError> {
-        let path = std::env::var("LB_CONFIG").map_err(|_| ConfigError::NoFile)?;
+        let path = std::env::var("LB_CONFIG").map_err(|_| ConfigError::VariableNotSet)?;
         let text = match std::fs::read(&path) {
             Ok(text) => text,
             Err(cause) => return Err(ConfigError::Unreadable { path, cause }),
@@ -84,30 +85,31 @@
 
 /// The configuration of this process.
 pub(crate) struct Config {
-    /// Names this process in its log.
+    /// Name of this process, for its log.
     pub(crate) name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub(crate) listen: SocketAddr,
-    /// Where the list of upstreams comes from.
+    /// Address of the discovery service.
     pub(crate) discovery: SocketAddr,
-    /// Seed of the balancer's random numbers.
+    /// Seed of the random number generator.
     pub(crate) seed: u64,
-    /// Descriptors that the process may have.
+    /// Maximum number of open descriptors.
     pub(crate) max_sockets: usize,
-    /// Memory that the process may have, in bytes.
+    /// Memory limit in bytes.
     pub(crate) max_memory_bytes: usize,
-    /// The list of upstreams as it was last known.
-    pub(crate) known: UpstreamList,
-    /// The settings of the site.
+    /// Last known list of upstreams, used until discovery responds.
+    pub(crate) last_known_upstreams: UpstreamList,
+    /// Load balancing settings of the site.
     pub(crate) site: SiteSettings,
 }
 
 impl Config {
-    /// Reads what is stated now. The file may be replaced while the program runs and the environment can't be: where
-    /// both name discovery, the file holds.
+    /// Reads the current configuration. If both the file and the environment specify discovery, the file takes
+    /// precedence, because only the file can be changed while the process runs.
     ///
     /// # Errors
-    /// Where the file can't be read or is malformed, an address is none, or the limits leave nothing to serve with.
+    /// Returns an error if the file cannot be read or is malformed, an address is invalid, or the descriptor limit is
+    /// too low.
     pub(crate) fn read() -> Result<Self, ConfigError> {
         let file = ConfigFile::read()?;
         let from_environment = |name: &str, file: String| std::env::var(name).unwrap_or(file);
@@ -127,7 +129,7 @@
             seed: key_hash(&file.seed.unwrap_or_default()),
             max_sockets,
             max_memory_bytes: file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) << 20,
-            known: file.known,
+            last_known_upstreams: file.known,
             site: file.settings,
         })
     }
--- a/crates/standalone-proxy/src/discovery/list.rs
+++ b/crates/standalone-proxy/src/discovery/list.rs
@@ -1,4 +1,4 @@
-//! The form of a list of upstreams, and what the engine is told of it.
+//! Discovery's list of upstreams, and its conversion for the engine.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -6,84 +6,86 @@
 use load_balancing::interface::Status;
 use serde::Deserialize;
 
-/// A start that lies further ahead is no time of this upstream's clock.
+/// Start times further in the future than this are ignored as invalid.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(86_400);
-/// The largest time that is read, in milliseconds since 1970.
+/// Maximum timestamp in milliseconds since the Unix epoch; larger ones are reduced to it.
 const MAX_UNIX_MS: f64 = 1e15;
 
-/// One message of discovery: the complete list, or the entries that changed.
+/// A message from discovery: the complete list, or the changed entries.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(crate) struct UpstreamList {
-    /// Rises with each change of the list.
+    /// Revision of the list, incremented by each change.
     #[serde(default)]
     pub(crate) revision: u64,
-    /// Upstreams that are not in it are gone.
+    /// Whether this is the complete list, so that upstreams that are not in it have been removed.
     #[serde(default)]
     pub(crate) complete: bool,
-    #[serde(default, deserialize_with = "deserialize_readable")]
+    #[serde(default, deserialize_with = "deserialize_valid_entries")]
     pub(crate) members: Vec<UpstreamEntry>,
 }
 
-/// Reads the entries that can be read: one that can't must not cost the update of all others.
-fn deserialize_readable<'de, D: serde::Deserializer<'de>>(
+/// Deserializes the valid entries and skips the others, so that an invalid entry does not prevent updates of the rest.
+fn deserialize_valid_entries<'de, D: serde::Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Vec<UpstreamEntry>, D::Error> {
     let entries = Vec::<serde_json::Value>::deserialize(deserializer)?;
-    let read = |entry| {
+    let parse = |entry| {
         serde_json::from_value(entry)
             .inspect_err(|error| {
-                tracing::warn!(%error, "upstream entry of the list can't be read, skipping it");
+                tracing::warn!(%error, "skipping an invalid upstream entry");
             })
             .ok()
     };
-    Ok(entries.into_iter().filter_map(read).collect())
+    Ok(entries.into_iter().filter_map(parse).collect())
 }
 
-/// An upstream as discovery states it.
+/// An upstream as listed by discovery.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct UpstreamEntry {
-    /// Who it is.
+    /// Unique id.
     id: String,
-    /// May differ between balancers and change over time. What is deleted may have none.
+    /// Address, which may differ between balancers and change over time. Deleted entries may have none.
     #[serde(default, rename = "host_port")]
     address: String,
     #[serde(default, rename = "locality")]
     zone: String,
     #[serde(default, rename = "flavor")]
-    kind: String,
+    machine_type: String,
     #[serde(default)]
     cell: u32,
     phase: Phase,
-    #[serde(default = "one", rename = "size")]
+    #[serde(default = "default_weight", rename = "size")]
     weight: f64,
-    /// When it last started, in milliseconds since 1970; 0 where nobody tells.
+    /// Time of its last start in milliseconds since the Unix epoch; 0 if unknown.
     #[serde(default, rename = "up_since_ms")]
     started_unix_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
+/// Life cycle phase of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 enum Phase {
     Serving,
     Draining,
     Deleted,
-    /// One that this build does not know: nothing says that it takes requests.
+    /// A phase that this build does not know. Such an upstream is not assumed to accept requests.
     #[serde(other)]
     Unknown,
 }
 
-/// What zones and kinds are called; a name that the settings don't have is none of those that they do.
-pub(crate) struct Names {
+/// Names of the configured zones and machine types, which map to their indices. All other names map to the index after
+/// the last.
+pub(crate) struct SiteNames {
     pub(crate) zones: Vec<String>,
-    pub(crate) kinds: Vec<String>,
+    pub(crate) machine_types: Vec<String>,
 }
 
-impl Names {
-    /// A list as the engine is told of it.
+impl SiteNames {
+    /// Converts a list for the engine.
     pub(crate) fn listed_upstreams(&self, list: &UpstreamList) -> Vec<ListedUpstream> {
         list.members
             .iter()
@@ -96,7 +98,7 @@
             id: entry.id.clone(),
             address: entry.address.parse().ok(),
             zone: index_of(&self.zones, &entry.zone),
-            kind: index_of(&self.kinds, &entry.kind),
+            kind: index_of(&self.machine_types, &entry.machine_type),
             cell: entry.cell,
             status: match entry.phase {
                 Phase::Serving => Status::Live,
@@ -111,12 +113,13 @@
 }
 
 impl UpstreamEntry {
+    /// Returns the start time, or `None` if it is unknown or invalid.
     fn started(&self) -> Option<SystemTime> {
         if self.started_unix_ms <= 0.0 || self.started_unix_ms.is_nan() {
             return None;
         }
-        let since = Duration::from_secs_f64(self.started_unix_ms.min(MAX_UNIX_MS) / 1000.0);
-        Some(UNIX_EPOCH + since).filter(|at| *at < SystemTime::now() + MAX_CLOCK_SKEW)
+        let since_epoch = Duration::from_secs_f64(self.started_unix_ms.min(MAX_UNIX_MS) / 1000.0);
+        Some(UNIX_EPOCH + since_epoch).filter(|at| *at < SystemTime::now() + MAX_CLOCK_SKEW)
     }
 }
 
--- a/crates/standalone-proxy/src/discovery/mod.rs
+++ b/crates/standalone-proxy/src/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! Discovery: the list of upstreams and the watch on its changes.
+//! Client of the discovery service, which provides the list of upstreams and a watch for changes.
 
 mod list;
 mod watch;
 
-pub(crate) use list::{Names, UpstreamList};
+pub(crate) use list::{SiteNames, UpstreamList};
 pub(crate) use watch::DiscoveryWatch;
--- a/crates/standalone-proxy/src/discovery/watch.rs
+++ b/crates/standalone-proxy/src/discovery/watch.rs
@@ -1,8 +1,8 @@
-//! The watch on discovery, which tells the engine of each change of the list.
+//! Watches discovery for changes of the list of upstreams, and reports them to the engine.
 //!
-//! State: the revision that was reached, and one connection at a time. A connection that ends, or says nothing for
-//! [`IDLE_TIMEOUT`], is replaced; until then the engine keeps the last list. When discovery moves to another address,
-//! its list is asked for from the beginning.
+//! The state is the last received revision and one connection at a time. A connection that ends, or is silent for
+//! [`IDLE_TIMEOUT`], is replaced; until then the engine keeps the last list. When the address of discovery changes, the
+//! complete list is requested again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,67 +22,70 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use super::list::{Names, UpstreamList};
+use super::list::{SiteNames, UpstreamList};
 use crate::SERVICE;
 
-/// A watch says something every 2 s; without a message for this long it is dead, though nothing told so (a machine
-/// that is cut off sends no reset). A change counts as told after 6 s, heard or not: the next call must fit in before
-/// that.
+/// Silence after which a watch counts as broken. Discovery sends a heartbeat every 2 s, and a host that is cut off from
+/// the network sends no reset. A balancer is assumed to know a change after 6 s, received or not, so the next request
+/// has to fit into the remaining time.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(3500);
-/// A call that waits for its answer longer than this has failed.
+/// Timeout for connecting, and for the response head.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Wait before a list that comes unrequested is watched again; the agent is on this machine and answers at no cost.
+/// Delay before a watch that is not on demand is reopened. Short because the discovery agent runs on the same machine,
+/// where requests cost little.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(500);
-/// No line of a list is longer than this; more is not discovery.
+/// Maximum length of a line, which holds one list. A longer line is not from a valid discovery service.
 const MAX_LINE_BYTES: usize = 4 << 20;
 
-/// Why a watch is over.
+/// Reason for the end of a watch.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("connect: {0}")]
     Connect(#[from] std::io::Error),
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("answered {0}")]
+    #[error("unexpected status {0}")]
     Status(hyper::StatusCode),
-    #[error("silent for too long")]
-    Idle(#[from] tokio::time::error::Elapsed),
-    #[error("a line that is no list: {0}")]
+    #[error("timed out")]
+    TimedOut(#[from] tokio::time::error::Elapsed),
+    #[error("invalid list: {0}")]
     Malformed(#[from] serde_json::Error),
-    #[error("a line without end")]
-    Endless,
-    #[error("ended")]
+    #[error("line exceeds {MAX_LINE_BYTES} bytes")]
+    LineTooLong,
+    #[error("closed by discovery")]
     Ended,
-    #[error("request: {0}")]
+    #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
 }
 
-/// What a connection tells. The number tells it from those before it.
+/// A message from the task of a connection. The connection number identifies messages of earlier connections.
 enum WatchMessage {
     Updated { connection: u64, list: UpstreamList },
     Ended { connection: u64 },
 }
 
-/// What one connection needs to know.
+/// Parameters of one connection.
 #[derive(Clone, Copy)]
-struct WatchCall {
+struct WatchParams {
     connection: u64,
     address: SocketAddr,
     revision: u64,
-    /// Whether silence means that the connection is dead.
+    /// Whether discovery sends heartbeats, so that silence means that the connection is broken.
     has_heartbeats: bool,
 }
 
-/// Watches discovery and tells the engine. Where lists come only on request, the balancer says when to ask again; an
-/// agent on this machine, who answers at no cost, is watched again a moment later.
+/// Watches discovery and reports changes to the engine.
+///
+/// A watch on demand is opened only when the load balancer requests it. Otherwise the watch is served by an agent on
+/// this machine, and is reopened after [`RECONNECT_BACKOFF`].
 pub(crate) struct DiscoveryWatch<T> {
     address: SocketAddr,
     revision: u64,
-    /// Number of the latest connection.
+    /// Number of the current connection.
     connection: u64,
-    /// The balancer requests each watch, and each sends heartbeats.
-    is_requested: bool,
-    names: Names,
+    /// Whether each watch is requested by the load balancer. Such watches send heartbeats.
+    is_on_demand: bool,
+    names: SiteNames,
     send_event: T,
     sender: mpsc::UnboundedSender<WatchMessage>,
     messages: mpsc::UnboundedReceiver<WatchMessage>,
@@ -90,12 +93,13 @@
 }
 
 impl<T: Fn(EngineEvent)> DiscoveryWatch<T> {
-    /// A watch that goes on from `revision`. It begins when it is run, or, if `is_requested`, at the first request.
+    /// Creates a watch that continues from `revision`. It connects when it is run or, if `is_on_demand`, on the first
+    /// request.
     pub(crate) fn new(
         address: SocketAddr,
         revision: u64,
-        is_requested: bool,
-        names: Names,
+        is_on_demand: bool,
+        names: SiteNames,
         send_event: T,
     ) -> Self {
         let (sender, messages) = mpsc::unbounded_channel();
@@ -103,7 +107,7 @@
             address,
             revision,
             connection: 0,
-            is_requested,
+            is_on_demand,
             names,
             send_event,
             sender,
@@ -112,19 +116,19 @@
         }
     }
 
-    /// Runs for good: `requests` ask for a watch, `moves` tell of another address.
+    /// Runs until the process ends. `requests` open a watch, and `address_changes` set the address of discovery.
     pub(crate) async fn run(
         mut self,
         mut requests: mpsc::UnboundedReceiver<()>,
-        mut moves: mpsc::UnboundedReceiver<SocketAddr>,
+        mut address_changes: mpsc::UnboundedReceiver<SocketAddr>,
     ) {
-        if !self.is_requested {
+        if !self.is_on_demand {
             self.connect();
         }
         loop {
             tokio::select! {
                 Some(()) = requests.recv() => self.connect(),
-                Some(address) = moves.recv() => self.on_moved(address),
+                Some(address) = address_changes.recv() => self.on_address_changed(address),
                 Some(message) = self.messages.recv() => self.on_message(message).await,
                 else => return,
             }
@@ -139,21 +143,21 @@
             WatchMessage::Ended { connection } if connection == self.connection => {
                 self.on_ended().await;
             }
-            // Of an earlier connection.
+            // Message of an earlier connection.
             WatchMessage::Updated { .. } | WatchMessage::Ended { .. } => {}
         }
     }
 
-    /// Follows discovery to another address; upstreams, connections and all that was learned stay.
-    fn on_moved(&mut self, address: SocketAddr) {
+    /// Switches to another address of discovery. Upstreams, their connections and the engine's state are kept.
+    fn on_address_changed(&mut self, address: SocketAddr) {
         if self.address == address {
-            tracing::info!("discovery address unchanged by the configuration");
+            tracing::info!("configuration reloaded, discovery address unchanged");
             return;
         }
-        tracing::info!(%address, "discovery moved to another address");
+        tracing::info!(%address, "discovery address changed");
         self.address = address;
-        // Another agent counts in its own way: asked for what follows our revision, it could keep silent about all
-        // that it has. From 0 on it tells everything.
+        // Revisions of different agents are unrelated. A request based on the current revision could return nothing,
+        // while a request from 0 returns the complete list.
         self.revision = 0;
         self.connect();
     }
@@ -174,7 +178,7 @@
 
     async fn on_ended(&mut self) {
         self.task = None;
-        if self.is_requested {
+        if self.is_on_demand {
             (self.send_event)(EngineEvent::MembershipChanged {
                 service: SERVICE,
                 kind: MembershipKind::Unavailable,
@@ -186,68 +190,68 @@
         }
     }
 
-    /// Opens a connection in place of the one before.
+    /// Opens a connection, which replaces the current one.
     fn connect(&mut self) {
         self.connection += 1;
-        let call = WatchCall {
+        let params = WatchParams {
             connection: self.connection,
             address: self.address,
             revision: self.revision,
-            has_heartbeats: self.is_requested,
+            has_heartbeats: self.is_on_demand,
         };
         let sender = self.sender.clone();
         self.task = Some(AbortOnDrop(spawn_local(async move {
-            if let Err(error) = watch(call, &sender).await {
-                let revision = call.revision;
+            if let Err(error) = watch(params, &sender).await {
+                let revision = params.revision;
                 tracing::info!(%error, revision, "discovery watch ended");
             }
-            // Nobody listens any more only where the process ends.
+            // The receiver is gone only while the process exits.
             let _ = sender.send(WatchMessage::Ended {
-                connection: call.connection,
+                connection: params.connection,
             });
         })));
     }
 }
 
-/// Passes on what one connection tells, until it ends.
+/// Forwards the lists from one connection until it ends.
 async fn watch(
-    call: WatchCall,
+    params: WatchParams,
     messages: &mpsc::UnboundedSender<WatchMessage>,
 ) -> Result<(), WatchError> {
-    let (mut sender, _connection) = connect(call.address).await?;
-    let mut body = request_list(&mut sender, call).await?;
+    let (mut sender, _connection) = connect(params.address).await?;
+    let mut body = request_list(&mut sender, params).await?;
     let mut lines = BytesMut::new();
     loop {
-        let frame = if call.has_heartbeats {
+        let frame = if params.has_heartbeats {
             timeout(IDLE_TIMEOUT, body.frame()).await?
         } else {
-            body.frame().await // An agent is silent while discovery is down.
+            body.frame().await // An agent sends nothing while discovery is down.
         };
         let frame = frame.ok_or(WatchError::Ended)??;
         let Ok(data) = frame.into_data() else {
             continue;
         };
         lines.extend_from_slice(&data);
-        // A line may come in pieces, and several may come at once.
+        // A body frame may contain a part of a line or several lines.
         while let Some(end) = lines.iter().position(|byte| *byte == b'\n') {
             let line = lines.split_to(end + 1);
             if line.trim_ascii().is_empty() {
                 continue; // A heartbeat.
             }
             let list = serde_json::from_slice(&line)?;
-            // As above.
+            // The receiver is gone only while the process exits.
             let _ = messages.send(WatchMessage::Updated {
-                connection: call.connection,
+                connection: params.connection,
                 list,
             });
         }
         if lines.len() > MAX_LINE_BYTES {
-            return Err(WatchError::Endless);
+            return Err(WatchError::LineTooLong);
         }
     }
 }
 
-/// A connection to discovery, and the task that drives it.
+/// Opens a connection to discovery, and returns it with the task that drives it.
 async fn connect(
     address: SocketAddr,
 ) -> Result<(SendRequest<Empty<Bytes>>, AbortOnDrop), WatchError> {
@@ -255,20 +259,20 @@
     stream.set_nodelay(true)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
     let task = spawn_local(async move {
-        // Its error is seen by whoever reads the response.
+        // The error also ends the response body, whose reader reports it.
         let _ = connection.await;
     });
     Ok((sender, AbortOnDrop(task)))
 }
 
-/// Asks for the list after a revision; the body of the response tells of it line by line.
+/// Requests the changes after a revision. Each line of the response body is one list.
 async fn request_list(
     sender: &mut SendRequest<Empty<Bytes>>,
-    call: WatchCall,
+    params: WatchParams,
 ) -> Result<Incoming, WatchError> {
-    let revision = call.revision;
+    let revision = params.revision;
     let request = Request::get(format!("/api/targets?stream=1&index={revision}"))
-        .header(HOST, call.address.to_string())
+        .header(HOST, params.address.to_string())
         .body(Empty::<Bytes>::new())?;
     let response = timeout(CALL_TIMEOUT, sender.send_request(request)).await??;
     if !response.status().is_success() {
--- a/crates/standalone-proxy/src/error.rs
+++ b/crates/standalone-proxy/src/error.rs
@@ -1,4 +1,4 @@
-//! What keeps the program from starting, or ends it.
+//! Errors that prevent the process from starting, or end it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,34 +7,34 @@
 
 use crate::config::ConfigError;
 
-/// Why the program ends. The text goes to standard error.
+/// Fatal error. The message is printed to standard error.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartError {
-    /// The runtime could not be made.
-    #[error("runtime: {0}")]
+    /// The async runtime cannot be created.
+    #[error("cannot create the runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// SIGHUP can't be handled.
-    #[error("SIGHUP: {0}")]
+    /// The SIGHUP handler cannot be installed.
+    #[error("cannot handle SIGHUP: {0}")]
     Hangup(#[source] io::Error),
-    /// SIGTERM can't be handled.
-    #[error("SIGTERM: {0}")]
+    /// The SIGTERM handler cannot be installed.
+    #[error("cannot handle SIGTERM: {0}")]
     Terminate(#[source] io::Error),
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The address for clients can't be listened on.
-    #[error("listen on {address}: {cause}")]
+    /// The listener for clients cannot be opened.
+    #[error("cannot listen on {address}: {cause}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The I/O error.
         #[source]
         cause: io::Error,
     },
-    /// No balancer can work by these settings.
-    #[error("settings: {0}")]
+    /// The load balancer rejects the settings.
+    #[error("invalid settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The engine has ended, which it never should.
-    #[error("the engine ended")]
-    EngineEnded,
+    /// The engine has stopped, which is never expected.
+    #[error("the engine stopped unexpectedly")]
+    EngineStopped,
 }
--- a/crates/standalone-proxy/src/main.rs
+++ b/crates/standalone-proxy/src/main.rs
@@ -1,10 +1,10 @@
-//! One balancer on real sockets, without a control plane: clients in front, upstreams behind, every decision in
-//! [`load_balancing`].
+//! Standalone HTTP load balancing proxy, without a control plane. All load balancing decisions are made by the
+//! [`load_balancing`] crate.
 //!
-//! Everything runs on one thread. The tasks that do I/O tell the engine what happened and carry out its actions; only
-//! the engine touches the balancer. The configuration is a file, read at the start and again on SIGHUP; the list of
-//! upstreams comes from discovery. While discovery is silent, the last list stays in use. SIGTERM ends the process
-//! once the requests that were accepted have their answers.
+//! The process is single-threaded. I/O tasks report events to the engine and execute its actions; only the engine
+//! accesses the load balancer. The configuration is a file that is read at startup and again on SIGHUP. The list of
+//! upstreams comes from discovery; while discovery is unavailable, the last list stays in use. On SIGTERM, the process
+//! exits after it has answered all accepted requests.
 
 mod api;
 mod config;
@@ -27,15 +27,15 @@
 
 use api::Api;
 use config::Config;
-use discovery::{DiscoveryWatch, Names};
+use discovery::{DiscoveryWatch, SiteNames};
 use error::StartError;
 
-/// The balancer works to this much less than the client's deadline, so that an answer at the deadline still arrives:
-/// the way to the client, and a busy moment here.
+/// The load balancer's deadline is earlier than the client's by this much, so that a response at the deadline still
+/// arrives in time, despite network latency and scheduling delays.
 const DEADLINE_HEADROOM: Duration = Duration::from_millis(15);
-/// Sends to a draining upstream end this much before its grace does.
+/// The last request to a draining upstream is sent this long before the end of its drain grace.
 const DRAIN_MARGIN: Duration = Duration::from_millis(100);
-/// The engine serves one service.
+/// Index of the only service of the engine.
 const SERVICE: usize = 0;
 
 fn main() -> ExitCode {
@@ -61,7 +61,7 @@
 }
 
 async fn run() -> Result<(), StartError> {
-    // Before all else: until there is a handler, the signal ends the process.
+    // First of all, because without a handler SIGHUP ends the process.
     let hangup = signal(SignalKind::hangup()).map_err(StartError::Hangup)?;
     let mut terminate = signal(SignalKind::terminate()).map_err(StartError::Terminate)?;
     let config = Config::read()?;
@@ -74,10 +74,10 @@
         .map_err(listen_error)?;
     let (engine, handle, watch) = start_engine(&config)?;
     let engine = spawn_local(engine.run());
-    // The bound address, not the wanted one: with port 0 nothing else tells where clients connect.
+    // Logs the bound address rather than the configured one: with port 0, nothing else shows the actual port.
     let bound = listener.local_addr().map_err(listen_error)?;
     tracing::info!(node = config.name, "listening on {bound}");
-    let _reloads = AbortOnDrop(spawn_local(reload_on_hangup(hangup, watch.moves)));
+    let _reloads = AbortOnDrop(spawn_local(reload_on_hangup(hangup, watch.address_changes)));
     let api = Rc::new(Api::new(&config, handle));
     let limits = config.listener_limits(api.longest_deadline());
     let serve = Listener::new(api, limits).serve(listener, async move {
@@ -85,22 +85,22 @@
     });
     tokio::select! {
         () = serve => Ok(()),
-        // Without it nothing is ever answered well again; a restart is better.
-        _ = engine => Err(StartError::EngineEnded),
+        // Without the engine, no request can be served; exiting allows a restart.
+        _ = engine => Err(StartError::EngineStopped),
     }
 }
 
-/// The task that watches discovery, which ends when this is dropped.
+/// The task that watches discovery. It is aborted on drop.
 struct WatchTask {
     _task: AbortOnDrop,
-    /// Tells it of another address.
-    moves: mpsc::UnboundedSender<std::net::SocketAddr>,
+    /// Sends a new address of discovery to the task.
+    address_changes: mpsc::UnboundedSender<std::net::SocketAddr>,
 }
 
-/// An engine that knows the configuration and the upstreams that it lists, and the watch that tells it of others.
+/// Creates the engine with the configured settings and upstreams, and starts the watch that updates the upstreams.
 fn start_engine(config: &Config) -> Result<(Engine, EngineHandle, WatchTask), StartError> {
     let settings = config.site.to_settings();
-    let is_watch_requested = settings.membership_by_request;
+    let is_watch_on_demand = settings.membership_by_request;
     let drain_grace = Duration::from_micros(settings.rules.drain_grace.0.max(0) as u64);
     let (subscribe, subscriptions) = mpsc::unbounded_channel();
     let engine_config = EngineConfig {
@@ -112,34 +112,37 @@
     };
     let (mut engine, handle) = Engine::new(engine_config, UpstreamPool::new(config.pool_config()));
     engine.apply_settings(SERVICE, settings)?;
-    let names = Names {
+    let names = SiteNames {
         zones: config.site.zones.clone(),
-        kinds: config.site.machine_types.clone(),
+        machine_types: config.site.machine_types.clone(),
     };
-    let known = names.listed_upstreams(&config.known);
+    let known = names.listed_upstreams(&config.last_known_upstreams);
     engine.update_membership(SERVICE, MembershipKind::Restored, &known);
     let watch = DiscoveryWatch::new(
         config.discovery,
-        config.known.revision,
-        is_watch_requested,
+        config.last_known_upstreams.revision,
+        is_watch_on_demand,
         names,
         handle.event_sender(),
     );
-    let (moves, moved) = mpsc::unbounded_channel();
+    let (address_changes, address_receiver) = mpsc::unbounded_channel();
     let watch = WatchTask {
-        _task: AbortOnDrop(spawn_local(watch.run(subscriptions, moved))),
-        moves,
+        _task: AbortOnDrop(spawn_local(watch.run(subscriptions, address_receiver))),
+        address_changes,
     };
     Ok((engine, handle, watch))
 }
 
-/// Reads the configuration again on each SIGHUP. Only the address of discovery is followed.
-async fn reload_on_hangup(mut hangup: Signal, moves: mpsc::UnboundedSender<std::net::SocketAddr>) {
+/// Reads the configuration again on each SIGHUP. Only a change of the discovery address is applied.
+async fn reload_on_hangup(
+    mut hangup: Signal,
+    address_changes: mpsc::UnboundedSender<std::net::SocketAddr>,
+) {
     while hangup.recv().await.is_some() {
-        // A file that can't be used must not cost the service that runs.
+        // An invalid file must not interrupt the running service.
         match Config::read() {
-            // Without the watch nobody needs to know.
-            Ok(new) => drop(moves.send(new.discovery)),
+            // If the watch has ended, the address is no longer needed.
+            Ok(new) => drop(address_changes.send(new.discovery)),
             Err(error) => {
                 tracing::error!(%error, "configuration rejected on reload, keeping the old one");
             }
