--- a/crates/standalone-proxy/tests/proxy/harness.rs
+++ b/crates/standalone-proxy/tests/proxy/harness.rs
@@ -1,5 +1,5 @@
-//! The proxy as a process, between stand-ins for a client, upstreams and discovery. All on ephemeral
-//! loopback ports; tests wait for events, with a limit wide enough for a busy machine.
+//! Runs the proxy as a process between a test client, test upstreams and a test discovery service. All listen on
+//! ephemeral loopback ports. Tests wait for events, with a timeout that suffices on a busy machine.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -12,20 +12,20 @@
 
 use serde_json::{Value, json};
 
-/// Longest wait for anything that has to happen.
+/// Timeout for expected events.
 pub(crate) const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A message as it came: its first line, headers with lower-case names, and body.
+/// A received HTTP message: start line, headers with lower-case names, and body.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
-    pub first: String,
+    pub start_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
     pub(crate) fn status(&self) -> u16 {
-        self.first
+        self.start_line
             .split(' ')
             .nth(1)
             .expect("a status")
@@ -37,14 +37,14 @@
     }
 }
 
-/// Reads one message; `None` where the connection ends first.
+/// Reads one message; returns `None` if the connection ends first.
 pub(crate) fn read_message(stream: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut line = || {
         let mut line = String::new();
         stream.read_line(&mut line).ok().filter(|n| *n > 0)?;
         Some(line.trim_end().to_string())
     };
-    let first = line()?;
+    let start_line = line()?;
     let mut headers = HashMap::new();
     loop {
         let line = line()?;
@@ -59,26 +59,26 @@
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
     Some(Message {
-        first,
+        start_line,
         headers,
         body,
     })
 }
 
-/// What an upstream does with a request.
+/// Reaction of an upstream to a request.
 #[derive(Clone)]
 pub(crate) enum UpstreamBehavior {
-    /// Writes this, and keeps the connection.
+    /// Writes the text and keeps the connection open.
     Respond(String),
-    /// Writes this, and closes the connection.
+    /// Writes the text and closes the connection.
     RespondAndClose(String),
-    /// Writes this, and closes the connection once it is told to.
+    /// Writes the text, and closes the connection on a message from the channel.
     RespondThenClose(String, Arc<std::sync::Mutex<Receiver<()>>>),
-    /// Writes this, and the same again once it is told to.
+    /// Writes the text, and again on a message from the channel.
     RespondTwice(String, Arc<std::sync::Mutex<Receiver<()>>>),
-    /// Nothing, on an open connection.
+    /// Keeps the connection open without a response.
     Hang,
-    /// Answers once it is told to.
+    /// Responds on a message from the channel.
     RespondLater(Arc<std::sync::Mutex<Receiver<()>>>),
 }
 
@@ -95,56 +95,60 @@
     ))
 }
 
-/// What was seen at an upstream, in order.
+/// An event at an upstream.
 #[derive(Debug)]
 pub(crate) enum UpstreamEvent {
+    /// A request arrived from this peer.
     Request(SocketAddr, Message),
-    /// A second copy of an answer is out.
-    Wrote,
+    /// The second copy of a response was written.
+    WroteAgain,
+    /// A connection was closed.
     Closed,
 }
 
+/// A test upstream.
 pub(crate) struct Upstream {
     pub address: SocketAddr,
-    pub seen: Receiver<UpstreamEvent>,
+    pub events: Receiver<UpstreamEvent>,
 }
 
 impl Upstream {
     pub(crate) fn start(
-        does: impl Fn(&Message) -> UpstreamBehavior + Send + Sync + 'static,
+        behavior: impl Fn(&Message) -> UpstreamBehavior + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (tell, seen) = channel();
-        let does = Arc::new(does);
+        let (sender, events) = channel();
+        let behavior = Arc::new(behavior);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (stream, tell, does) = (stream.expect("accepted"), tell.clone(), does.clone());
+                let (stream, sender, behavior) =
+                    (stream.expect("accepted"), sender.clone(), behavior.clone());
                 thread::spawn(move || {
                     let peer = stream.peer_addr().expect("a peer");
-                    serve_connection(stream, peer, &tell, &*does);
-                    let _ = tell.send(UpstreamEvent::Closed);
+                    serve_connection(stream, peer, &sender, &*behavior);
+                    let _ = sender.send(UpstreamEvent::Closed);
                 });
             }
         });
-        Self { address, seen }
+        Self { address, events }
     }
 
-    /// The next request, past whatever else is seen.
-    pub(crate) fn request(&self) -> (SocketAddr, Message) {
+    /// Waits for the next request, and skips other events.
+    pub(crate) fn next_request(&self) -> (SocketAddr, Message) {
         loop {
-            match self.seen.recv_timeout(EVENT_TIMEOUT).expect("a request") {
+            match self.events.recv_timeout(EVENT_TIMEOUT).expect("a request") {
                 UpstreamEvent::Request(from, message) => return (from, message),
                 _ => continue,
             }
         }
     }
 
-    /// All requests seen so far and not yet taken.
+    /// Returns the number of requests received so far, and removes all pending events.
     pub(crate) fn requests_so_far(&self) -> usize {
-        self.seen
+        self.events
             .try_iter()
-            .filter(|s| matches!(s, UpstreamEvent::Request(..)))
+            .filter(|event| matches!(event, UpstreamEvent::Request(..)))
             .count()
     }
 }
@@ -152,42 +156,52 @@
 fn serve_connection(
     stream: TcpStream,
     peer: SocketAddr,
-    tell: &Sender<UpstreamEvent>,
-    does: &dyn Fn(&Message) -> UpstreamBehavior,
+    events: &Sender<UpstreamEvent>,
+    behavior: &dyn Fn(&Message) -> UpstreamBehavior,
 ) {
     let mut out = stream.try_clone().expect("a second handle");
     let mut reader = BufReader::new(stream);
     while let Some(message) = read_message(&mut reader) {
-        let _ = tell.send(UpstreamEvent::Request(peer, message.clone()));
-        match does(&message) {
+        let _ = events.send(UpstreamEvent::Request(peer, message.clone()));
+        match behavior(&message) {
             UpstreamBehavior::Respond(text) => out.write_all(text.as_bytes()).unwrap_or(()),
             UpstreamBehavior::RespondAndClose(text) => {
                 let _ = out.write_all(text.as_bytes());
                 return;
             }
-            UpstreamBehavior::RespondThenClose(text, go) => {
+            UpstreamBehavior::RespondThenClose(text, released) => {
                 let _ = out.write_all(text.as_bytes());
-                let _ = go.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
+                let _ = released
+                    .lock()
+                    .expect("not poisoned")
+                    .recv_timeout(EVENT_TIMEOUT);
                 return;
             }
-            UpstreamBehavior::RespondTwice(text, go) => {
+            UpstreamBehavior::RespondTwice(text, released) => {
                 let _ = out.write_all(text.as_bytes());
-                let _ = go.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
+                let _ = released
+                    .lock()
+                    .expect("not poisoned")
+                    .recv_timeout(EVENT_TIMEOUT);
                 let _ = out.write_all(text.as_bytes());
-                let _ = tell.send(UpstreamEvent::Wrote);
+                let _ = events.send(UpstreamEvent::WroteAgain);
             }
             UpstreamBehavior::Hang => {}
-            UpstreamBehavior::RespondLater(go) => {
-                let _ = go.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
+            UpstreamBehavior::RespondLater(released) => {
+                let _ = released
+                    .lock()
+                    .expect("not poisoned")
+                    .recv_timeout(EVENT_TIMEOUT);
                 let _ = out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
             }
         }
     }
 }
 
-/// Waits until the other side's close of a connection has arrived at the end with this local address. A process that
-/// another test is just starting holds copies of all descriptors until it runs its program; until then a close is not
-/// sent, some 90 ms long beside load.
+/// Waits until the peer's close of a connection has arrived at the end with this local address.
+///
+/// A child process that another test starts holds copies of all descriptors between fork and exec, and a close is not
+/// sent before it releases them: about 90 ms under load.
 pub(crate) fn wait_for_delivered_close(local: SocketAddr) {
     const CLOSE_WAIT: &str = "08";
     let port = format!(":{:04X}", local.port());
@@ -196,18 +210,21 @@
         let (address, state) = (fields.next(), fields.nth(1));
         address.is_some_and(|a| a.ends_with(&port)) && state == Some(CLOSE_WAIT)
     };
-    let from = Instant::now();
+    let start = Instant::now();
     loop {
-        let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's connections");
+        let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
         if table.lines().any(is_delivered) {
             return;
         }
-        assert!(from.elapsed() < EVENT_TIMEOUT, "the close is not delivered");
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "the close was not delivered"
+        );
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Discovery: tells each watch's request line, and hands over its connection, head written.
+/// Test discovery service. Writes the response head of each watch, and passes on its request line and connection.
 pub(crate) struct Discovery {
     pub address: SocketAddr,
     pub watches: Receiver<(String, TcpStream)>,
@@ -217,28 +234,29 @@
     pub(crate) fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (tell, watches) = channel();
+        let (sender, watches) = channel();
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.expect("accepted");
                 let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
-                let Some(call) = read_message(&mut reader) else {
+                let Some(request) = read_message(&mut reader) else {
                     continue;
                 };
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 let _ = stream.write_all(head.as_bytes());
-                let _ = tell.send((call.first, stream));
+                let _ = sender.send((request.start_line, stream));
             }
         });
         Self { address, watches }
     }
 
+    /// Waits for the next watch, and returns its request line and connection.
     pub(crate) fn watch(&self) -> (String, TcpStream) {
         self.watches.recv_timeout(EVENT_TIMEOUT).expect("a watch")
     }
 }
 
-/// Writes a piece of a watch as one chunk.
+/// Writes a part of a watch response as one chunk.
 pub(crate) fn send_chunk(stream: &mut TcpStream, text: &str) {
     let framed = format!("{:x}\r\n{text}\r\n", text.len());
     stream
@@ -279,6 +297,7 @@
     })
 }
 
+/// A running proxy process, killed on drop.
 pub(crate) struct Proxy {
     pub child: Child,
     pub address: SocketAddr,
@@ -307,11 +326,11 @@
 
 impl Proxy {
     pub(crate) fn start(config: &Value) -> Self {
-        Self::start_by(Command::new(PROXY_BINARY), config)
+        Self::start_with(Command::new(PROXY_BINARY), config)
     }
 
-    /// Starts it by this command, and waits until it listens.
-    pub(crate) fn start_by(mut command: Command, config: &Value) -> Self {
+    /// Starts the proxy with this command, and waits until it listens.
+    pub(crate) fn start_with(mut command: Command, config: &Value) -> Self {
         let discovery = Discovery::start();
         let path = write_config(&config.to_string());
         let mut child = command
@@ -326,7 +345,7 @@
         let address = loop {
             let line = log
                 .next()
-                .expect("a word of where it listens")
+                .expect("a log line with the address")
                 .expect("UTF-8");
             if let Some((_, rest)) = line.split_once("listening on ") {
                 break rest
@@ -337,7 +356,7 @@
                     .expect("valid");
             }
         };
-        // The pipe must not fill up.
+        // The proxy would block on a full pipe.
         thread::spawn(move || log.for_each(|l| eprintln!("proxy: {}", l.unwrap_or_default())));
         Self {
             child,
@@ -351,24 +370,25 @@
         Client::to(self.address)
     }
 
+    /// Waits until the proxy exits, and returns its exit code.
     pub(crate) fn exit_code(&mut self) -> Option<i32> {
-        let from = Instant::now();
-        while from.elapsed() < EVENT_TIMEOUT {
+        let start = Instant::now();
+        while start.elapsed() < EVENT_TIMEOUT {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status.code();
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("the proxy goes on");
+        panic!("the proxy did not exit");
     }
 
-    /// Replaces its configuration, and tells it so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub(crate) fn reconfigure(&self, text: &str) {
         std::fs::write(&self.config, text).expect("written");
         self.signal("HUP");
     }
 
-    /// Sends it a signal, by its name.
+    /// Sends the signal with this name to the proxy.
     pub(crate) fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let sent = Command::new("sh")
@@ -378,11 +398,12 @@
     }
 }
 
+/// A client connection to the proxy.
 pub(crate) struct Client(BufReader<TcpStream>);
 
 impl Client {
     pub(crate) fn to(address: SocketAddr) -> Self {
-        Self::try_to(address).expect("it accepts")
+        Self::try_to(address).expect("connected")
     }
     pub(crate) fn try_to(address: SocketAddr) -> std::io::Result<Self> {
         let stream = TcpStream::connect(address)?;
@@ -395,17 +416,18 @@
     pub(crate) fn try_send(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
-    /// The next answer; `None` where the connection ends first.
-    pub(crate) fn answer(&mut self) -> Option<Message> {
+    /// Reads the next response; returns `None` if the connection ends first.
+    pub(crate) fn response(&mut self) -> Option<Message> {
         read_message(&mut self.0)
     }
-    pub(crate) fn ask(&mut self, text: &str) -> Message {
+    /// Sends a request and waits for the response.
+    pub(crate) fn request(&mut self, text: &str) -> Message {
         self.send(text);
-        self.answer().expect("an answer")
+        self.response().expect("a response")
     }
 }
 
-/// A request of the class that is safe to repeat.
+/// Returns a request of the class that is safe to repeat.
 pub(crate) fn safe_request(id: &str, deadline_ms: u64) -> String {
     format!(
         "GET /api?of={id} HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\nX-Class: read\r\n\
@@ -413,7 +435,7 @@
     )
 }
 
-/// A request that must never run twice.
+/// Returns a request of the class that must never be executed twice.
 pub(crate) fn unsafe_request(id: &str, deadline_ms: u64, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\nX-Class: alarm\r\n\
--- a/crates/standalone-proxy/tests/proxy/main.rs
+++ b/crates/standalone-proxy/tests/proxy/main.rs
@@ -1,5 +1,5 @@
-//! The proxy as a process on loopback sockets, by subject. Each test guards against a failure that the code it covers
-//! names.
+//! Tests of the proxy as a process on loopback sockets, grouped by subject. The failures that they guard against are
+//! described at the code under test.
 
 mod harness;
 mod malformed_clients;
--- a/crates/standalone-proxy/tests/proxy/malformed_responses.rs
+++ b/crates/standalone-proxy/tests/proxy/malformed_responses.rs
@@ -1,4 +1,4 @@
-//! Upstreams whose answers are malformed, or bring more than belongs to them.
+//! Upstreams that send malformed responses, or more bytes than belong to a response.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -9,7 +9,7 @@
 
 const GOOD: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
 
-/// An upstream that answers `r1` in this way, and what comes after it properly.
+/// Starts an upstream that responds to request `r1` with this text, and to all others with a valid response.
 fn upstream_whose_first_response(text: String) -> Upstream {
     Upstream::start(move |m| match m.header("x-request-id") {
         "r1" => UpstreamBehavior::Respond(text.clone()),
@@ -36,17 +36,21 @@
         let mut config = config(&serving_entries(&[&upstream]));
         config["settings"]["Services"][2]["Deadline"] = json!(600_000.0);
         let proxy = Proxy::start(&config);
-        // The connection stays open: the deadline, in ten minutes, would have ended it otherwise.
-        let answer = proxy.client().ask(&unsafe_request("r1", 600_000, "x"));
-        assert_eq!(answer.status(), 502, "{}", &text[..40.min(text.len())]);
+        // The upstream keeps the connection open, and the deadline is ten minutes away, so only the malformed response
+        // can have ended the request.
+        let response = proxy.client().request(&unsafe_request("r1", 600_000, "x"));
+        assert_eq!(response.status(), 502, "{}", &text[..40.min(text.len())]);
         assert_eq!(
-            proxy.client().ask(&unsafe_request("r2", 6000, "x")).body,
+            proxy
+                .client()
+                .request(&unsafe_request("r2", 6000, "x"))
+                .body,
             b"own"
         );
         assert_eq!(
             upstream.requests_so_far(),
             2,
-            "an unsafe request that may have run went again"
+            "an unsafe request that may have been executed was retried"
         );
     }
 }
@@ -58,63 +62,76 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n{large}"
     ));
     let proxy = Proxy::start(&config(&serving_entries(&[&upstream])));
-    let answer = proxy.client().ask(&unsafe_request("r1", 6000, "x"));
-    assert_eq!(answer.status(), 200);
-    assert!(answer.body == large.as_bytes());
+    let response = proxy.client().request(&unsafe_request("r1", 6000, "x"));
+    assert_eq!(response.status(), 200);
+    assert!(response.body == large.as_bytes());
 }
 
 #[test]
-fn accepts_informational_responses_and_odd_load_reports() {
-    let ahead = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
-    let load = GOOD.replacen(
+fn accepts_informational_responses_and_invalid_load_reports() {
+    let informational =
+        "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
+    let invalid_load = GOOD.replacen(
         "\r\n",
         "\r\nX-Load: TEXT eps=-1, qps=1e999, inflight=\x01\r\n",
         1,
     );
-    for text in [format!("{ahead}{GOOD}"), load.replace('\x01', "x")] {
+    for text in [
+        format!("{informational}{GOOD}"),
+        invalid_load.replace('\x01', "x"),
+    ] {
         let upstream = upstream_whose_first_response(text);
         let proxy = Proxy::start(&config(&serving_entries(&[&upstream])));
         assert_eq!(
-            proxy.client().ask(&unsafe_request("r1", 6000, "x")).body,
+            proxy
+                .client()
+                .request(&unsafe_request("r1", 6000, "x"))
+                .body,
             b"good"
         );
     }
 }
 
 #[test]
-fn discards_bytes_behind_a_response() {
-    for more in [GOOD, "\x07noise", "\r\n"] {
-        let upstream = upstream_whose_first_response(format!("{GOOD}{more}"));
+fn discards_extra_bytes_sent_with_a_response() {
+    for extra in [GOOD, "\x07noise", "\r\n"] {
+        let upstream = upstream_whose_first_response(format!("{GOOD}{extra}"));
         let proxy = Proxy::start(&config(&serving_entries(&[&upstream])));
         let mut client = proxy.client();
-        assert_eq!(client.ask(&unsafe_request("r1", 6000, "x")).body, b"good");
         assert_eq!(
-            client.ask(&unsafe_request("r2", 6000, "x")).body,
+            client.request(&unsafe_request("r1", 6000, "x")).body,
+            b"good"
+        );
+        assert_eq!(
+            client.request(&unsafe_request("r2", 6000, "x")).body,
             b"own",
-            "{more:?}"
+            "{extra:?}"
         );
     }
 }
 
 #[test]
-fn discards_bytes_that_come_after_a_response() {
-    let (go, waits) = channel();
-    let waits = Arc::new(Mutex::new(waits));
+fn discards_extra_bytes_sent_after_a_response() {
+    let (release, released) = channel();
+    let released = Arc::new(Mutex::new(released));
     let upstream = Upstream::start(move |m| match m.header("x-request-id") {
-        "r1" => UpstreamBehavior::RespondTwice(GOOD.to_string(), waits.clone()),
+        "r1" => UpstreamBehavior::RespondTwice(GOOD.to_string(), released.clone()),
         _ => ok("own"),
     });
     let proxy = Proxy::start(&config(&serving_entries(&[&upstream])));
     let mut client = proxy.client();
-    assert_eq!(client.ask(&unsafe_request("r1", 6000, "x")).body, b"good");
-    // The copy and the next request are there at the same moment.
+    assert_eq!(
+        client.request(&unsafe_request("r1", 6000, "x")).body,
+        b"good"
+    );
+    // The second copy and the next request arrive while the proxy is stopped, so that it sees both at the same time.
     proxy.signal("STOP");
-    go.send(()).expect("the upstream waits");
+    release.send(()).expect("the upstream is waiting");
     client.send(&unsafe_request("r2", 6000, "x"));
     while !matches!(
-        upstream.seen.recv_timeout(EVENT_TIMEOUT),
-        Ok(UpstreamEvent::Wrote)
+        upstream.events.recv_timeout(EVENT_TIMEOUT),
+        Ok(UpstreamEvent::WroteAgain)
     ) {}
     proxy.signal("CONT");
-    assert_eq!(client.answer().expect("an answer").body, b"own");
+    assert_eq!(client.response().expect("a response").body, b"own");
 }
