--- a/crates/data-plane/tests/client_schedules.rs
+++ b/crates/data-plane/tests/client_schedules.rs
@@ -1,10 +1,11 @@
-//! A client's connection under generated schedules: requests one behind another, split at any byte, with garbage behind
-//! them, from a client that leaves, half closes or reads late, to a handler that answers when it likes.
+//! Property test of a client connection: pipelined requests that are split at any byte and may be followed by garbage,
+//! from a client that may disconnect, half-close or start reading late, to a handler that responds after a varying
+//! delay.
 //!
-//! Oracle: what comes back are the answers to its requests, in order and whole; or the connection ends without looking
-//! complete.
+//! The client must receive the complete responses to its requests in order, or the connection must end in a way that
+//! it can't mistake for a complete response.
 //!
-//! `CLIENT_SCHEDULES` and `CLIENT_SEED` ask for more schedules, and for others.
+//! `CLIENT_SCHEDULES` sets the number of schedules and `CLIENT_SEED` the seed that they are generated from.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -29,49 +30,54 @@
 use tokio::task::{LocalSet, spawn_local, yield_now};
 use tokio::time::{Instant, timeout};
 
-/// Longest wait for anything that has to happen.
+/// Time limit for one schedule, and for shrinking one that fails.
 const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Number of schedules unless `CLIENT_SCHEDULES` is set.
 const SCHEDULES: u32 = 3000;
-/// What is left after so many chunks is written at once.
+/// Number of chunks after which the rest of the requests is written at once.
 const MAX_CHUNKS: usize = 100;
 
 #[derive(Clone, Debug)]
 struct PlannedRequest {
     method: &'static str,
     version: &'static str,
-    /// So many bytes, with a length or in chunks.
+    /// Length of the body in bytes.
     body: usize,
+    /// Whether the body is sent with chunked transfer coding instead of a `Content-Length`.
     chunked: bool,
-    /// The last that it asks for.
+    /// Whether the request has `Connection: close`.
     closes: bool,
-    /// What the handler makes of it: the answer's status and length, and so many turns of others before.
+    /// Status of the response.
     status: u16,
+    /// Length of the response body in bytes.
     size: usize,
-    turns: usize,
+    /// How often the handler yields to other tasks before it responds.
+    yields: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ClientEnd {
-    /// Reads until it has all answers.
-    Stays,
+    /// Reads until it has all responses.
+    ReadsAll,
+    /// Shuts down its sending side after the requests.
     HalfCloses,
-    /// Is gone after so many bytes of its answers.
-    Leaves(usize),
-    /// Sends what is no request, and stays.
+    /// Disconnects after it has received this many bytes.
+    Disconnects(usize),
+    /// Sends bytes that are not a request, and reads until the connection ends.
     Garbage,
-    /// Sends a part of a further request, and half closes.
-    Cut,
+    /// Sends the start of another request, and shuts down its sending side.
+    TruncatedRequest,
 }
 
 #[derive(Clone, Debug)]
 struct Schedule {
     requests: Vec<PlannedRequest>,
-    /// The lengths of the chunks that are written, over and over.
+    /// Lengths of the chunks that are written, repeated in a cycle.
     chunks: Vec<usize>,
-    /// Reads nothing before all is written.
+    /// Whether the client starts reading only after it has written everything.
     reads_late: bool,
     end: ClientEnd,
-    /// The listener is told to stop after so many requests have reached the handler.
+    /// Number of complete requests at the handler after which the listener is told to stop.
     stops_after: Option<usize>,
 }
 
@@ -100,7 +106,7 @@
         0..6usize,
     )
         .prop_map(
-            |(method, version, body, chunked, closes, status, size, turns)| {
+            |(method, version, body, chunked, closes, status, size, yields)| {
                 let chunked = chunked && version == "1.1";
                 PlannedRequest {
                     method,
@@ -110,7 +116,7 @@
                     closes,
                     status,
                     size,
-                    turns,
+                    yields,
                 }
             },
         )
@@ -118,11 +124,11 @@
 
 fn schedule() -> impl Strategy<Value = Schedule> {
     let end = prop_oneof![
-        3 => Just(ClientEnd::Stays),
+        3 => Just(ClientEnd::ReadsAll),
         1 => Just(ClientEnd::HalfCloses),
-        1 => (0..30_000usize).prop_map(ClientEnd::Leaves),
+        1 => (0..30_000usize).prop_map(ClientEnd::Disconnects),
         1 => Just(ClientEnd::Garbage),
-        1 => Just(ClientEnd::Cut),
+        1 => Just(ClientEnd::TruncatedRequest),
     ];
     let chunks = prop::collection::vec(prop_oneof![1..40usize, 40..3000usize], 1..4);
     let stops_after = prop::option::weighted(0.2, 1..4usize);
@@ -144,10 +150,10 @@
         )
 }
 
-/// The body of an answer, unlike that of any other in the schedule.
-fn body(number: usize, size: usize) -> &'static [u8] {
-    const LARGEST: usize = 1 << 20;
-    const APART: usize = 4099;
+/// Returns a response body that differs from those of the other requests in the schedule.
+fn response_body(number: usize, size: usize) -> &'static [u8] {
+    const MAX_BODY_BYTES: usize = 1 << 20;
+    const OFFSET_STEP: usize = 4099;
     static BYTES: OnceLock<Vec<u8>> = OnceLock::new();
     let bytes = BYTES.get_or_init(|| {
         let mut state = 1u32;
@@ -155,16 +161,16 @@
             state = state.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
             (state >> 24) as u8
         };
-        (0..LARGEST + 8 * APART).map(next).collect()
+        (0..MAX_BODY_BYTES + 8 * OFFSET_STEP).map(next).collect()
     });
-    &bytes[number * APART..][..size]
+    &bytes[number * OFFSET_STEP..][..size]
 }
 
 impl PlannedRequest {
     fn text(&self, number: usize) -> Vec<u8> {
         let (method, version) = (self.method, self.version);
         let mut text = format!("{method} /{number} HTTP/{version}\r\nHost: h\r\n");
-        text += &format!("Plan: {},{},{}\r\n", self.status, self.size, self.turns);
+        text += &format!("Plan: {},{},{}\r\n", self.status, self.size, self.yields);
         if self.closes {
             text += "Connection: close\r\n";
         }
@@ -189,18 +195,19 @@
         self.closes || self.version == "1.0"
     }
 
-    /// Whether its answer has a body on the wire.
+    /// Whether the response has a body on the wire.
     fn has_response_body(&self) -> bool {
         self.method != "HEAD" && ![204, 304].contains(&self.status)
     }
 }
 
-/// Answers as the request's own head says.
+/// Responds as the `Plan` header of each request says: status, body length, number of yields.
 #[derive(Default)]
 struct PlannedHandler {
-    /// Requests that came whole, and whom to tell when there were so many.
+    /// Number of requests that were received completely.
     complete_requests: Cell<usize>,
-    awaited: Cell<Option<(usize, oneshot::Sender<()>)>>,
+    /// Number of complete requests at which the listener is told to stop, and the channel to tell it.
+    stop_trigger: Cell<Option<(usize, oneshot::Sender<()>)>>,
 }
 
 impl RequestHandler for PlannedHandler {
@@ -217,60 +224,60 @@
             .split(',')
             .map(|p| p.parse().expect("a number"))
             .collect();
-        let mut answer = Response::new(Full::default());
+        let mut response = Response::new(Full::default());
         if body_sent.collect().await.is_err() {
-            *answer.status_mut() = StatusCode::BAD_REQUEST;
-            return answer;
+            *response.status_mut() = StatusCode::BAD_REQUEST;
+            return response;
         }
         self.complete_requests.set(self.complete_requests.get() + 1);
-        match self.awaited.take() {
+        match self.stop_trigger.take() {
             Some((count, reached)) if count == self.complete_requests.get() => {
-                // A schedule that is over listens no more.
+                // The receiver is gone if the schedule is over.
                 let _ = reached.send(());
             }
-            other => self.awaited.set(other),
+            other => self.stop_trigger.set(other),
         }
         for _ in 0..plan[2] {
             yield_now().await;
         }
-        *answer.status_mut() = StatusCode::from_u16(plan[0] as u16).expect("a status");
-        *answer.body_mut() = Full::from(body(number, plan[1]));
-        answer
+        *response.status_mut() = StatusCode::from_u16(plan[0] as u16).expect("a status");
+        *response.body_mut() = Full::from(response_body(number, plan[1]));
+        response
     }
 }
 
-/// What came of a schedule.
+/// What was observed during a schedule.
 struct Transcript {
-    /// All that the client was sent until it or the listener closed.
+    /// All bytes that the client received until it or the listener closed the connection.
     received: Vec<u8>,
-    /// Its requests that had come whole.
+    /// Number of requests that the handler received completely.
     complete_requests: usize,
 }
 
 async fn play(schedule: &Schedule) -> Transcript {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
-    let ample = MAX_WAIT * 10;
+    let long_timeout = MAX_WAIT * 10;
     let limits = ListenerLimits {
         max_connections: 8,
         idle_eviction_threshold: 8,
         max_header_bytes: 8192,
         timeouts: ClientTimeouts {
-            header: ample,
-            idle: ample,
+            header: long_timeout,
+            idle: long_timeout,
         },
         accept_grace: Duration::ZERO,
-        drain_timeout: ample,
+        drain_timeout: long_timeout,
         final_request_wait: Duration::ZERO,
     };
     let handler = Rc::new(PlannedHandler::default());
     let (reached, stop) = oneshot::channel();
     if let Some(count) = schedule.stops_after {
-        handler.awaited.set(Some((count, reached)));
+        handler.stop_trigger.set(Some((count, reached)));
     }
     let server = Listener::new(handler.clone(), limits);
     let stop = async move {
-        // Where it is not to stop, its sender is gone.
+        // Without `stops_after` the sender has been dropped, and the listener never stops.
         if stop.await.is_err() {
             pending::<()>().await;
         }
@@ -286,7 +293,7 @@
     }
 }
 
-/// Plays the client of a schedule; gives all that it was sent.
+/// Runs the client of a schedule and returns all bytes that it received.
 async fn run_client(at: SocketAddr, schedule: &Schedule) -> Vec<u8> {
     let stream = TcpStream::connect(at).await.expect("reachable");
     stream.set_nodelay(true).expect("set");
@@ -301,11 +308,11 @@
         if schedule.reads_late {
             let _ = all_written.await;
         }
-        receive_answers(schedule, reader).await
+        receive_responses(schedule, reader).await
     };
     match schedule.end {
-        // It leaves whether or not it has written all.
-        ClientEnd::Leaves(_) => {
+        // The client disconnects even if it has not written everything.
+        ClientEnd::Disconnects(_) => {
             tokio::select! {
                 received = read => received,
                 () = async { drop(write.await); pending().await } => unreachable!(),
@@ -315,7 +322,7 @@
     }
 }
 
-/// Writes the schedule's requests and what is behind them, in its chunks.
+/// Writes the schedule's requests and what follows them, in chunks.
 async fn send_requests(schedule: &Schedule, mut writer: OwnedWriteHalf) -> OwnedWriteHalf {
     let mut text = Vec::new();
     for (number, request) in schedule.requests.iter().enumerate() {
@@ -323,8 +330,8 @@
     }
     match schedule.end {
         ClientEnd::Garbage => text.extend(b"\x16\x03 no request\r\n\r\n"),
-        ClientEnd::Cut => text.extend(&schedule.requests[0].text(0)[..30]),
-        ClientEnd::Stays | ClientEnd::HalfCloses | ClientEnd::Leaves(_) => {}
+        ClientEnd::TruncatedRequest => text.extend(&schedule.requests[0].text(0)[..30]),
+        ClientEnd::ReadsAll | ClientEnd::HalfCloses | ClientEnd::Disconnects(_) => {}
     }
     let chunks = schedule
         .chunks
@@ -342,23 +349,26 @@
         text = rest;
         yield_now().await;
     }
-    if matches!(schedule.end, ClientEnd::HalfCloses | ClientEnd::Cut) {
+    if matches!(
+        schedule.end,
+        ClientEnd::HalfCloses | ClientEnd::TruncatedRequest
+    ) {
         let _ = writer.shutdown().await;
     }
     writer
 }
 
-/// Reads as long as the schedule's client does.
-async fn receive_answers(schedule: &Schedule, mut reader: OwnedReadHalf) -> Vec<u8> {
+/// Reads until the client has what its schedule asks for, or the connection ends.
+async fn receive_responses(schedule: &Schedule, mut reader: OwnedReadHalf) -> Vec<u8> {
     let mut received = Vec::new();
     loop {
         received.reserve(64 << 10);
         let enough = match schedule.end {
-            ClientEnd::Leaves(bytes) => received.len() >= bytes,
-            ClientEnd::Stays => {
-                complete_answers(schedule, &received).count == schedule.requests.len()
+            ClientEnd::Disconnects(bytes) => received.len() >= bytes,
+            ClientEnd::ReadsAll => {
+                complete_responses(schedule, &received).count == schedule.requests.len()
             }
-            ClientEnd::HalfCloses | ClientEnd::Garbage | ClientEnd::Cut => false,
+            ClientEnd::HalfCloses | ClientEnd::Garbage | ClientEnd::TruncatedRequest => false,
         };
         if enough || matches!(reader.read_buf(&mut received).await, Ok(0) | Err(_)) {
             return received;
@@ -366,41 +376,49 @@
     }
 }
 
-/// Answers that stand there whole, each the one to the request of its number.
-struct CompleteAnswers<'a> {
+/// The complete responses at the start of the received bytes; the n-th belongs to the n-th request.
+struct CompleteResponses<'a> {
     count: usize,
-    /// What stands behind them.
+    /// The bytes after them.
     rest: &'a [u8],
 }
 
-fn complete_answers<'a>(schedule: &Schedule, received: &'a [u8]) -> CompleteAnswers<'a> {
+fn complete_responses<'a>(schedule: &Schedule, received: &'a [u8]) -> CompleteResponses<'a> {
     let mut rest = received;
     for (number, request) in schedule.requests.iter().enumerate() {
-        match one_answer(request, number, rest) {
+        match complete_response_length(request, number, rest) {
             Some(length) => rest = &rest[length..],
             None => {
-                return CompleteAnswers {
+                return CompleteResponses {
                     count: number,
                     rest,
                 };
             }
         }
     }
-    CompleteAnswers {
+    CompleteResponses {
         count: schedule.requests.len(),
         rest,
     }
 }
 
-/// The length of the request's own answer, if that stands there whole. Panics at what belongs to no request.
-fn one_answer(request: &PlannedRequest, number: usize, received: &[u8]) -> Option<usize> {
+/// Returns the length of the response to `request` if `received` begins with all of it. Panics if the bytes can't
+/// belong to a response to this request.
+fn complete_response_length(
+    request: &PlannedRequest,
+    number: usize,
+    received: &[u8],
+) -> Option<usize> {
     let mut lines = [httparse::EMPTY_HEADER; 16];
     let mut head = httparse::Response::new(&mut lines);
-    let httparse::Status::Complete(start) = head.parse(received).expect("an answer") else {
+    let httparse::Status::Complete(start) = head.parse(received).expect("a response") else {
         return None;
     };
     if head.code != Some(request.status) {
-        assert!(matches!(head.code, Some(400 | 431)), "another's status");
+        assert!(
+            matches!(head.code, Some(400 | 431)),
+            "the status of another request's response"
+        );
         return None;
     }
     let find = |name: &str| {
@@ -416,58 +434,64 @@
     assert_eq!(
         length,
         Some(Ok(request.size)),
-        "an answer without its length looks complete anywhere"
+        "a response without its length looks complete wherever it ends"
     );
-    let came = &received[start..received.len().min(start + request.size)];
+    let received_body = &received[start..received.len().min(start + request.size)];
     assert!(
-        body(number, request.size).starts_with(came),
-        "another's body"
+        response_body(number, request.size).starts_with(received_body),
+        "the body of another request's response"
     );
-    (came.len() == request.size).then_some(start + request.size)
+    (received_body.len() == request.size).then_some(start + request.size)
 }
 
-fn judge(schedule: &Schedule, transcript: &Transcript) {
+fn check_transcript(schedule: &Schedule, transcript: &Transcript) {
     let complete_requests = transcript.complete_requests;
-    let CompleteAnswers {
-        count: answers,
+    let CompleteResponses {
+        count: responses,
         rest,
-    } = complete_answers(schedule, &transcript.received);
+    } = complete_responses(schedule, &transcript.received);
     assert!(
-        answers <= complete_requests,
-        "an answer to what was not asked"
+        responses <= complete_requests,
+        "more responses than complete requests"
     );
     let last = schedule
         .requests
         .iter()
         .position(PlannedRequest::ends_connection);
-    if last.is_some_and(|last| answers > last) {
-        assert!(rest.is_empty(), "something after the last answer: {rest:?}");
+    if last.is_some_and(|last| responses > last) {
+        assert!(rest.is_empty(), "bytes after the last response: {rest:?}");
         return;
     }
-    // What stands behind them is the start of the next one, or says of what is no request that it is none.
-    let refused = || {
+    // The rest may be the start of the next response, or the rejection of bytes that are not a request.
+    let is_rejection = || {
         let status = rest
             .strip_prefix(b"HTTP/1.1 ")
             .map(|r| &r[..r.len().min(3)]);
         matches!(status, Some(b"400" | b"431"))
-            && matches!(schedule.end, ClientEnd::Garbage | ClientEnd::Cut)
+            && matches!(
+                schedule.end,
+                ClientEnd::Garbage | ClientEnd::TruncatedRequest
+            )
     };
-    let begun = schedule.requests.get(answers).is_some_and(|next| {
+    let is_start_of_next = schedule.requests.get(responses).is_some_and(|next| {
         let start = format!("HTTP/{} {}", next.version, next.status);
         let shorter = start.len().min(rest.len());
         start.as_bytes()[..shorter] == rest[..shorter]
     });
     assert!(
-        rest.is_empty() || begun || refused(),
-        "bytes that are no answer: {rest:?}"
+        rest.is_empty() || is_start_of_next || is_rejection(),
+        "bytes that are not a response: {rest:?}"
     );
-    if schedule.end == ClientEnd::Stays && schedule.stops_after.is_none() {
-        let due = last.map_or(schedule.requests.len(), |last| last + 1);
-        assert_eq!(answers, due, "the connection ended without an answer");
+    if schedule.end == ClientEnd::ReadsAll && schedule.stops_after.is_none() {
+        let expected = last.map_or(schedule.requests.len(), |last| last + 1);
+        assert_eq!(
+            responses, expected,
+            "the connection ended before all responses were sent"
+        );
     }
-    if schedule.end == ClientEnd::Stays && complete_requests > 0 {
-        // Whatever the handler has taken is answered whole, also while the listener stops.
-        assert_eq!(answers, complete_requests);
+    if schedule.end == ClientEnd::ReadsAll && complete_requests > 0 {
+        // A request that the handler has received gets its complete response, also while the listener stops.
+        assert_eq!(responses, complete_requests);
     }
 }
 
@@ -496,7 +520,7 @@
     let runtime = runtime.expect("a runtime");
     let ended = runner.run(&schedule(), |schedule| {
         let transcript = LocalSet::new().block_on(&runtime, play(&schedule));
-        judge(&schedule, &transcript);
+        check_transcript(&schedule, &transcript);
         Ok(())
     });
     match ended {
--- a/crates/data-plane/tests/model/attempts.rs
+++ b/crates/data-plane/tests/model/attempts.rs
@@ -1,6 +1,6 @@
-//! One request over several attempts: two balancers, each the real engine with the real load-balancing module, before
-//! two upstreams that play every order of the outcomes of an attempt, and a caller that sends its request to the other
-//! balancer again where it was promised that the request has not run.
+//! Exhaustive test of one request over several attempts: two balancers, each with the real engine and load-balancing
+//! module, send to two upstreams that produce every order of attempt outcomes. The caller retries at the other balancer
+//! whenever a reply says that the request has not run.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -27,38 +27,42 @@
 const UPSTREAMS: usize = 2;
 const THREADS: usize = 4;
 const CONCURRENT_SCENARIOS: usize = 64;
-/// A caller sends its request so often at most.
+/// Maximum number of times that a caller sends its request.
 const MAX_CALLS: usize = 3;
-/// Callers wait this long; an upstream that does not respond is silent for longer.
+/// Deadline of each call. An upstream that does not respond stays silent for longer.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(80);
-/// For so long no upstream can be reached.
-const UNREACHABLE_TIME: Duration = Duration::from_millis(3);
+/// How long the upstreams stay unreachable.
+const UNREACHABLE_DURATION: Duration = Duration::from_millis(3);
 
-/// What becomes of an attempt.
+/// The outcome that the upstreams produce for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum PlannedOutcome {
-    /// No upstream can be reached for a moment: no byte leaves.
+    /// No upstream can be reached for a moment, and no byte is sent.
     Unreachable,
-    /// Reset when a part of the request has left.
+    /// The connection is reset after a part of the request was sent.
     ResetMidRequest,
-    /// All has left, and then a reset: before the upstream ran it, or after.
+    /// The connection is reset after the whole request was sent, before the upstream ran it.
     ResetBeforeRun,
+    /// The connection is reset after the upstream ran the request.
     ResetAfterRun,
     NoResponse,
     Served,
-    ServedTwice,
-    /// The upstream's own error.
+    /// A surplus rejection of the same request follows its response.
+    ServedThenRejected,
+    /// The upstream responds with status 500.
     OwnError,
-    /// A status that implies that it has not run, without the header that proves it.
+    /// A status that implies that the request has not run, without the header that proves it.
     UnprovenRejection,
+    /// 503 with the header that proves that the request has not run.
     Rejected,
+    /// 429 with that header.
     RejectedAsBusy,
-    /// 421, and another upstream at that address from then on.
+    /// 421, because another upstream has taken over the address.
     UpstreamReplaced,
     /// The end of a response is missing.
-    CutResponse,
-    /// It can't be told which request the response answers, and a rejection follows it.
-    ResponseWithoutId,
+    TruncatedResponse,
+    /// The response does not name the request that it answers, and a rejection of that request follows it.
+    ResponseWithoutIdThenRejected,
 }
 
 const PLANNED_OUTCOMES: [PlannedOutcome; 14] = [
@@ -68,19 +72,19 @@
     PlannedOutcome::ResetAfterRun,
     PlannedOutcome::NoResponse,
     PlannedOutcome::Served,
-    PlannedOutcome::ServedTwice,
+    PlannedOutcome::ServedThenRejected,
     PlannedOutcome::OwnError,
     PlannedOutcome::UnprovenRejection,
     PlannedOutcome::Rejected,
     PlannedOutcome::RejectedAsBusy,
     PlannedOutcome::UpstreamReplaced,
-    PlannedOutcome::CutResponse,
-    PlannedOutcome::ResponseWithoutId,
+    PlannedOutcome::TruncatedResponse,
+    PlannedOutcome::ResponseWithoutIdThenRejected,
 ];
 
 impl PlannedOutcome {
     fn behaviour(self) -> Behaviour {
-        let served = Behaviour::answers(ScriptedResponse::new(200, 10));
+        let served = Behaviour::respond_with(ScriptedResponse::new(200, 10));
         let nothing = Behaviour {
             steps: Vec::new(),
             runs: false,
@@ -106,61 +110,70 @@
                 end: End::Silent,
                 ..nothing
             },
-            PlannedOutcome::ServedTwice => with_late_rejection(ScriptedResponse::new(200, 10)),
-            PlannedOutcome::OwnError => Behaviour::answers(ScriptedResponse::new(500, 10)),
-            PlannedOutcome::UnprovenRejection => Behaviour::answers(ScriptedResponse::new(503, 10)),
-            PlannedOutcome::Rejected => Behaviour::answers(ScriptedResponse::rejection(503)),
-            PlannedOutcome::RejectedAsBusy => Behaviour::answers(ScriptedResponse::rejection(429)),
+            PlannedOutcome::ServedThenRejected => {
+                with_late_rejection(ScriptedResponse::new(200, 10))
+            }
+            PlannedOutcome::OwnError => Behaviour::respond_with(ScriptedResponse::new(500, 10)),
+            PlannedOutcome::UnprovenRejection => {
+                Behaviour::respond_with(ScriptedResponse::new(503, 10))
+            }
+            PlannedOutcome::Rejected => Behaviour::respond_with(ScriptedResponse::rejection(503)),
+            PlannedOutcome::RejectedAsBusy => {
+                Behaviour::respond_with(ScriptedResponse::rejection(429))
+            }
             PlannedOutcome::UpstreamReplaced => {
-                Behaviour::answers(ScriptedResponse::rejection(421))
+                Behaviour::respond_with(ScriptedResponse::rejection(421))
             }
-            PlannedOutcome::CutResponse => Behaviour {
+            PlannedOutcome::TruncatedResponse => Behaviour {
                 end: End::Close,
-                ..Behaviour::answers(ScriptedResponse {
+                ..Behaviour::respond_with(ScriptedResponse {
                     cut: Some(900),
                     ..ScriptedResponse::new(200, 100)
                 })
             },
-            PlannedOutcome::ResponseWithoutId => with_late_rejection(ScriptedResponse {
-                echo: Echo::Missing,
-                ..ScriptedResponse::new(200, 10)
-            }),
+            PlannedOutcome::ResponseWithoutIdThenRejected => {
+                with_late_rejection(ScriptedResponse {
+                    echo: Echo::Missing,
+                    ..ScriptedResponse::new(200, 10)
+                })
+            }
         }
     }
 }
 
-/// The request is run, and a surplus rejection follows its response.
+/// The request is run, and a surplus rejection of it follows the response.
 fn with_late_rejection(response: ScriptedResponse) -> Behaviour {
     let rejection = Step::Surplus {
         back: 0,
-        answer: ScriptedResponse::rejection(503),
+        response: ScriptedResponse::rejection(503),
     };
     Behaviour {
         runs: true,
         steps: vec![Step::Respond(response), rejection],
-        ..Behaviour::answers(ScriptedResponse::new(200, 10))
+        ..Behaviour::respond_with(ScriptedResponse::new(200, 10))
     }
 }
 
-/// One order of outcomes, and the request that meets it.
+/// One order of outcomes, and the properties of the request and of the balancers.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     outcomes: [PlannedOutcome; MAX_ATTEMPTS],
     is_safe: bool,
-    /// Connections are open already, and are reused.
+    /// Whether idle connections are open at the start, so that they are reused.
     with_idle_connections: bool,
     hedging: bool,
 }
 
-/// What one scenario runs with.
-struct World {
+/// The balancers and upstreams of one scenario.
+struct TestBed {
     upstreams: Rc<ScriptedUpstreams>,
     balancers: Vec<EngineHandle>,
     engines: Vec<JoinHandle<()>>,
-    next_turn: Rc<Cell<usize>>,
+    /// Index of the next planned outcome.
+    next_outcome: Rc<Cell<usize>>,
     incarnations: RefCell<[usize; UPSTREAMS]>,
-    /// A port that is bound, where nobody listens.
-    unreachable_port: TcpSocket,
+    /// A bound port that nobody listens on.
+    closed_port: TcpSocket,
     scenario: Scenario,
 }
 
@@ -171,11 +184,11 @@
     } else {
         Effect::Unsafe
     };
-    let aim = span(CLIENT_TIMEOUT / 2);
+    let latency_target = span(CLIENT_TIMEOUT / 2);
     let class = RequestClass {
         effect,
         max_attempts: Some(MAX_ATTEMPTS),
-        ..RequestClass::safe(aim, span(CLIENT_TIMEOUT))
+        ..RequestClass::safe(latency_target, span(CLIENT_TIMEOUT))
     };
     let mut settings = Settings::basic(vec![class]);
     settings.balancers = 2;
@@ -186,20 +199,20 @@
     settings
 }
 
-impl World {
+impl TestBed {
     async fn new(scenario: Scenario) -> Rc<Self> {
-        let next_turn = Rc::new(Cell::new(0));
-        let turn = next_turn.clone();
+        let next_outcome = Rc::new(Cell::new(0));
+        let position = next_outcome.clone();
         let script = move |_: &crate::scripted_upstream::Request| {
-            // An upstream that can't be reached gets no request.
-            let outcomes = scenario.outcomes.iter().skip(turn.get()).copied();
-            let outcome = outcomes.clone().find(|f| *f != PlannedOutcome::Unreachable);
-            turn.set(turn.get() + 1);
+            // An upstream that can't be reached receives no request.
+            let outcomes = scenario.outcomes.iter().skip(position.get()).copied();
+            let outcome = outcomes.clone().find(|o| *o != PlannedOutcome::Unreachable);
+            position.set(position.get() + 1);
             outcome.unwrap_or(PlannedOutcome::Served).behaviour()
         };
         let upstreams = ScriptedUpstreams::start(UPSTREAMS, Box::new(script)).await;
-        let unreachable_port = TcpSocket::new_v4().expect("a socket");
-        unreachable_port
+        let closed_port = TcpSocket::new_v4().expect("a socket");
+        closed_port
             .bind(SocketAddr::from(([127, 0, 0, 1], 0)))
             .expect("a port");
         let (mut balancers, mut engines) = (Vec::new(), Vec::new());
@@ -220,20 +233,20 @@
             balancers.push(handle);
         }
         let incarnations = RefCell::default();
-        let world = Self {
+        let test_bed = Self {
             upstreams,
             balancers,
             engines,
-            next_turn,
+            next_outcome,
             incarnations,
-            unreachable_port,
+            closed_port,
             scenario,
         };
-        world.announce_upstreams(None);
-        Rc::new(world)
+        test_bed.announce_upstreams(None);
+        Rc::new(test_bed)
     }
 
-    /// Tells the balancers the addresses of the upstreams, or one where nobody listens.
+    /// Sends the balancers the list of upstreams, with their own addresses or with `at` for all of them.
     fn announce_upstreams(&self, at: Option<SocketAddr>) {
         let list: Vec<ListedUpstream> = (0..UPSTREAMS)
             .map(|u| ListedUpstream {
@@ -259,28 +272,29 @@
     }
 
     fn outcome(&self) -> Option<PlannedOutcome> {
-        self.scenario.outcomes.get(self.next_turn.get()).copied()
+        self.scenario.outcomes.get(self.next_outcome.get()).copied()
     }
 
-    /// Brings about what does not depend on requests: upstreams that can't be reached, or that are replaced.
+    /// Produces the outcomes that don't depend on requests: upstreams that are unreachable or replaced.
     async fn drive_environment(self: Rc<Self>) {
-        let mut renewed = HashSet::new();
+        let mut replaced = HashSet::new();
         loop {
-            let turn = self.next_turn.get();
+            let position = self.next_outcome.get();
             match self.outcome() {
                 Some(PlannedOutcome::Unreachable) => {
-                    self.announce_upstreams(self.unreachable_port.local_addr().ok());
-                    sleep(UNREACHABLE_TIME).await;
+                    self.announce_upstreams(self.closed_port.local_addr().ok());
+                    sleep(UNREACHABLE_DURATION).await;
                     self.announce_upstreams(None);
-                    self.next_turn.set(self.next_turn.get().max(turn + 1));
+                    self.next_outcome
+                        .set(self.next_outcome.get().max(position + 1));
                 }
-                Some(PlannedOutcome::UpstreamReplaced) if renewed.insert(turn) => {
+                Some(PlannedOutcome::UpstreamReplaced) if replaced.insert(position) => {
                     for upstream in 0..UPSTREAMS {
                         let mut incarnations = self.incarnations.borrow_mut();
                         incarnations[upstream] += 1;
                         self.upstreams.restart(upstream, incarnations[upstream]);
                     }
-                    sleep(UNREACHABLE_TIME).await;
+                    sleep(UNREACHABLE_DURATION).await;
                     self.announce_upstreams(None);
                 }
                 None => return,
@@ -316,24 +330,23 @@
 fn promises_not_run(reply: &EngineReply) -> bool {
     match reply {
         EngineReply::Rejected { .. } => true,
-        EngineReply::Served(answer) => [
+        EngineReply::Served(response) => [
             StatusCode::SERVICE_UNAVAILABLE,
             StatusCode::TOO_MANY_REQUESTS,
             StatusCode::REQUEST_TIMEOUT,
             StatusCode::MISDIRECTED_REQUEST,
         ]
-        .contains(&answer.status()),
+        .contains(&response.status()),
         EngineReply::Failed { .. } => false,
     }
 }
 
 async fn play(scenario: Scenario) -> Result<(), String> {
-    let world = World::new(scenario).await;
+    let test_bed = TestBed::new(scenario).await;
     if scenario.with_idle_connections {
-        // The scenario begins after it.
-        warm_up(&world).await;
+        warm_up(&test_bed).await;
     }
-    let environment = spawn_local(world.clone().drive_environment());
+    let environment = spawn_local(test_bed.clone().drive_environment());
     let part = scenario.outcomes.contains(&PlannedOutcome::ResetMidRequest);
     let (method, body) = if part {
         (Method::POST, LARGE_BODY_BYTES)
@@ -342,7 +355,7 @@
     };
     let mut replies = Vec::new();
     for call in 0..MAX_CALLS {
-        let reply = world.submit(call % 2, call, "id", &method, body).await;
+        let reply = test_bed.submit(call % 2, call, "id", &method, body).await;
         let again = promises_not_run(&reply)
             || (scenario.is_safe && matches!(reply, EngineReply::Failed { .. }));
         replies.push(reply);
@@ -351,39 +364,39 @@
         }
     }
     environment.abort();
-    world.engines.iter().for_each(JoinHandle::abort);
+    test_bed.engines.iter().for_each(JoinHandle::abort);
     for call in 0..replies.len() {
-        world.upstreams.on_call_ended(call);
+        test_bed.upstreams.on_call_ended(call);
     }
-    // Upstreams read whatever was sent to its end: what they run later counts too.
+    // The upstreams read everything that was sent, so that late runs count too.
     tokio::task::yield_now().await;
-    world.upstreams.finish().await;
-    check(&world, &replies)
+    test_bed.upstreams.finish().await;
+    check(&test_bed, &replies)
 }
 
-/// An exchange on each connection before the scenario begins.
-async fn warm_up(world: &World) {
-    world.next_turn.set(MAX_ATTEMPTS);
+/// Completes an exchange on each connection before the scenario begins.
+async fn warm_up(test_bed: &TestBed) {
+    test_bed.next_outcome.set(MAX_ATTEMPTS);
     for balancer in 0..2 {
         for n in 0..UPSTREAMS {
             let call = 100 + balancer * UPSTREAMS + n;
-            let id = format!("with_idle_connections-{call}");
-            world.submit(balancer, call, &id, &Method::POST, 0).await;
+            let id = format!("warm-up-{call}");
+            test_bed.submit(balancer, call, &id, &Method::POST, 0).await;
         }
     }
-    world.next_turn.set(0);
+    test_bed.next_outcome.set(0);
 }
 
-fn check(world: &World, replies: &[EngineReply]) -> Result<(), String> {
-    if let Some(wrong) = world.upstreams.violations.borrow().first() {
+fn check(test_bed: &TestBed, replies: &[EngineReply]) -> Result<(), String> {
+    if let Some(wrong) = test_bed.upstreams.violations.borrow().first() {
         return Err(wrong.clone());
     }
-    let runs = |call: usize| world.upstreams.record(call).runs;
-    if !world.scenario.is_safe {
+    let runs = |call: usize| test_bed.upstreams.record(call).runs;
+    if !test_bed.scenario.is_safe {
         let all: usize = (0..replies.len()).map(runs).sum();
         if all > 1 {
             let records: Vec<_> = (0..replies.len())
-                .map(|a| world.upstreams.record(a))
+                .map(|a| test_bed.upstreams.record(a))
                 .collect();
             return Err(format!("it ran {all} times; {records:?}"));
         }
@@ -391,27 +404,28 @@
             (0..replies.len()).find(|call| promises_not_run(&replies[*call]) && runs(*call) > 0);
         if let Some(call) = broken {
             return Err(format!(
-                "call {call} ran, and was promised that it has not run"
+                "call {call} ran, although its caller was told that it had not"
             ));
         }
     }
     for (call, reply) in replies.iter().enumerate() {
-        let EngineReply::Served(answer) = reply else {
+        let EngineReply::Served(response) = reply else {
             continue;
         };
-        let record = world.upstreams.record(call);
-        let serial = answer
+        let record = test_bed.upstreams.record(call);
+        let serial = response
             .headers()
             .get("answer-serial")
             .and_then(|v| v.to_str().ok());
-        let own = |g: &&GivenResponse| g.complete && serial == Some(g.serial.to_string().as_str());
-        let Some(given) = record.responses.iter().find(own) else {
+        let is_own =
+            |g: &&GivenResponse| g.complete && serial == Some(g.serial.to_string().as_str());
+        let Some(given) = record.responses.iter().find(is_own) else {
             return Err(format!(
-                "call {call} got what was not given to it; {record:?}"
+                "call {call} got a response that no upstream sent for it; {record:?}"
             ));
         };
-        if answer.status().as_u16() != given.status || *answer.body() != given.body {
-            return Err(format!("the answer to call {call} was changed"));
+        if response.status().as_u16() != given.status || *response.body() != given.body {
+            return Err(format!("the response to call {call} was changed"));
         }
     }
     Ok(())
--- a/crates/data-plane/tests/model/connection.rs
+++ b/crates/data-plane/tests/model/connection.rs
@@ -1,9 +1,10 @@
-//! Attempts through the real pool and its connections by generated schedules. Each caller gets the complete response
-//! that its upstream gave to this run of its request, or an honest failure.
+//! Property test of attempts through the real upstream pool and its connections, by generated schedules. Each caller
+//! must get the complete response that its upstream gave to this run of its request, or an outcome that does not claim
+//! more than is known.
 //!
-//! `MODEL_SCHEDULES=1000000 cargo test -p data-plane --test model connection` plays more of them,
-//! `MODEL_FIRST_SEED` begins at another seed, and `MODEL_SEED=7` plays one schedule 1,000 times. A schedule that fails is
-//! shrunk and printed.
+//! `MODEL_SCHEDULES=1000000 cargo test -p data-plane --test model connection` runs more schedules, `MODEL_FIRST_SEED`
+//! sets the first seed, and `MODEL_SEED=7` runs the schedule of one seed 1,000 times. A schedule that fails is shrunk
+//! and printed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -29,24 +30,25 @@
     Step, request_body,
 };
 
-/// Schedules of each run of the tests.
+/// Number of schedules unless `MODEL_SCHEDULES` is set.
 const SCHEDULES: u64 = 20_000;
 const THREADS: u64 = 4;
-/// Schedules that a thread plays concurrently, so that timeouts overlap.
+/// Number of schedules that a thread runs concurrently, so that timeouts overlap.
 const CONCURRENT_SCHEDULES: usize = 16;
-/// Deadline of a call that need not be served; one that must be has a deadline that no test reaches.
+/// Deadline of a call that need not be served.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(20);
+/// Deadline of a call that must be served, too long to be reached.
 const LONG_TIMEOUT: Duration = Duration::from_secs(30);
-/// Runs of a schedule before it counts as one that passes, while a failure is shrunk.
+/// Number of runs after which a schedule counts as passing while a failure is shrunk.
 const REPEATS: usize = 10;
-/// A thread stops after so many failures.
+/// Number of failures after which a thread stops.
 const MAX_FAILURES: usize = 5;
-/// Seconds that are spent on shrinking a failure of each kind, unless `MODEL_SHRINK_S` says otherwise.
+/// Seconds that are spent on shrinking one failure of each kind, unless `MODEL_SHRINK_S` is set.
 const DEFAULT_SHRINK_S: u64 = 15;
-/// Seeds of schedules that failed once.
+/// Seeds of schedules that once failed.
 const REGRESSIONS: &str = include_str!("regressions.txt");
 
-/// Counts over all schedules, to show that the model reaches what it is about.
+/// Counts over all schedules, to check that they exercise the cases that the test is meant for.
 #[derive(Clone, Debug, Default)]
 struct Statistics {
     outcomes: HashMap<String, u64>,
@@ -78,7 +80,7 @@
     })
 }
 
-/// A request of a caller, whose path names the call.
+/// Returns a caller's request, whose path contains the number of the call.
 pub(crate) fn forward(call: usize, id: &str, method: &Method, body: usize) -> ForwardedRequest {
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_static("h"));
@@ -95,7 +97,7 @@
     }
 }
 
-/// An upstream in one of its incarnations, as attempts see it.
+/// Returns an upstream in one of its incarnations, as the target of an attempt.
 fn target(address: SocketAddr, upstream: usize, incarnation: usize) -> (ServerId, Target) {
     let name = HeaderValue::from_str(&format!("i-{upstream}-{incarnation}")).ok();
     let server = ServerId((upstream + 2 * incarnation) as u32);
@@ -109,14 +111,16 @@
     )
 }
 
-/// Whether nothing that an upstream sends during a call disturbs a balancer that matches responses by id.
+/// Whether nothing that the upstream sends during a call can confuse a balancer that matches responses by id.
 fn is_harmless(behaviour: &Behaviour) -> bool {
-    let clear = |step: &Step| match step {
-        Step::Respond(answer) | Step::Surplus { answer, .. } => answer.is_unambiguous(),
+    let is_harmless_step = |step: &Step| match step {
+        Step::Respond(response) | Step::Surplus { response, .. } => response.is_unambiguous(),
         Step::Interim(_) | Step::AfterCall => true,
         Step::Garbage(_) => false,
     };
-    behaviour.end == End::Keep && behaviour.reads_body && behaviour.all_steps().all(clear)
+    behaviour.end == End::Keep
+        && behaviour.reads_body
+        && behaviour.all_steps().all(is_harmless_step)
 }
 
 fn has_framing(call: &Call, framing: Framing) -> bool {
@@ -128,19 +132,20 @@
 /// Whether the upstream responds to this call such that its caller must get the response.
 fn must_be_served(calls: &[Call], n: usize) -> bool {
     let call = &calls[n];
-    let near = calls.get(n + 1).is_some_and(|next| next.is_concurrent);
-    let usual = !(call.restarts_upstream
+    let overlaps_next = calls.get(n + 1).is_some_and(|next| next.is_concurrent);
+    let is_undisturbed = !(call.restarts_upstream
         || call.is_abandoned
         || call.disconnects
         || call.is_concurrent
-        || near);
-    // A surplus response to a HEAD is framed otherwise than one to another method.
-    let requests = calls[..=n].iter().any(|c| c.method == Method::HEAD);
+        || overlaps_next);
+    // A surplus response to a HEAD request is framed differently from one to another method.
+    let has_head_request = calls[..=n].iter().any(|c| c.method == Method::HEAD);
     let bodiless = call
         .behaviour
         .response()
         .is_some_and(|a| a.has_no_body(&call.method));
-    let usual = usual && !requests && (!bodiless || has_framing(call, Framing::Length));
+    let is_undisturbed =
+        is_undisturbed && !has_head_request && (!bodiless || has_framing(call, Framing::Length));
     let sealed = call
         .behaviour
         .response()
@@ -148,10 +153,15 @@
     let before = calls[..n]
         .iter()
         .all(|c| is_harmless(&c.behaviour) && !c.restarts_upstream);
-    usual && sealed && before && !call.to_former_incarnation && is_harmless(&call.behaviour)
+    is_undisturbed
+        && sealed
+        && before
+        && !call.to_former_incarnation
+        && is_harmless(&call.behaviour)
 }
 
-/// Whether the upstream runs the request before all of it has come. That shows in the response, if it is awaited.
+/// Whether the upstream runs the request before it has received all of it. The response shows that, so that the call
+/// has to wait for it.
 fn runs_before_body(call: &Call) -> bool {
     let behaviour = &call.behaviour;
     let before_body = behaviour
@@ -161,76 +171,76 @@
     call.body >= SLOW_BODY_BYTES && behaviour.runs && (before_body || !behaviour.reads_body)
 }
 
-/// What must hold for a call, whatever its upstream did.
+/// Checks what must hold for a call, whatever its upstream did.
 fn check(call: &Call, ended: Option<&AttemptResult>, record: &CallRecord) -> Result<(), String> {
     let err = |text: &str| Err(text.to_string());
     if record.requests > 1 {
         return err("one attempt put more than one request on the wire");
     }
     if call.is_abandoned && record.requests > 0 {
-        return err("it was sent though its client had left");
+        return err("it was sent although its client had disconnected");
     }
     let Some(ended) = ended else { return Ok(()) };
     if ended.outcome.has_not_run() && record.runs > 0 {
         return Err(format!("{:?} for a request that was run", ended.outcome));
     }
     let unread = record.body_left_unread && call.body == LARGE_BODY_BYTES;
-    let spoke = call
+    let sent_early_bytes = call
         .behaviour
         .before_body
         .iter()
         .any(|s| !matches!(s, Step::AfterCall));
-    if unread && !spoke && !ended.outcome.has_not_run() {
+    if unread && !sent_early_bytes && !ended.outcome.has_not_run() {
         return Err(format!(
-            "{:?} for a request that never left whole",
+            "{:?} for a request that was never sent completely",
             ended.outcome
         ));
     }
     let Some(response) = &ended.response else {
         return if ended.outcome == AttemptOutcome::Ok {
-            err("served without an answer")
+            err("outcome Ok without a response")
         } else {
             Ok(())
         };
     };
     let Some(given) = record.responses.first() else {
-        return err("an answer that was not given");
+        return err("a response that the upstream did not send");
     };
     let serial = response
         .headers()
         .get("answer-serial")
         .and_then(|v| v.to_str().ok());
     if serial != Some(given.serial.to_string().as_str()) {
-        return err("the answer to something else");
+        return err("the response to another request or run");
     }
     if response.status().as_u16() != given.status || *response.body() != given.body {
-        return err("the answer was changed");
+        return err("the response was changed");
     }
     if !given.complete {
-        return err("an answer that was cut, or can be read in two ways, is handed on as whole");
+        return err("a truncated or ambiguous response is forwarded as complete");
     }
     if response.status().is_success() && !given.sealed {
-        return err("a success without its seal is handed on");
+        return err("a success without its seal is forwarded");
     }
     Ok(())
 }
 
-/// What must come of a call that got an unambiguous response.
-fn check_response(answer: &ScriptedResponse, ended: &AttemptResult) -> Result<(), String> {
+/// Checks the outcome of a call that got an unambiguous response.
+fn check_response(response: &ScriptedResponse, ended: &AttemptResult) -> Result<(), String> {
     let outcome = ended.outcome;
-    let right = match (answer.status, answer.not_run) {
+    let matches_response = match (response.status, response.not_run) {
         (421, _) | (503 | 429, true) => outcome.has_not_run(),
-        // A status that implies that it has not run must not be forwarded without proof.
+        // A status that implies that the request has not run must not be forwarded without proof.
         (503 | 429 | 408, false) => outcome == AttemptOutcome::Error && ended.response.is_none(),
-        // Both are honest.
+        // The header proves that the request has not run, and a 400 may be forwarded as well.
         (400, true) => outcome.has_not_run() || ended.response.is_some(),
         _ => ended.response.is_some(),
     };
-    if right {
+    if matches_response {
         Ok(())
     } else {
         Err(format!(
-            "{outcome:?} though its upstream answered it clearly"
+            "{outcome:?} although its upstream sent an unambiguous response"
         ))
     }
 }
@@ -266,10 +276,10 @@
     let upstreams = ScriptedUpstreams::start(2, Box::new(next)).await;
     let pool = pool(64);
     let ended: Rc<RefCell<HashMap<usize, Option<AttemptResult>>>> = Rc::default();
-    let (mut incarnations, mut under_way) = ([0, 0], Vec::new());
+    let (mut incarnations, mut running) = ([0, 0], Vec::new());
     for (n, call) in schedule.calls.iter().enumerate() {
         if !call.is_concurrent {
-            for task in under_way.drain(..) {
+            for task in running.drain(..) {
                 let _ = task.await;
             }
         }
@@ -285,7 +295,7 @@
         };
         let one = play_call(pool.clone(), upstreams.clone(), schedule.clone(), n, named);
         let results = ended.clone();
-        under_way.push(spawn_local(async move {
+        running.push(spawn_local(async move {
             let result = one.await;
             results.borrow_mut().insert(n, result);
         }));
@@ -294,13 +304,13 @@
             .get(n + 1)
             .is_some_and(|next| next.is_concurrent);
         if call.flushes_delayed && !is_concurrent {
-            for task in under_way.drain(..) {
+            for task in running.drain(..) {
                 let _ = task.await;
             }
             upstreams.flush_delayed().await;
         }
     }
-    for task in under_way {
+    for task in running {
         let _ = task.await;
     }
     drop(pool);
@@ -324,7 +334,7 @@
         let named = |e| format!("call {n}: {e}; the record is {record:?}");
         check(call, ended, &record).map_err(named)?;
         if let (Some(ended), true) = (ended, must_be_served(&schedule.calls, n)) {
-            let own = call.behaviour.response().expect("it answers");
+            let own = call.behaviour.response().expect("a scripted response");
             check_response(own, ended).map_err(named)?;
         }
         let outcome = ended.map_or("Left".to_string(), |e| format!("{:?}", e.outcome));
@@ -339,8 +349,8 @@
 
 type Tree = Box<dyn ValueTree<Value = Schedule>>;
 
-fn tree(seed: u64) -> Tree {
-    // Seeds that are near each other must not give similar numbers.
+fn value_tree(seed: u64) -> Tree {
+    // Spreads consecutive seeds, so that they don't yield similar random numbers.
     let spread = (u128::from(seed) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835);
     let rng = TestRng::from_seed(RngAlgorithm::XorShift, &spread.to_le_bytes());
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
@@ -359,7 +369,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), test)
 }
 
-/// The text of a failure, without the call and its record.
+/// Returns the text of a failure without the call and its record.
 fn failure_kind(cause: &str) -> String {
     let cause = cause.split(';').next().unwrap_or_default();
     cause
@@ -368,52 +378,52 @@
         .to_string()
 }
 
-async fn replay(schedule: &Schedule, like: &str) -> Option<String> {
+async fn replay(schedule: &Schedule, kind: &str) -> Option<String> {
     let again = |_| spawn_local(play(Rc::new(schedule.clone())));
     let tasks: Vec<_> = (0..REPEATS).map(again).collect();
     let mut failed = None;
     for task in tasks {
         let result = task.await.unwrap_or_else(|panic| Err(panic.to_string()));
-        failed = failed.or(result.err().filter(|cause| failure_kind(cause) == like));
+        failed = failed.or(result.err().filter(|cause| failure_kind(cause) == kind));
     }
     failed
 }
 
-/// Shrinks a schedule as long as it fails in the same way; returns the smallest one and its failure.
+/// Shrinks a schedule as long as it fails in the same way, and returns the smallest one with its failure.
 async fn shrink(mut tree: Tree, cause: String) -> (Schedule, String) {
-    let like = failure_kind(&cause);
-    let mut least = (tree.current(), cause);
+    let kind = failure_kind(&cause);
+    let mut smallest = (tree.current(), cause);
     let mut simpler = tree.simplify();
     let until = Instant::now()
         + Duration::from_secs(env_number("MODEL_SHRINK_S").unwrap_or(DEFAULT_SHRINK_S));
     while simpler && Instant::now() < until {
         let current = tree.current();
-        simpler = match replay(&current, &like).await {
+        simpler = match replay(&current, &kind).await {
             Some(cause) => {
-                least = (current, cause);
+                smallest = (current, cause);
                 tree.simplify()
             }
             None => tree.complicate(),
         };
     }
-    least
+    smallest
 }
 
-/// Counts, and the seeds of the schedules that failed, with the failure.
+/// The result of a batch of schedules: counts, and the seed and cause of each failure.
 #[derive(Default)]
 struct Played {
     statistics: Statistics,
     failed: Vec<(u64, String)>,
 }
 
-/// Plays schedules concurrently, by their seeds.
+/// Runs the schedules of these seeds concurrently.
 async fn play_all(seeds: impl Iterator<Item = u64>) -> Played {
     let (mut all, mut seeds) = (Played::default(), seeds.peekable());
     while seeds.peek().is_some() && all.failed.len() < MAX_FAILURES {
         let batch: Vec<_> = seeds
             .by_ref()
             .take(CONCURRENT_SCHEDULES)
-            .map(|seed| (seed, spawn_local(play(Rc::new(tree(seed).current())))))
+            .map(|seed| (seed, spawn_local(play(Rc::new(value_tree(seed).current())))))
             .collect();
         for (seed, task) in batch {
             match task.await {
@@ -430,7 +440,7 @@
     std::env::var(name).ok().and_then(|text| text.parse().ok())
 }
 
-/// Prints the smallest schedule for each kind of failure, and fails if there is any.
+/// Prints the smallest schedule for each kind of failure, and panics if there is any.
 fn report(failed: &[(u64, String)]) {
     let mut kinds: HashMap<String, Vec<&(u64, String)>> = HashMap::new();
     failed
@@ -438,7 +448,7 @@
         .for_each(|f| kinds.entry(failure_kind(&f.1)).or_default().push(f));
     for (kind, all) in &kinds {
         let (seed, cause) = all[0];
-        let (schedule, shrink) = block_on_local(shrink(tree(*seed), cause.clone()));
+        let (schedule, shrink) = block_on_local(shrink(value_tree(*seed), cause.clone()));
         println!("\n{} schedules: {kind}\nseed {seed}: {shrink}", all.len());
         schedule
             .calls
@@ -473,14 +483,14 @@
     if env_number("MODEL_SCHEDULES").is_some() {
         return;
     }
-    // Enough schedules must reach what they are about, on a slow machine too.
+    // Enough schedules must exercise these cases, also on a slow machine.
     assert!(
         all.reused > all.calls / 20,
-        "too few connections are used again: {all:?}"
+        "too few connections are reused: {all:?}"
     );
     assert!(
         all.forwarded > all.calls / 8,
-        "too few answers are handed on: {all:?}"
+        "too few responses are forwarded: {all:?}"
     );
     assert!(
         all.body_left_unread > 0 && all.outcomes.len() >= 7,
--- a/crates/data-plane/tests/model/main.rs
+++ b/crates/data-plane/tests/model/main.rs
@@ -1,6 +1,6 @@
-//! Models of the life of a connection to an upstream ([`connection`]) and of a request over several attempts
-//! ([`attempts`]), against scripted upstreams on loopback sockets ([`scripted_upstream`]) that record what they ran and
-//! what they responded. [`schedule`] generates the scripts.
+//! Model-based tests of upstream connections ([`connection`]) and of requests over several attempts ([`attempts`]),
+//! against scripted upstreams on loopback sockets ([`scripted_upstream`]) that record which requests they ran and what
+//! they responded. [`schedule`] generates the scripts.
 
 mod attempts;
 mod connection;
--- a/crates/data-plane/tests/model/schedule.rs
+++ b/crates/data-plane/tests/model/schedule.rs
@@ -8,13 +8,13 @@
     Behaviour, Echo, End, Framing, LARGE_BODY_BYTES, ScriptedResponse, Step, Writes,
 };
 
-/// So many ids are used again and again, the others hardly ever.
+/// Number of ids that are used again and again; the others rarely repeat.
 const REUSED_IDS: usize = 3;
 const ALL_IDS: usize = 10_000;
-/// A body that fills the buffers on the way, so that writing has to wait.
+/// A body that fills the buffers between balancer and upstream, so that writing it has to wait.
 pub(crate) const SLOW_BODY_BYTES: usize = 3 << 20;
 
-/// Bytes that nobody asked for and that are no response to a request.
+/// Unsolicited bytes that do not form a response to any request.
 const GARBAGE: [&[u8]; 8] = [
     b"\r\n",
     b"0\r\n\r\n",
@@ -34,17 +34,17 @@
     pub method: Method,
     pub body: usize,
     pub behaviour: Behaviour,
-    /// Another incarnation of the upstream starts before it.
+    /// A new incarnation of the upstream starts before the call.
     pub restarts_upstream: bool,
-    /// It names the incarnation before the present one.
+    /// The call names the incarnation before the current one.
     pub to_former_incarnation: bool,
-    /// Its client has disconnected before it is sent.
+    /// The client has disconnected before the request is sent.
     pub is_abandoned: bool,
-    /// Its client disconnects once it has arrived.
+    /// The client disconnects once the request has reached the upstream.
     pub disconnects: bool,
-    /// It runs at the same time as the one before it.
+    /// The call runs concurrently with the one before it.
     pub is_concurrent: bool,
-    /// Delayed steps have been played before the next call begins.
+    /// The next call begins only after delayed steps were played.
     pub flushes_delayed: bool,
 }
 
@@ -106,12 +106,12 @@
     ]
 }
 
-/// Whether an upstream that says this has run the request.
+/// Whether an upstream that responds with this status and claim has run the request.
 fn implies_run((status, not_run): (u16, bool)) -> bool {
     status != 421 && !(not_run && [503, 429, 400].contains(&status))
 }
 
-/// A response without any doubt about its request and its end.
+/// A response that names its request and has a definite end.
 fn unambiguous_response() -> impl Strategy<Value = ScriptedResponse> {
     let framing = prop::sample::select(vec![Framing::Length, Framing::Chunked, Framing::Trailers]);
     (status_and_claim(), framing, body(), writes(), percent(5)).prop_map(
@@ -139,7 +139,7 @@
 
 fn any_response() -> impl Strategy<Value = ScriptedResponse> {
     let cut = prop::option::weighted(0.2, 0..1000u16);
-    let glued = prop::option::weighted(0.2, prop::sample::select(GARBAGE.to_vec()));
+    let trailing = prop::option::weighted(0.2, prop::sample::select(GARBAGE.to_vec()));
     (
         unambiguous_response(),
         framing(),
@@ -147,39 +147,41 @@
         percent(10),
         percent(15),
         cut,
-        glued,
+        trailing,
     )
-        .prop_map(|(answer, framing, echo, http10, unsealed, cut, glued)| {
-            let writes = match glued {
-                Some(more) if cut.is_none() && framing != Framing::Close => {
-                    Writes::WithTrailing(more)
+        .prop_map(
+            |(response, framing, echo, http10, unsealed, cut, trailing)| {
+                let writes = match trailing {
+                    Some(more) if cut.is_none() && framing != Framing::Close => {
+                        Writes::WithTrailing(more)
+                    }
+                    _ => response.writes.clone(),
+                };
+                // HTTP/1.0 has no chunked transfer coding.
+                let http10 = http10 && [Framing::Length, Framing::Close].contains(&framing);
+                ScriptedResponse {
+                    framing,
+                    echo,
+                    http10,
+                    sealed: !unsealed,
+                    cut,
+                    writes,
+                    ..response
                 }
-                _ => answer.writes.clone(),
-            };
-            // HTTP/1.0 knows no chunks.
-            let http10 = http10 && [Framing::Length, Framing::Close].contains(&framing);
-            ScriptedResponse {
-                framing,
-                echo,
-                http10,
-                sealed: !unsealed,
-                cut,
-                writes,
-                ..answer
-            }
-        })
+            },
+        )
 }
 
 fn garbage() -> impl Strategy<Value = Step> {
     prop::sample::select(GARBAGE.to_vec()).prop_map(|bytes| Step::Garbage(bytes.to_vec()))
 }
 
-fn surplus(answer: impl Strategy<Value = ScriptedResponse>) -> impl Strategy<Value = Step> {
+fn surplus(response: impl Strategy<Value = ScriptedResponse>) -> impl Strategy<Value = Step> {
     let back = prop_oneof![3 => Just(0), 3 => Just(1), 2 => 2..5usize];
-    (back, answer).prop_map(|(back, answer)| Step::Surplus { back, answer })
+    (back, response).prop_map(|(back, response)| Step::Surplus { back, response })
 }
 
-/// A step that does not disturb a balancer that matches responses by id.
+/// A step that can't confuse a balancer that matches responses by id.
 fn harmless_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => surplus(unambiguous_response()),
@@ -203,11 +205,11 @@
 }
 
 fn plain_behaviour() -> impl Strategy<Value = Behaviour> {
-    unambiguous_response().prop_map(|answer| {
-        let runs = implies_run((answer.status, answer.not_run));
+    unambiguous_response().prop_map(|response| {
+        let runs = implies_run((response.status, response.not_run));
         Behaviour {
             runs,
-            ..Behaviour::answers(answer)
+            ..Behaviour::respond_with(response)
         }
     })
 }
@@ -222,14 +224,14 @@
     )
         .prop_map(|(plain, before_body, before, late)| {
             // No surplus response to this request may precede its own.
-            let own = |step: &Step| !matches!(step, Step::Surplus { back: 0, .. });
-            let mut steps: Vec<Step> = before.into_iter().filter(own).collect();
+            let is_not_own_surplus = |step: &Step| !matches!(step, Step::Surplus { back: 0, .. });
+            let mut steps: Vec<Step> = before.into_iter().filter(is_not_own_surplus).collect();
             steps.extend(plain.steps);
             if !late.is_empty() {
                 steps.push(Step::AfterCall);
             }
             steps.extend(late);
-            let before_body = before_body.into_iter().filter(own).collect();
+            let before_body = before_body.into_iter().filter(is_not_own_surplus).collect();
             Behaviour {
                 before_body,
                 steps,
@@ -238,18 +240,18 @@
         })
 }
 
-/// Anything else: cut off, garbled, reset, silent, before the request is complete.
+/// Any other behaviour: truncated or garbled responses, resets, silence, and responses before the request is complete.
 fn faulty_behaviour() -> impl Strategy<Value = Behaviour> {
     let own = prop::option::weighted(0.8, any_response());
     let around = (vec(any_step(), 0..2), vec(any_step(), 0..3));
     (own, around, percent(20), percent(70), percent(60), end()).prop_map(
         |(own, (before, after), before_body, reads_body, ran, end)| {
-            // A second response comes after the first.
-            let first =
+            // A surplus response to this request must not precede its own.
+            let is_allowed_first =
                 |step: &Step| !matches!(step, Step::Surplus { back: 0, .. } | Step::AfterCall);
-            let mut steps: Vec<Step> = before.into_iter().filter(first).collect();
-            let shown = steps.iter().all(|step| match step {
-                Step::Surplus { answer, .. } => answer.is_unambiguous(),
+            let mut steps: Vec<Step> = before.into_iter().filter(is_allowed_first).collect();
+            let is_unambiguous_before = steps.iter().all(|step| match step {
+                Step::Surplus { response, .. } => response.is_unambiguous(),
                 _ => true,
             });
             let runs = own
@@ -259,24 +261,24 @@
             let close = own.as_ref().is_some_and(|o| o.framing == Framing::Close);
             let answered = own.is_some();
             steps.extend(own.map(Step::Respond));
-            // What follows a cut-off response would be read as the rest of it.
+            // Whatever follows a truncated response would be read as the rest of it.
             if !cut && !close && answered {
                 steps.extend(after);
             }
-            let is_abandoned = end == End::Keep && (cut || close || !answered || !reads_body);
-            let end = if is_abandoned { End::Reset } else { end };
-            // The response comes after the request's head, or the request is not read to its end.
+            let resets_instead = end == End::Keep && (cut || close || !answered || !reads_body);
+            let end = if resets_instead { End::Reset } else { end };
+            // The steps are played either right after the request's head or once its body was read or skipped.
             let (before_body, steps) = if before_body {
                 (steps, Vec::new())
             } else {
                 (Vec::new(), steps)
             };
             let reads_body = reads_body && (before_body.is_empty() || !cut);
-            // That a part of a request was run shows in its response, unless a reset or what came before the
-            // response hides it.
+            // If only a part of the request was received, the response is the only sign that it was run. A reset, or an
+            // ambiguous response before it, would hide that.
             let stays = reads_body || [End::HalfClose, End::Silent].contains(&end);
             let complete = reads_body && before_body.is_empty();
-            let runs = runs && (complete || (answered && !cut && shown && stays));
+            let runs = runs && (complete || (answered && !cut && is_unambiguous_before && stays));
             Behaviour {
                 before_body,
                 reads_body,
@@ -320,12 +322,12 @@
                 flushes_delayed,
             ) = flags;
             let upstream = usize::from(second);
-            // Surplus responses during the writing need a request that takes long to write.
-            let meets = behaviour
+            // Surplus responses while the request is being written need a request that takes long to write.
+            let has_surplus = behaviour
                 .before_body
                 .iter()
                 .any(|step| matches!(step, Step::Surplus { .. }));
-            let body = if meets && body > 0 {
+            let body = if has_surplus && body > 0 {
                 body.max(SLOW_BODY_BYTES)
             } else {
                 body
--- a/crates/data-plane/tests/model/scripted_upstream.rs
+++ b/crates/data-plane/tests/model/scripted_upstream.rs
@@ -1,5 +1,5 @@
-//! Upstreams that do what a script says and record it: which requests came, which were run, and what the response to
-//! each was. Nothing here waits on the clock.
+//! Upstreams that follow a script and record which requests they received and ran, and how they responded to each.
+//! Nothing here depends on timers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,26 +16,26 @@
 use tokio::sync::Notify;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// More than the buffers on the way to an upstream that reads nothing can hold.
+/// More than the buffers between a balancer and an upstream that reads nothing can hold.
 pub(crate) const LARGE_BODY_BYTES: usize = 6 << 20;
 
-/// Fits into a socket's buffer.
+/// A length that fits into a socket's buffer.
 const SHORT_BODY_BYTES: usize = 1000;
 
-/// A request's body of `length` bytes.
+/// Returns a request body of `length` bytes.
 pub(crate) fn request_body(length: usize) -> Bytes {
     static LARGE: LazyLock<Bytes> = LazyLock::new(|| Bytes::from(vec![b'b'; LARGE_BODY_BYTES]));
     LARGE.slice(..length)
 }
 
-/// How a response names its request.
+/// Which ids a response has in its `Attempt-Id` headers.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Echo {
     Own,
     Missing,
-    /// The request's id and then another.
+    /// The request's id, then another.
     OwnThen(String),
-    /// Another id and then the request's.
+    /// Another id, then the request's.
     OwnAfter(String),
 }
 
@@ -47,8 +47,9 @@
     Trailers,
     /// The body ends with the connection.
     Close,
-    /// The length can be read in two ways.
+    /// Two different `Content-Length` headers.
     TwoLengths,
+    /// Both a `Content-Length` and a `Transfer-Encoding` header.
     LengthAndChunked,
 }
 
@@ -62,10 +63,10 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Writes {
     One,
-    /// Into two, after so many thousandths.
+    /// Two writes, split after this many thousandths of the bytes.
     SplitAt(u16),
     EachByte,
-    /// In one write with bytes that nobody asked for.
+    /// One write, with unsolicited bytes after the response.
     WithTrailing(&'static [u8]),
 }
 
@@ -80,7 +81,7 @@
     /// `Connection: close`.
     pub closes: bool,
     pub body: usize,
-    /// Only so many thousandths of it are sent.
+    /// Only this many thousandths of the bytes are sent.
     pub cut: Option<u16>,
     pub writes: Writes,
 }
@@ -109,10 +110,10 @@
         }
     }
 
-    /// Whether its reader can tell which request it answers and where it ends, on any connection.
+    /// Whether a reader can tell which request it answers and where it ends, on any connection.
     pub(crate) fn is_unambiguous(&self) -> bool {
         let framed = [Framing::Length, Framing::Chunked, Framing::Trailers].contains(&self.framing);
-        // A response without a body must announce none.
+        // A response that never has a body must not announce one.
         let measured = ![204, 304].contains(&self.status) || self.framing == Framing::Length;
         let alone = !matches!(self.writes, Writes::WithTrailing(_));
         framed && measured && alone && self.echo == Echo::Own && self.cut.is_none()
@@ -122,13 +123,13 @@
         method == Method::HEAD || [204, 304].contains(&self.status)
     }
 
-    /// Whether its reader can know that the connection must not be used again.
+    /// Whether a reader can know that the connection must not be reused.
     fn closes_connection(&self) -> bool {
         let short = self.body < SHORT_BODY_BYTES && self.cut.is_none();
         self.closes || self.http10 || (short && matches!(self.writes, Writes::WithTrailing(_)))
     }
 
-    /// All of its bytes, and the body that a reader has to get.
+    /// Returns all bytes of the response, and the body that a reader must obtain.
     fn render(&self, id: &str, serial: usize, method: &Method) -> (Vec<u8>, Vec<u8>) {
         let mut body = format!("{serial}.{id}.").into_bytes();
         body.extend_from_slice(&request_body(self.body));
@@ -161,7 +162,7 @@
         line(self.closes, "Connection: close\r\n");
         let chunked = "Transfer-Encoding: chunked\r\n";
         match self.framing {
-            // Without a body there is no length (RFC 9110, 8.6).
+            // A 204 response must not have a Content-Length (RFC 9110, section 8.6).
             Framing::Length => {
                 line(self.status != 204, &format!("Content-Length: {length}\r\n"));
             }
@@ -193,8 +194,8 @@
                     bytes.extend_from_slice(chunk);
                     bytes.extend(b"\r\n");
                 }
-                let trailed = self.framing == Framing::Trailers;
-                bytes.extend(if trailed {
+                let has_trailer = self.framing == Framing::Trailers;
+                bytes.extend(if has_trailer {
                     &b"0\r\nTrailer: 1\r\n\r\n"[..]
                 } else {
                     b"0\r\n\r\n"
@@ -207,28 +208,30 @@
 
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
-    /// The response to the request; the first such step counts.
+    /// Sends the response to the request. The first such step counts.
     Respond(ScriptedResponse),
-    /// A further response to this request (0), or to the one so many before it on the connection.
+    /// Sends a surplus response to this request, or to an earlier one on the connection.
     Surplus {
+        /// How many requests before this one; 0 is this request.
         back: usize,
-        answer: ScriptedResponse,
+        response: ScriptedResponse,
     },
+    /// Sends an interim response with this status.
     Interim(u16),
     Garbage(Vec<u8>),
-    /// The following steps are played once the call has ended for its caller.
+    /// Delays the following steps until the call has ended for its caller.
     AfterCall,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum End {
-    /// The connection serves the next request.
+    /// The connection stays open for the next request.
     Keep,
     Close,
     Reset,
-    /// Nothing more is sent, but what comes is still read and run.
+    /// Nothing more is sent, but requests are still read and run.
     HalfClose,
-    /// It reads on, and drops what it reads.
+    /// Nothing more is sent, and everything that is received is discarded.
     Silent,
 }
 
@@ -238,16 +241,17 @@
     /// Steps before the body is read.
     pub before_body: Vec<Step>,
     pub reads_body: bool,
-    /// It is run: with its response before the body, or once it is complete.
+    /// Whether the request is run: with a response that is sent before the body is read, or once the request is
+    /// complete.
     pub runs: bool,
     pub steps: Vec<Step>,
     pub end: End,
 }
 
 impl Behaviour {
-    pub(crate) fn answers(answer: ScriptedResponse) -> Self {
-        let runs = !answer.not_run && answer.status != 421;
-        let steps = vec![Step::Respond(answer)];
+    pub(crate) fn respond_with(response: ScriptedResponse) -> Self {
+        let runs = !response.not_run && response.status != 421;
+        let steps = vec![Step::Respond(response)];
         Self {
             before_body: Vec::new(),
             reads_body: true,
@@ -263,8 +267,8 @@
 
     pub(crate) fn response(&self) -> Option<&ScriptedResponse> {
         self.all_steps().find_map(|step| {
-            if let Step::Respond(answer) = step {
-                Some(answer)
+            if let Step::Respond(response) = step {
+                Some(response)
             } else {
                 None
             }
@@ -272,9 +276,9 @@
     }
 }
 
-/// A request as the upstream read it.
+/// The head of a request, as the upstream read it.
 pub(crate) struct Request {
-    /// Which call of the schedule it is, by its path.
+    /// Number of the call in the schedule, from the path.
     pub call: usize,
     method: Method,
     id: String,
@@ -311,49 +315,50 @@
     }
 }
 
-/// The upstream's response to a request.
+/// A response that the upstream sent.
 #[derive(Clone, Debug)]
 pub(crate) struct GivenResponse {
     pub status: u16,
     pub serial: usize,
     pub body: Vec<u8>,
-    /// All of it was sent, and it can be read in one way only.
+    /// Whether all of it was sent and it can be read in one way only.
     pub complete: bool,
     pub sealed: bool,
 }
 
-/// What the upstreams saw of one call.
+/// What the upstreams recorded about one call.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallRecord {
-    /// How many requests came for it.
+    /// Number of requests that were received for it.
     pub requests: usize,
+    /// Number of times that it was run.
     pub runs: usize,
-    /// It came on a connection that had carried another.
+    /// Whether it was received on a connection that had carried another request.
     pub reused: bool,
-    /// The body was left unread and no response sent.
+    /// Whether the body was left unread and no response was sent.
     pub body_left_unread: bool,
-    /// The responses to it, one for each time that it came.
+    /// The responses to it, one for each time that it was received.
     pub responses: Vec<GivenResponse>,
 }
 
 type Script = Box<dyn Fn(&Request) -> Behaviour>;
 
-/// Upstreams that follow one script.
+/// Upstreams that follow the same script.
 pub(crate) struct ScriptedUpstreams {
     script: Script,
     addresses: RefCell<Vec<SocketAddr>>,
     names: RefCell<Vec<String>>,
     accepting: RefCell<Vec<JoinHandle<()>>>,
-    /// With the upstream that each belongs to.
+    /// The connections, each with the number of its upstream.
     connections: RefCell<Vec<(usize, JoinHandle<()>)>>,
     records: RefCell<HashMap<usize, CallRecord>>,
     serial: Cell<usize>,
-    /// Calls that have ended for their callers.
+    /// Calls that have ended for their callers, by response or disconnect.
     ended_calls: RefCell<Vec<usize>>,
-    /// How many steps wait for a call to end.
+    /// Number of connections that wait for a call to end before they play delayed steps.
     delayed_steps: Cell<usize>,
     changed: Notify,
-    /// What no script explains: requests that nobody sent, or that were changed.
+    /// Faults of the balancer that no script explains, such as requests that nobody sent or that were changed.
     pub violations: RefCell<Vec<String>>,
 }
 
@@ -386,7 +391,7 @@
     async fn accept(self: Rc<Self>, upstream: usize, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
-            // A connection that is dropped is reset.
+            // With a linger time of zero, dropping the connection resets it.
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             let task = spawn_local(self.clone().connection(upstream, stream));
             self.connections.borrow_mut().push((upstream, task));
@@ -401,7 +406,7 @@
         self.names.borrow()[upstream].clone()
     }
 
-    /// Ends the upstream, and starts another at its address.
+    /// Closes the upstream's connections, and starts another incarnation at its address.
     pub(crate) fn restart(&self, upstream: usize, incarnation: usize) {
         self.names.borrow_mut()[upstream] = format!("i-{upstream}-{incarnation}");
         self.connections.borrow_mut().retain(|(u, task)| {
@@ -429,20 +434,20 @@
         self.violations.borrow_mut().push(what);
     }
 
-    /// Returns once the request of a call has come.
+    /// Returns once the request of a call has been received.
     pub(crate) async fn wait_for_request(&self, call: usize) {
         while self.record(call).requests == 0 {
             self.changed.notified().await;
         }
     }
 
-    /// The caller of this call has its response, or has disconnected.
+    /// Records that the caller of this call has its response or has disconnected.
     pub(crate) fn on_call_ended(&self, call: usize) {
         self.ended_calls.borrow_mut().push(call);
         self.changed.notify_waiters();
     }
 
-    /// Gives delayed steps the time to be played.
+    /// Lets delayed steps be played, for at most 100 turns of the scheduler.
     pub(crate) async fn flush_delayed(&self) {
         for _ in 0..100 {
             if self.delayed_steps.get() == 0 {
@@ -452,7 +457,7 @@
         }
     }
 
-    /// Waits until all that was sent is read. Nothing is run after that.
+    /// Waits until the upstreams have read everything that was sent. Nothing is run after that.
     pub(crate) async fn finish(&self) {
         let all: Vec<_> = self.connections.borrow_mut().drain(..).collect();
         for (_, connection) in all {
@@ -461,7 +466,8 @@
         self.accepting.borrow().iter().for_each(JoinHandle::abort);
     }
 
-    /// Takes in the head of a request: records it, and says what is done with it. `None` if it is none.
+    /// Records a request by its head, and returns how the upstream behaves. Returns `None` if the head is not that of a
+    /// request.
     fn accept_request(
         &self,
         upstream: usize,
@@ -469,9 +475,12 @@
         served: &mut Vec<Request>,
     ) -> Option<Behaviour> {
         let Some(request) = Request::parse(head) else {
-            // Another process of this machine may look for what was at this port before.
+            // On a new connection this may be another process, looking for a previous user of the port.
             if !served.is_empty() {
-                self.report_violation(format!("no request: {:?}", String::from_utf8_lossy(head)));
+                self.report_violation(format!(
+                    "not a request: {:?}",
+                    String::from_utf8_lossy(head)
+                ));
             }
             return None;
         };
@@ -482,10 +491,10 @@
         });
         let mut behaviour = (self.script)(&request);
         if request.target.is_empty() {
-            self.report_violation(format!("call {call} does not say whom it is meant for"));
+            self.report_violation(format!("call {call} does not name its target upstream"));
         }
         if request.target != self.name(upstream) {
-            behaviour = Behaviour::answers(ScriptedResponse::rejection(421));
+            behaviour = Behaviour::respond_with(ScriptedResponse::rejection(421));
         }
         served.push(request);
         Some(behaviour)
@@ -494,21 +503,19 @@
     async fn connection(self: Rc<Self>, upstream: usize, mut stream: TcpStream) {
         let mut unread = Vec::new();
         let mut served: Vec<Request> = Vec::new();
-        let (mut silent, mut spent) = (false, false);
+        let (mut silent, mut must_close) = (false, false);
         while let Some(head) = next_head(&mut stream, &mut unread).await {
             let Some(mut behaviour) = self.accept_request(upstream, &head, &mut served) else {
                 return;
             };
-            if spent {
-                self.report_violation(
-                    "a connection that was to be closed is used again".to_string(),
-                );
+            if must_close {
+                self.report_violation("a connection that had to be closed is reused".to_string());
             }
             let Some(Request { call, length, .. }) = served.last() else {
                 return;
             };
             let (call, length) = (*call, *length);
-            spent = behaviour
+            must_close = behaviour
                 .response()
                 .is_some_and(ScriptedResponse::closes_connection);
             if silent {
@@ -529,7 +536,7 @@
                 if !unchanged {
                     self.report_violation(format!("the body of {call} was changed"));
                 }
-                out.begin_work(&self, call);
+                out.record_run(&self, call);
             } else if behaviour.response().is_none()
                 && ![End::Silent, End::HalfClose].contains(&behaviour.end)
             {
@@ -552,21 +559,21 @@
         let Some(own) = served.last() else { return };
         for step in steps {
             match step {
-                Step::Respond(answer) => {
-                    out.begin_work(self, own.call);
-                    self.respond(answer, own, Some(out.end), &mut out.stream)
+                Step::Respond(response) => {
+                    out.record_run(self, own.call);
+                    self.respond(response, own, Some(out.end), &mut out.stream)
                         .await;
                 }
-                Step::Surplus { back, answer } => {
+                Step::Surplus { back, response } => {
                     let Some(to) = served.len().checked_sub(back + 1) else {
                         continue;
                     };
-                    // The second of two ids is that of the awaited request.
-                    let mut answer = answer.clone();
-                    if let Echo::OwnThen(other) | Echo::OwnAfter(other) = &mut answer.echo {
+                    // The other one of the two ids is that of the request that is awaited.
+                    let mut response = response.clone();
+                    if let Echo::OwnThen(other) | Echo::OwnAfter(other) = &mut response.echo {
                         other.clone_from(&own.id);
                     }
-                    self.respond(&answer, &served[to], None, &mut out.stream)
+                    self.respond(&response, &served[to], None, &mut out.stream)
                         .await;
                 }
                 Step::Interim(status) => {
@@ -587,27 +594,27 @@
         }
     }
 
-    /// Writes a response; `end` follows the one that counts.
+    /// Writes a response. `end` is how the connection ends after the response that counts, and `None` for a surplus one.
     async fn respond(
         &self,
-        answer: &ScriptedResponse,
+        response: &ScriptedResponse,
         to: &Request,
         end: Option<End>,
         stream: &mut TcpStream,
     ) {
         let serial = self.serial.replace(self.serial.get() + 1);
-        let (mut bytes, body) = answer.render(&to.id, serial, &to.method);
-        let keep = answer.cut.map_or(bytes.len(), |permille| {
-            let keep = bytes.len() * usize::from(permille) / 1000;
-            keep.min(bytes.len() - 1)
+        let (mut bytes, body) = response.render(&to.id, serial, &to.method);
+        let length = response.cut.map_or(bytes.len(), |permille| {
+            let length = bytes.len() * usize::from(permille) / 1000;
+            length.min(bytes.len() - 1)
         });
-        bytes.truncate(keep);
+        bytes.truncate(length);
         if let Some(end) = end {
-            let bodiless = answer.has_no_body(&to.method);
-            let to_the_end = answer.framing != Framing::Close || end == End::Close;
-            let clear = !answer.framing.is_ambiguous() && to_the_end;
-            let complete = answer.cut.is_none() && (bodiless || clear);
-            let (status, sealed) = (answer.status, answer.sealed);
+            let bodiless = response.has_no_body(&to.method);
+            let is_terminated = response.framing != Framing::Close || end == End::Close;
+            let has_definite_end = !response.framing.is_ambiguous() && is_terminated;
+            let complete = response.cut.is_none() && (bodiless || has_definite_end);
+            let (status, sealed) = (response.status, response.sealed);
             let given = GivenResponse {
                 status,
                 serial,
@@ -617,7 +624,7 @@
             };
             self.update_record(to.call, |record| record.responses.push(given));
         }
-        let writes: Vec<&[u8]> = match answer.writes {
+        let writes: Vec<&[u8]> = match response.writes {
             Writes::One => vec![&bytes],
             Writes::SplitAt(permille) => {
                 let (a, b) = bytes.split_at(bytes.len() * usize::from(permille) / 1000);
@@ -629,8 +636,8 @@
                 vec![&bytes]
             }
         };
-        for piece in writes {
-            if stream.write_all(piece).await.is_err() {
+        for chunk in writes {
+            if stream.write_all(chunk).await.is_err() {
                 return;
             }
             tokio::task::yield_now().await;
@@ -638,7 +645,7 @@
     }
 }
 
-/// Where a request's response goes, and whether the request is yet to be run.
+/// The connection that a request's response is written to, and whether the request is still to be run.
 struct Output {
     stream: TcpStream,
     runs: bool,
@@ -646,7 +653,7 @@
 }
 
 impl Output {
-    fn begin_work(&mut self, of: &ScriptedUpstreams, call: usize) {
+    fn record_run(&mut self, of: &ScriptedUpstreams, call: usize) {
         if std::mem::take(&mut self.runs) {
             of.update_record(call, |record| record.runs += 1);
         }
@@ -657,7 +664,7 @@
     matches!(stream.read_buf(unread).await, Ok(n) if n > 0)
 }
 
-/// Ends a connection; one that is dropped is reset.
+/// Ends a connection. Dropping it resets it.
 async fn end_connection(mut stream: TcpStream, end: End) {
     match end {
         End::Keep | End::Reset => {}
@@ -667,15 +674,15 @@
         }
         End::HalfClose => {
             let _ = stream.shutdown().await;
-            discard(stream).await;
+            read_and_discard(stream).await;
         }
-        End::Silent => discard(stream).await,
+        End::Silent => read_and_discard(stream).await,
     }
 }
 
-async fn discard(mut stream: TcpStream) {
-    let mut piece = vec![0; 64 << 10];
-    while stream.read(&mut piece).await.is_ok_and(|n| n > 0) {}
+async fn read_and_discard(mut stream: TcpStream) {
+    let mut chunk = vec![0; 64 << 10];
+    while stream.read(&mut chunk).await.is_ok_and(|n| n > 0) {}
 }
 
 async fn next_head(stream: &mut TcpStream, unread: &mut Vec<u8>) -> Option<Vec<u8>> {
--- a/crates/data-plane/tests/upstream_responses.rs
+++ b/crates/data-plane/tests/upstream_responses.rs
@@ -1,4 +1,4 @@
-//! Attempts at faulty upstreams over loopback: what becomes of each response.
+//! Attempts at faulty upstreams over loopback sockets: the outcome of each response, and whether it is forwarded.
 
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -21,21 +21,21 @@
 use tokio::task::{JoinHandle, LocalSet};
 use tokio::time::Instant;
 
-/// Longer than anything takes here.
+/// A timeout that no test reaches.
 const LONG_TIMEOUT: Duration = Duration::from_secs(120);
-/// The longest wait for what has to happen, wide enough for a busy machine.
+/// Time limit for an expected event, long enough for a busy machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// More than sockets hold between two processes.
+/// More than the socket buffers between two processes hold.
 const LARGE_BODY_BYTES: usize = 64 << 20;
 
-/// A connection that an upstream has accepted, and which one it is.
+/// A connection that an upstream has accepted, with its number in order of arrival.
 struct Accepted {
     stream: TcpStream,
     number: usize,
 }
 
 impl Accepted {
-    /// Reads a head, and the body that it announces; `None` at the end of the connection.
+    /// Reads a request with its body, and returns the head. Returns `None` at the end of the connection.
     fn read_request(&mut self) -> Option<String> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -57,32 +57,35 @@
     }
 }
 
-/// An upstream that deals with each connection in a thread of its own.
-fn start_upstream(deal: impl Fn(Accepted) + Send + Sync + Clone + 'static) -> SocketAddr {
+/// Starts an upstream that serves each connection on its own thread.
+fn start_upstream(
+    serve_connection: impl Fn(Accepted) + Send + Sync + Clone + 'static,
+) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
         for (number, stream) in listener.incoming().flatten().enumerate() {
-            let deal = deal.clone();
-            thread::spawn(move || deal(Accepted { stream, number }));
+            let serve_connection = serve_connection.clone();
+            thread::spawn(move || serve_connection(Accepted { stream, number }));
         }
     });
     address
 }
 
-/// An upstream that answers every request by its connection's number and its head.
+/// Starts an upstream that responds to each request with the text that `respond` returns for the connection's number and
+/// the request's head.
 fn responding_upstream(
-    say: impl Fn(usize, &str) -> String + Send + Sync + Clone + 'static,
+    respond: impl Fn(usize, &str) -> String + Send + Sync + Clone + 'static,
 ) -> SocketAddr {
     start_upstream(move |mut accepted| {
         while let Some(head) = accepted.read_request() {
-            let text = say(accepted.number, &head);
+            let text = respond(accepted.number, &head);
             accepted.write(&text);
         }
     })
 }
 
-/// A whole answer to the request of this head, which bears these lines too.
+/// Returns a complete response to the request with this head, with additional header lines.
 fn response_text(head: &str, status: &str, lines: &str, body: &str) -> String {
     let id = head
         .lines()
@@ -93,12 +96,12 @@
 }
 
 fn pool_config(max_connections: usize) -> PoolConfig {
-    let (keepalive, connect_timeout, answers) = (LONG_TIMEOUT, LONG_TIMEOUT, 4 << 20);
+    let (keepalive, connect_timeout, max_response_bytes) = (LONG_TIMEOUT, LONG_TIMEOUT, 4 << 20);
     PoolConfig {
         max_connections,
         keepalive,
         connect_timeout,
-        max_response_bytes: answers,
+        max_response_bytes,
         protocol: upstream_protocol(),
     }
 }
@@ -147,18 +150,18 @@
 const SEAL: &str = "Upstream-Seal: s\r\n";
 const NOT_RUN: &str = "Not-Run: 1\r\n";
 
-/// The status and headers of a response, and what becomes of it: the outcome, and whether it is forwarded.
+/// The status and headers of a response, the expected outcome, and whether the response is forwarded.
 type ForwardingCase = (&'static str, String, AttemptOutcome, bool);
 
 async fn assert_forwarding(cases: Vec<ForwardingCase>) {
     let run = async {
         for (status, lines, outcome, is_forwarded) in cases {
-            let said = lines.clone();
+            let response_headers = lines.clone();
             let pool = UpstreamPool::new(pool_config(8));
-            let at = target(responding_upstream(move |_, head| {
-                response_text(head, status, &said, "")
+            let target = target(responding_upstream(move |_, head| {
+                response_text(head, status, &response_headers, "")
             }));
-            let result = attempt(&pool, 1, &at, "a").await;
+            let result = attempt(&pool, 1, &target, "a").await;
             assert_eq!(result.outcome, outcome, "{status} {lines:?}");
             assert_eq!(
                 result.response.is_some(),
@@ -168,9 +171,9 @@
             let Some(response) = result.response else {
                 continue;
             };
-            let passed = forward_response(response, &[]);
-            assert!(status.starts_with(passed.status().as_str()));
-            let seal = passed.headers().get("upstream-seal");
+            let forwarded = forward_response(response, &[]);
+            assert!(status.starts_with(forwarded.status().as_str()));
+            let seal = forwarded.headers().get("upstream-seal");
             assert_eq!(seal.is_some(), lines.contains(SEAL), "{status} {lines:?}");
         }
     };
@@ -221,7 +224,7 @@
 #[tokio::test]
 async fn not_run_header_is_believed_once_and_on_some_statuses() {
     assert_forwarding(vec![
-        // Without the header the status promises nothing.
+        // Without the header the status does not prove that the request has not run.
         ("503 Full", NOT_RUN.into(), AttemptOutcome::Rejected, false),
         ("429 Many", NOT_RUN.into(), AttemptOutcome::Rejected, false),
         ("400 Bad Request", NOT_RUN.into(), AttemptOutcome::Ok, true),
@@ -244,13 +247,14 @@
 
 #[tokio::test]
 async fn late_second_response_never_meets_a_retry_of_its_request() {
-    // The second answer to the first `a` comes where the same connection would carry `a` again.
-    let late = "HTTP/1.1 500 Late\r\nattempt-id: a\r\nContent-Length: 0\r\n\r\n";
+    // The upstream sends a second response to the first `a` just before its response to the retry of `a`, if both use
+    // the same connection.
+    let late_response = "HTTP/1.1 500 Late\r\nattempt-id: a\r\nContent-Length: 0\r\n\r\n";
     let at = start_upstream(move |mut accepted| {
-        let mut tries = 0;
+        let mut attempts = 0;
         while let Some(head) = accepted.read_request() {
-            tries += i32::from(head.contains("attempt-id: a\r\n"));
-            let surplus = if tries == 2 { late } else { "" };
+            attempts += i32::from(head.contains("attempt-id: a\r\n"));
+            let surplus = if attempts == 2 { late_response } else { "" };
             let text = response_text(&head, "200 OK", "Upstream-Seal: s\r\n", "own");
             accepted.write(&format!("{surplus}{text}"));
         }
@@ -271,19 +275,19 @@
 
 #[tokio::test]
 async fn truncated_or_too_large_response_counts_as_reset() {
-    let (size, room) = (1000, 999);
-    let whole =
+    let (size, limit) = (1000, 999);
+    let complete_response =
         move |head: &str| response_text(head, "200 OK", "Upstream-Seal: s\r\n", &"x".repeat(size));
     let trickling = start_upstream(move |mut accepted| {
         let head = accepted.read_request().expect("a request");
-        for byte in whole(&head).as_bytes().chunks(1) {
+        for byte in complete_response(&head).as_bytes().chunks(1) {
             let _ = accepted.stream.write_all(byte);
         }
         accepted.read_request();
     });
     let cut = start_upstream(move |mut accepted| {
         let head = accepted.read_request().expect("a request");
-        let text = whole(&head);
+        let text = complete_response(&head);
         accepted.write(&text[..text.len() - 1]);
     });
     let run = async {
@@ -298,13 +302,13 @@
             (result.outcome, body(&result).len()),
             (AttemptOutcome::Ok, size)
         );
-        let scarce = UpstreamPool::new(PoolConfig {
-            max_response_bytes: room,
+        let limited_pool = UpstreamPool::new(PoolConfig {
+            max_response_bytes: limit,
             ..pool_config(8)
         });
         for (pool, at) in [
             (UpstreamPool::new(pool_config(8)), cut),
-            (scarce, trickling),
+            (limited_pool, trickling),
         ] {
             let result = attempt(&pool, 1, &target(at), "a").await;
             assert_eq!(
@@ -316,19 +320,19 @@
     LocalSet::new().run_until(run).await;
 }
 
-/// An upstream that reads this much of a request, says something, tells of it, and stays silent.
+/// Starts an upstream that reads `read` bytes of a request, writes `text`, notifies the test, and stays silent.
 fn silent_upstream(read: usize, text: &'static str) -> (SocketAddr, Receiver<()>) {
-    let (tell, told): (Sender<()>, _) = channel();
+    let (notify, notified): (Sender<()>, _) = channel();
     let address = start_upstream(move |mut accepted| {
         accepted
             .stream
             .read_exact(&mut vec![0; read])
             .expect("a part");
         accepted.write(text);
-        tell.send(()).expect("somebody waits");
+        notify.send(()).expect("the test is waiting");
         thread::sleep(LONG_TIMEOUT);
     });
-    (address, told)
+    (address, notified)
 }
 
 #[tokio::test(start_paused = true)]
@@ -345,21 +349,24 @@
     ];
     let run = async {
         for (length, text, expected) in cases {
-            let (address, told) = silent_upstream(1, text);
-            // Paused time stands while something blocks: until the upstream has said its word.
-            let waits = tokio::task::spawn_blocking(move || told.recv());
+            let (address, notified) = silent_upstream(1, text);
+            // Paused time does not advance while a blocking task runs, here until the upstream has written its text.
+            let upstream_wrote = tokio::task::spawn_blocking(move || notified.recv());
             let (pool, forward) = (
                 UpstreamPool::new(pool_config(8)),
                 forward("a", Method::POST, length),
             );
-            let at = target(address);
+            let target = target(address);
             let deadline = Instant::now() + Duration::from_secs(1);
             let result = pool
-                .attempt(ServerId(1), &at, &forward, deadline, || true)
+                .attempt(ServerId(1), &target, &forward, deadline, || true)
                 .await;
             assert_eq!(result.outcome, expected, "{length} {text:?}");
             assert!(result.response.is_none());
-            waits.await.expect("joined").expect("it spoke");
+            upstream_wrote
+                .await
+                .expect("joined")
+                .expect("the upstream wrote its text");
         }
     };
     LocalSet::new().run_until(run).await;
@@ -370,17 +377,17 @@
     let sealed = |number: usize, head: &str| {
         response_text(head, "200 OK", "Upstream-Seal: s\r\n", &number.to_string())
     };
-    let (tell, told) = channel();
+    let (notify, notified) = channel();
     let closing = start_upstream(move |mut accepted| {
         while let Some(head) = accepted.read_request() {
             accepted.write(&sealed(accepted.number, &head));
         }
-        tell.send(accepted.number).expect("somebody waits");
+        notify.send(accepted.number).expect("the test is waiting");
     });
     let run = async {
         let (pool, at) = (UpstreamPool::new(pool_config(8)), target(closing));
         assert_eq!(body(&attempt(&pool, 1, &at, "a").await), "0");
-        // A request that is over by now leaves the connection to the next.
+        // A request that is no longer wanted leaves the connection to the next one.
         let over = forward("b", Method::POST, 0);
         let deadline = Instant::now() + LONG_TIMEOUT;
         let result = pool
@@ -388,13 +395,13 @@
             .await;
         assert_eq!(result.outcome, AttemptOutcome::NotIssued);
         assert_eq!(body(&attempt(&pool, 1, &at, "b").await), "0");
-        // Another upstream at the same address has connections of its own.
+        // Another upstream at the same address gets its own connection.
         assert_eq!(body(&attempt(&pool, 2, &at, "c").await), "1");
-        // One that moved is not looked for at its old address.
+        // An upstream that moved is not contacted at its old address.
         at.address
             .set(responding_upstream(move |_, head| sealed(9, head)));
         assert_eq!(body(&attempt(&pool, 1, &at, "d").await), "9");
-        // Nothing goes to one that is gone, and its connections end.
+        // Nothing is sent to an upstream that is gone, and its connections are closed.
         at.address.set(closing);
         at.closed_at.set(Some(Instant::now()));
         assert_eq!(
@@ -402,12 +409,13 @@
             AttemptOutcome::NotIssued
         );
         let mut closed = [
-            told.recv_timeout(TEST_TIMEOUT).expect("told"),
-            told.recv_timeout(TEST_TIMEOUT).expect("told"),
+            notified.recv_timeout(TEST_TIMEOUT).expect("notified"),
+            notified.recv_timeout(TEST_TIMEOUT).expect("notified"),
         ];
         closed.sort_unstable();
         assert_eq!(closed, [0, 1]);
-        // Nothing goes to one that can't be named: whoever has its address by now would run it.
+        // Nothing is sent to an upstream whose name can't be sent along: another one that has taken over its address
+        // would run the request.
         let unnamed = Target {
             name: None,
             ..target(closing)
@@ -420,11 +428,11 @@
     LocalSet::new().run_until(run).await;
 }
 
-/// In virtual time, so that the speed of the machine does not matter.
+/// Waits in virtual time, so that the speed of the machine does not matter.
 #[tokio::test]
 async fn idle_connection_is_closed_before_its_upstream_closes_it() {
     const KEEPALIVE: Duration = Duration::from_secs(4);
-    let (tell, closed) = channel();
+    let (notify, closed) = channel();
     let at = start_upstream(move |mut accepted| {
         while let Some(head) = accepted.read_request() {
             accepted.write(&response_text(
@@ -434,7 +442,7 @@
                 "own",
             ));
         }
-        tell.send(()).expect("somebody waits");
+        notify.send(()).expect("the test is waiting");
     });
     let run = async {
         let pool = UpstreamPool::new(PoolConfig {
@@ -444,7 +452,10 @@
         assert_eq!(body(&attempt(&pool, 1, &target(at), "a").await), "own");
         tokio::time::pause();
         tokio::time::sleep(KEEPALIVE.mul_f64(0.7)).await;
-        assert!(closed.try_recv().is_err(), "it could be used for longer");
+        assert!(
+            closed.try_recv().is_err(),
+            "closed although it could still be used"
+        );
         tokio::time::sleep(KEEPALIVE.mul_f64(0.25)).await;
         closed.recv_timeout(TEST_TIMEOUT).expect("closed");
     };
@@ -454,15 +465,15 @@
 #[tokio::test]
 async fn longest_idle_connection_is_closed_at_the_limit() {
     let at = || {
-        let (tell, told) = channel();
+        let (notify, notified) = channel();
         let address = start_upstream(move |mut accepted| {
             while let Some(head) = accepted.read_request() {
                 let text = response_text(&head, "200 OK", "Upstream-Seal: s\r\n", "own");
                 accepted.write(&text);
             }
-            tell.send(()).expect("somebody waits");
+            notify.send(()).expect("the test is waiting");
         });
-        (target(address), told)
+        (target(address), notified)
     };
     let ((first, first_closed), (second, second_closed), (third, _third)) = (at(), at(), at());
     let run = async {
@@ -472,14 +483,14 @@
         }
         first_closed
             .recv_timeout(TEST_TIMEOUT)
-            .expect("it gave way");
+            .expect("the connection that was idle longest is closed");
         assert!(second_closed.try_recv().is_err());
         assert_eq!(body(&attempt(&pool, 2, &second, "b").await), "own");
     };
     LocalSet::new().run_until(run).await;
 }
 
-/// A running engine before two upstreams that respond with these statuses.
+/// Starts an engine with two upstreams that respond with these statuses.
 fn start_engine(statuses: [&'static str; 2]) -> (EngineHandle, JoinHandle<()>) {
     let (engine_config, pool) = (
         EngineConfig {
@@ -497,9 +508,7 @@
     class.max_attempts = Some(2);
     let mut settings = d::Settings::basic(vec![class]);
     settings.limits.max_attempts = 2;
-    engine
-        .apply_settings(0, settings)
-        .expect("settings that can be used");
+    engine.apply_settings(0, settings).expect("valid settings");
     let list = (1..).zip(statuses).map(|(n, status)| ListedUpstream {
         id: format!("i-{n}"),
         address: Some(responding_upstream(move |_, head| {
@@ -521,7 +530,8 @@
     (handle, tokio::task::spawn_local(engine.run()))
 }
 
-/// What clients of the engine get from two upstreams that respond with these statuses, as status and seal.
+/// Returns the status and seal of each response that clients get through an engine with two upstreams that respond
+/// with these statuses.
 async fn forwarded_replies(statuses: [&'static str; 2]) -> Vec<(u16, Option<String>)> {
     let (handle, running) = start_engine(statuses);
     let mut seen = Vec::new();
@@ -538,10 +548,10 @@
         };
         let forward = forward(&format!("r-{n}"), Method::GET, 0);
         if let EngineReply::Served(response) = handle.submit(0, request, forward).await {
-            let passed = forward_response(response, &[]);
-            let seal = passed.headers().get("upstream-seal");
+            let forwarded = forward_response(response, &[]);
+            let seal = forwarded.headers().get("upstream-seal");
             let seal = seal.map(|seal| seal.to_str().expect("text").to_string());
-            seen.push((passed.status().as_u16(), seal));
+            seen.push((forwarded.status().as_u16(), seal));
         }
     }
     running.abort();
@@ -559,7 +569,7 @@
                 .all(|s| *s == pair(500, "s-1") || *s == pair(502, "s-2")),
             "{seen:?}"
         );
-        // A status that implies that the request has not run is not forwarded, whatever came before it.
+        // A status that implies that the request has not run is not forwarded, whatever other attempts got.
         let seen = forwarded_replies(["500 Error", "503 Full"]).await;
         assert!(seen.iter().all(|s| *s == pair(500, "s-1")), "{seen:?}");
     };
