--- a/crates/data-plane/tests/client_schedules.rs
+++ b/crates/data-plane/tests/client_schedules.rs
@@ -254,7 +254,7 @@
     complete_requests: usize,
 }
 
-async fn play(schedule: &Schedule) -> Transcript {
+async fn run_schedule(schedule: &Schedule) -> Transcript {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
     let long_timeout = MAX_WAIT * 10;
@@ -519,7 +519,7 @@
         .build();
     let runtime = runtime.expect("a runtime");
     let ended = runner.run(&schedule(), |schedule| {
-        let transcript = LocalSet::new().block_on(&runtime, play(&schedule));
+        let transcript = LocalSet::new().block_on(&runtime, run_schedule(&schedule));
         check_transcript(&schedule, &transcript);
         Ok(())
     });
--- a/crates/data-plane/tests/model/attempts.rs
+++ b/crates/data-plane/tests/model/attempts.rs
@@ -341,7 +341,7 @@
     }
 }
 
-async fn play(scenario: Scenario) -> Result<(), String> {
+async fn run_scenario(scenario: Scenario) -> Result<(), String> {
     let test_bed = TestBed::new(scenario).await;
     if scenario.with_idle_connections {
         warm_up(&test_bed).await;
@@ -463,10 +463,13 @@
     all
 }
 
-async fn play_all(scenarios: Vec<Scenario>) -> Vec<(Scenario, String)> {
+async fn run_scenarios(scenarios: Vec<Scenario>) -> Vec<(Scenario, String)> {
     let mut failed = Vec::new();
     for batch in scenarios.chunks(CONCURRENT_SCENARIOS) {
-        let tasks: Vec<_> = batch.iter().map(|o| (*o, spawn_local(play(*o)))).collect();
+        let tasks: Vec<_> = batch
+            .iter()
+            .map(|o| (*o, spawn_local(run_scenario(*o))))
+            .collect();
         for (scenario, task) in tasks {
             let result = task.await.unwrap_or_else(|panic| Err(panic.to_string()));
             failed.extend(result.err().map(|cause| (scenario, cause)));
@@ -478,7 +481,7 @@
 #[test]
 fn unsafe_request_runs_at_most_once_in_every_order_of_outcomes() {
     let scenarios = scenarios();
-    let played = scenarios.len();
+    let total = scenarios.len();
     let threads: Vec<_> = (0..THREADS)
         .map(|t| {
             let own: Vec<Scenario> = scenarios.iter().skip(t).step_by(THREADS).copied().collect();
@@ -486,7 +489,7 @@
                 let runtime = tokio::runtime::Builder::new_current_thread()
                     .enable_all()
                     .build();
-                LocalSet::new().block_on(&runtime.expect("a runtime"), play_all(own))
+                LocalSet::new().block_on(&runtime.expect("a runtime"), run_scenarios(own))
             })
         })
         .collect();
@@ -500,7 +503,7 @@
         .for_each(|(scenario, cause)| println!("{cause}: {scenario:?}"));
     assert!(
         failed.is_empty(),
-        "{} of {played} scenarios failed",
+        "{} of {total} scenarios failed",
         failed.len()
     );
 }
--- a/crates/data-plane/tests/model/connection.rs
+++ b/crates/data-plane/tests/model/connection.rs
@@ -245,7 +245,7 @@
     }
 }
 
-async fn play_call(
+async fn run_call(
     pool: Rc<UpstreamPool>,
     upstreams: Rc<ScriptedUpstreams>,
     schedule: Rc<Schedule>,
@@ -268,7 +268,7 @@
     ended
 }
 
-async fn play(schedule: Rc<Schedule>) -> Result<Statistics, String> {
+async fn run_schedule(schedule: Rc<Schedule>) -> Result<Statistics, String> {
     let script = schedule.clone();
     let next = move |request: &crate::scripted_upstream::Request| {
         script.calls[request.call].behaviour.clone()
@@ -293,7 +293,7 @@
         } else {
             *incarnation
         };
-        let one = play_call(pool.clone(), upstreams.clone(), schedule.clone(), n, named);
+        let one = run_call(pool.clone(), upstreams.clone(), schedule.clone(), n, named);
         let results = ended.clone();
         running.push(spawn_local(async move {
             let result = one.await;
@@ -378,8 +378,8 @@
         .to_string()
 }
 
-async fn replay(schedule: &Schedule, kind: &str) -> Option<String> {
-    let again = |_| spawn_local(play(Rc::new(schedule.clone())));
+async fn rerun(schedule: &Schedule, kind: &str) -> Option<String> {
+    let again = |_| spawn_local(run_schedule(Rc::new(schedule.clone())));
     let tasks: Vec<_> = (0..REPEATS).map(again).collect();
     let mut failed = None;
     for task in tasks {
@@ -398,7 +398,7 @@
         + Duration::from_secs(env_number("MODEL_SHRINK_S").unwrap_or(DEFAULT_SHRINK_S));
     while simpler && Instant::now() < until {
         let current = tree.current();
-        simpler = match replay(&current, &kind).await {
+        simpler = match rerun(&current, &kind).await {
             Some(cause) => {
                 smallest = (current, cause);
                 tree.simplify()
@@ -411,19 +411,24 @@
 
 /// The result of a batch of schedules: counts, and the seed and cause of each failure.
 #[derive(Default)]
-struct Played {
+struct BatchResult {
     statistics: Statistics,
     failed: Vec<(u64, String)>,
 }
 
 /// Runs the schedules of these seeds concurrently.
-async fn play_all(seeds: impl Iterator<Item = u64>) -> Played {
-    let (mut all, mut seeds) = (Played::default(), seeds.peekable());
+async fn run_schedules(seeds: impl Iterator<Item = u64>) -> BatchResult {
+    let (mut all, mut seeds) = (BatchResult::default(), seeds.peekable());
     while seeds.peek().is_some() && all.failed.len() < MAX_FAILURES {
         let batch: Vec<_> = seeds
             .by_ref()
             .take(CONCURRENT_SCHEDULES)
-            .map(|seed| (seed, spawn_local(play(Rc::new(value_tree(seed).current())))))
+            .map(|seed| {
+                (
+                    seed,
+                    spawn_local(run_schedule(Rc::new(value_tree(seed).current()))),
+                )
+            })
             .collect();
         for (seed, task) in batch {
             match task.await {
@@ -462,21 +467,21 @@
 #[test]
 fn caller_gets_its_own_complete_response_or_an_honest_failure() {
     if let Some(seed) = env_number("MODEL_SEED") {
-        return report(&block_on_local(play_all(std::iter::repeat_n(seed, 1000))).failed);
+        return report(&block_on_local(run_schedules(std::iter::repeat_n(seed, 1000))).failed);
     }
     let from = env_number("MODEL_FIRST_SEED").unwrap_or(0);
     let to = from + env_number("MODEL_SCHEDULES").unwrap_or(SCHEDULES);
     let threads: Vec<_> = (0..THREADS)
         .map(|t| {
             let seeds = (from + t..to).step_by(THREADS as usize);
-            std::thread::spawn(move || block_on_local(play_all(seeds)))
+            std::thread::spawn(move || block_on_local(run_schedules(seeds)))
         })
         .collect();
     let (mut all, mut failed) = (Statistics::default(), Vec::new());
     for thread in threads {
-        let played = thread.join().expect("a thread that ends");
-        all.add(&played.statistics);
-        failed.extend(played.failed);
+        let result = thread.join().expect("a thread that ends");
+        all.add(&result.statistics);
+        failed.extend(result.failed);
     }
     report(&failed);
     println!("{all:?}");
@@ -507,5 +512,5 @@
     let repeated = all
         .into_iter()
         .flat_map(|seed| std::iter::repeat_n(seed, REPEATS));
-    report(&block_on_local(play_all(repeated)).failed);
+    report(&block_on_local(run_schedules(repeated)).failed);
 }
--- a/crates/data-plane/tests/model/schedule.rs
+++ b/crates/data-plane/tests/model/schedule.rs
@@ -44,7 +44,7 @@
     pub disconnects: bool,
     /// The call runs concurrently with the one before it.
     pub is_concurrent: bool,
-    /// The next call begins only after delayed steps were played.
+    /// The next call begins only after delayed steps were executed.
     pub flushes_delayed: bool,
 }
 
@@ -267,7 +267,7 @@
             }
             let resets_instead = end == End::Keep && (cut || close || !answered || !reads_body);
             let end = if resets_instead { End::Reset } else { end };
-            // The steps are played either right after the request's head or once its body was read or skipped.
+            // The steps are executed either right after the request's head or once its body was read or skipped.
             let (before_body, steps) = if before_body {
                 (steps, Vec::new())
             } else {
--- a/crates/data-plane/tests/model/scripted_upstream.rs
+++ b/crates/data-plane/tests/model/scripted_upstream.rs
@@ -355,7 +355,7 @@
     serial: Cell<usize>,
     /// Calls that have ended for their callers, by response or disconnect.
     ended_calls: RefCell<Vec<usize>>,
-    /// Number of connections that wait for a call to end before they play delayed steps.
+    /// Number of connections that wait for a call to end before they execute delayed steps.
     delayed_steps: Cell<usize>,
     changed: Notify,
     /// Faults of the balancer that no script explains, such as requests that nobody sent or that were changed.
@@ -447,7 +447,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Lets delayed steps be played, for at most 100 turns of the scheduler.
+    /// Lets delayed steps be executed, for at most 100 turns of the scheduler.
     pub(crate) async fn flush_delayed(&self) {
         for _ in 0..100 {
             if self.delayed_steps.get() == 0 {
@@ -526,7 +526,8 @@
                 runs: behaviour.runs,
                 end: behaviour.end,
             };
-            self.play(&behaviour.before_body, &mut out, &served).await;
+            self.execute_steps(&behaviour.before_body, &mut out, &served)
+                .await;
             if behaviour.reads_body || length == 0 {
                 if !read_body(&mut out.stream, &mut unread, length).await {
                     return;
@@ -542,7 +543,8 @@
             {
                 self.update_record(call, |record| record.body_left_unread = true);
             }
-            self.play(&behaviour.steps, &mut out, &served).await;
+            self.execute_steps(&behaviour.steps, &mut out, &served)
+                .await;
             stream = out.stream;
             match behaviour.end {
                 End::Keep if behaviour.reads_body || length == 0 => {}
@@ -555,7 +557,7 @@
         }
     }
 
-    async fn play(&self, steps: &[Step], out: &mut Output, served: &[Request]) {
+    async fn execute_steps(&self, steps: &[Step], out: &mut Output, served: &[Request]) {
         let Some(own) = served.last() else { return };
         for step in steps {
             match step {
@@ -594,7 +596,8 @@
         }
     }
 
-    /// Writes a response. `end` is how the connection ends after the response that counts, and `None` for a surplus one.
+    /// Writes a response. `end` is how the connection ends after the response that counts, or `None` for a surplus
+    /// response.
     async fn respond(
         &self,
         response: &ScriptedResponse,
--- a/crates/data-plane/tests/upstream_responses.rs
+++ b/crates/data-plane/tests/upstream_responses.rs
@@ -72,8 +72,8 @@
     address
 }
 
-/// Starts an upstream that responds to each request with the text that `respond` returns for the connection's number and
-/// the request's head.
+/// Starts an upstream that responds to each request with the text that `respond` returns for the number of the
+/// connection and the head of the request.
 fn responding_upstream(
     respond: impl Fn(usize, &str) -> String + Send + Sync + Clone + 'static,
 ) -> SocketAddr {
