--- a/crates/shorefront/src/commands.rs
+++ b/crates/shorefront/src/commands.rs
@@ -1,8 +1,8 @@
-//! The operator's commands. Each is a call to whichever control balancer answers definitely, and its exit status
-//! tells what became of it.
+//! The operator's commands. Each one calls the control balancers until one of them gives a definite response, and
+//! reports the outcome by its exit status.
 //!
-//! Nothing is kept here: a command that is started again with the same file is recognized by the control plane as the
-//! same, and is not applied twice.
+//! The commands keep no state: when one is run again with the same file, the control plane recognizes it as the same
+//! command and does not apply it twice.
 
 mod config;
 mod config_diff;
@@ -20,7 +20,8 @@
 use evacuation::EvacuationCommand;
 use target::Target;
 
-// The comments on commands and arguments are the program's help, which operators' scripts and pages quote.
+// The doc comments on commands and arguments are the program's help text, which operators' scripts and documentation
+// quote.
 
 #[derive(Subcommand)]
 pub(crate) enum OperatorCommand {
--- a/crates/shorefront/src/commands/config.rs
+++ b/crates/shorefront/src/commands/config.rs
@@ -63,26 +63,26 @@
     }
 }
 
-/// Sends a change, on top of the given revision or the current one.
+/// Submits a change that is based on the given revision or else on the current one.
 async fn submit(target: &Target, path: &str, change: &Change) -> Result<String, CommandError> {
     let client = target.client()?;
-    // Sent as it stands in the file: the control plane recognizes it by its bytes when it is sent again.
+    // The file is sent byte for byte, because the control plane recognizes a repeated command by its bytes.
     let body = JsonFile::read(&change.file)?.bytes;
     let base = match change.base {
         Some(base) => base,
         None => read_current_config(&client).await?.revision,
     };
     let request = OperatorRequest::post(path, Some(base), body.into());
-    let answer = call(&client, &request).await?;
+    let response = call(&client, &request).await?;
     Ok(match target.output {
         OutputFormat::Table => {
-            format!("version {} is in force, on top of {base}", answer["rev"])
+            format!("version {} is in force, on top of {base}", response["rev"])
         }
-        OutputFormat::Json => answer.to_string(),
+        OutputFormat::Json => response.to_string(),
     })
 }
 
-/// A file's bytes, and the JSON that they are.
+/// The bytes of a JSON file, and the document that they encode.
 struct JsonFile {
     bytes: Vec<u8>,
     document: Value,
@@ -102,7 +102,7 @@
     }
 }
 
-/// A whole and valid configuration, as it stands in the file and as it is understood.
+/// A complete and valid configuration, as the JSON document of the file and in parsed form.
 struct ConfigFile {
     document: Value,
     config: Config,
--- a/crates/shorefront/src/commands/config_diff.rs
+++ b/crates/shorefront/src/commands/config_diff.rs
@@ -6,10 +6,10 @@
 
 use super::table::cell_text;
 
-/// Lists of a configuration whose items have names.
+/// Lists of the configuration whose items have names.
 const NAMED_LISTS: [&str; 2] = ["services", "routes"];
 
-/// One line for each item that is added (`+`), changed (`~`) or removed (`-`), and one for changed `limits`.
+/// Returns one line for each item that is added (`+`), changed (`~`) or removed (`-`), and one for changed `limits`.
 pub(crate) fn diff(current: &Value, next: &Value) -> Vec<String> {
     let mut lines = Vec::new();
     for list in NAMED_LISTS {
@@ -40,7 +40,7 @@
     items.map(|item| (cell_text(&item["name"]), item)).collect()
 }
 
-/// The fields in which two items differ, with both values.
+/// Lists the fields in which two items differ, with both values.
 fn changed_fields(old: &Value, new: &Value) -> String {
     let names = |item: &Value| -> Vec<String> {
         item.as_object()
--- a/crates/shorefront/src/commands/error.rs
+++ b/crates/shorefront/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command ends without what it was to do, and the exit status that says so.
+//! Errors of the operator's commands, and the exit statuses that they map to.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,14 +9,14 @@
 
 use crate::EXIT_FAILURE;
 
-/// Exit status of a command that was refused, and changes nothing.
+/// Exit status of a command that was refused and changes nothing.
 const EXIT_REFUSED: u8 = 3;
-/// Exit status where no answer says what became of a command: it may be applied or not.
+/// Exit status of a command without a definite response, which may or may not be applied.
 const EXIT_INDETERMINATE: u8 = 4;
 
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// There is no address to call.
+    /// No address of a control balancer is known.
     #[error("{0}; or name a balancer with --at")]
     NoTarget(#[from] SettingsError),
     #[error("--patience {seconds}: {source}")]
@@ -41,19 +41,19 @@
     },
     #[error("no configuration yet")]
     NoConfiguration,
-    /// An answer says that the command was not, and will not be, applied.
+    /// A response says that the command was not and will not be applied.
     #[error("refused ({status}): {reason}")]
     Refused { status: u16, reason: String },
-    /// No definite answer came in time.
+    /// No definite response was received in time.
     #[error(transparent)]
     Unanswered(#[from] OperatorError),
-    /// An answer reports success in a form that can't be read.
+    /// A response reports success, but its body is not JSON.
     #[error("{body}: {source}")]
-    UnreadableAnswer {
+    UnreadableResponse {
         body: String,
         source: serde_json::Error,
     },
-    /// None of several control balancers has answered: what became of each call.
+    /// None of the control balancers has responded. Holds the error of each call.
     #[error("{0}")]
     AllUnanswered(String),
 }
@@ -68,7 +68,7 @@
             | Self::InvalidConfig { .. }
             | Self::NoConfiguration => EXIT_FAILURE,
             Self::Refused { .. } => EXIT_REFUSED,
-            Self::Unanswered(_) | Self::UnreadableAnswer { .. } | Self::AllUnanswered(_) => {
+            Self::Unanswered(_) | Self::UnreadableResponse { .. } | Self::AllUnanswered(_) => {
                 EXIT_INDETERMINATE
             }
         })
--- a/crates/shorefront/src/commands/evacuation.rs
+++ b/crates/shorefront/src/commands/evacuation.rs
@@ -1,4 +1,4 @@
-//! `shorefront drain`: evacuates a zone, and returns it.
+//! `shorefront drain`: begins and ends the evacuation of a zone.
 
 use clap::Subcommand;
 use control_plane::operator_client::{Bytes, OperatorRequest};
@@ -25,15 +25,15 @@
     };
     let path = format!("/-/Drain.{call_name}/{zone}");
     let request = OperatorRequest::post(&path, None, Bytes::new());
-    let answer = call(&target.client()?, &request).await?;
+    let response = call(&target.client()?, &request).await?;
     Ok(match target.output {
-        OutputFormat::Table => match answer["evacuations"].as_u64() {
+        OutputFormat::Table => match response["evacuations"].as_u64() {
             Some(0) => format!("zone {zone} is not evacuated"),
             evacuations => {
                 let count = evacuations.unwrap_or_default();
                 format!("zone {zone} is evacuated ({count} times)")
             }
         },
-        OutputFormat::Json => answer.to_string(),
+        OutputFormat::Json => response.to_string(),
     })
 }
--- a/crates/shorefront/src/commands/status.rs
+++ b/crates/shorefront/src/commands/status.rs
@@ -1,7 +1,8 @@
 //! `shorefront status`: the state of the system, as the control balancers that were called and their leader report it.
 //!
-//! The first table has a row for each control balancer that answered. The members of the log are shown as the leader
-//! reports them, since only the leader knows how far each has got. All else is shown as the first that answered sees it.
+//! The first table has a row for each control balancer that responded. The members of the log are shown as the leader
+//! reports them, since only the leader knows how far each of them has replicated. Everything else is shown as the first
+//! control balancer that responded reports it.
 
 use std::net::SocketAddr;
 
@@ -15,17 +16,17 @@
 /// Runs the command, and returns what it prints.
 pub(crate) async fn run(target: &Target) -> Result<String, CommandError> {
     let report = StatusReport::collect(&target.client()?).await;
-    let Some(first) = report.answers.first() else {
+    let Some(first) = report.responses.first() else {
         let errors: Vec<String> = report.unanswered.iter().map(Unanswered::text).collect();
         return Err(CommandError::AllUnanswered(errors.join("; ")));
     };
     match target.output {
-        OutputFormat::Json => Ok(Value::Array(report.answers).to_string()),
+        OutputFormat::Json => Ok(Value::Array(report.responses).to_string()),
         OutputFormat::Table => Ok(report.format(first)),
     }
 }
 
-/// A control balancer that was called and has not answered.
+/// A control balancer that was called and has not responded.
 struct Unanswered {
     address: SocketAddr,
     error: CommandError,
@@ -37,40 +38,40 @@
     }
 }
 
-/// What came of the calls.
+/// The results of all calls.
 struct StatusReport {
-    answers: Vec<Value>,
+    responses: Vec<Value>,
     unanswered: Vec<Unanswered>,
 }
 
 impl StatusReport {
-    /// Calls each control balancer, and the leader that they name if it is not among them.
+    /// Calls each control balancer, and also the leader that they name if it was not called.
     async fn collect(client: &OperatorClient) -> Self {
-        let (mut answers, mut unanswered) = (Vec::new(), Vec::new());
+        let (mut responses, mut unanswered) = (Vec::new(), Vec::new());
         for &address in &client.addresses {
             match read_status(client, address).await {
-                Ok(status) => answers.push(status),
+                Ok(status) => responses.push(status),
                 Err(error) => unanswered.push(Unanswered { address, error }),
             }
         }
-        if let Some(leader) = uncalled_leader(&answers, &client.addresses)
+        if let Some(leader) = uncalled_leader(&responses, &client.addresses)
             && let Ok(status) = read_status(client, leader).await
         {
-            answers.push(status);
+            responses.push(status);
         }
         Self {
-            answers,
+            responses,
             unanswered,
         }
     }
 
-    /// The report for people; `first` is the first answer.
+    /// Formats the report as tables. `first` is the first response.
     fn format(&self, first: &Value) -> String {
-        let mut text = format_control_balancers(&self.answers);
+        let mut text = format_control_balancers(&self.responses);
         for unanswered in &self.unanswered {
             text += &format!("{}\n", unanswered.text());
         }
-        let leader = self.answers.iter().find(|s| has_member_details(s));
+        let leader = self.responses.iter().find(|s| has_member_details(s));
         text += &format_members(leader.unwrap_or(first));
         text += &format_evacuations(first);
         text += &format_key_ranges(first);
@@ -86,17 +87,18 @@
     call(&client, &OperatorRequest::get("/-/Status")).await
 }
 
-/// Only the leader reports how each member stands.
+/// Whether the status has the state of each member, which only the leader reports.
 fn has_member_details(status: &Value) -> bool {
     !status["members"].is_null()
 }
 
-/// The `ctl` address of the leader that is named, where no leader has answered. Ports are alike on all machines.
-fn uncalled_leader(answers: &[Value], called: &[SocketAddr]) -> Option<SocketAddr> {
-    if answers.iter().any(has_member_details) {
+/// Returns the `ctl` address of the leader that the responses name, if the leader has not responded itself. Assumes the
+/// same `ctl` port on all machines.
+fn uncalled_leader(responses: &[Value], called: &[SocketAddr]) -> Option<SocketAddr> {
+    if responses.iter().any(has_member_details) {
         return None;
     }
-    let leader = answers
+    let leader = responses
         .iter()
         .find_map(|s| s["leader"].as_str()?.parse::<SocketAddr>().ok())?;
     Some(SocketAddr::new(leader.ip(), called.first()?.port()))
@@ -106,13 +108,13 @@
     titles.map(String::from)
 }
 
-fn format_control_balancers(answers: &[Value]) -> String {
+fn format_control_balancers(responses: &[Value]) -> String {
     let commit_index = |s: &Value| s["commit"].as_u64();
-    let newest = answers.iter().filter_map(commit_index).max().unwrap_or(0);
+    let newest = responses.iter().filter_map(commit_index).max().unwrap_or(0);
     let mut rows = vec![header([
         "CONTROL", "ROLE", "TERM", "COMMIT", "BEHIND", "REV",
     ])];
-    rows.extend(answers.iter().map(|s| {
+    rows.extend(responses.iter().map(|s| {
         let behind = newest - commit_index(s).unwrap_or(0);
         [
             cell_text(&s["node"]),
@@ -126,7 +128,7 @@
     table(&rows)
 }
 
-/// The members of the log: how each stands if the leader reports it, else only their addresses.
+/// Formats the members of the log: the state of each if the leader reports it, otherwise only their addresses.
 fn format_members(status: &Value) -> String {
     let leader = cell_text(&status["leader"]);
     let Some(members) = status["members"].as_array() else {
--- a/crates/shorefront/src/commands/status/tests.rs
+++ b/crates/shorefront/src/commands/status/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 #[test]
-fn the_leader_is_called_if_it_has_not_answered() {
+fn leader_is_called_if_it_has_not_responded() {
     let called: [SocketAddr; 1] = ["10.0.0.1:70".parse().expect("an address")];
     let follower = json!({"leader": "10.0.0.9:7000", "members": null});
     let leader = json!({"leader": "10.0.0.9:7000", "members": []});
--- a/crates/shorefront/src/commands/table.rs
+++ b/crates/shorefront/src/commands/table.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-/// A JSON value as a cell: strings without quotes, and `none` where there is nothing.
+/// Formats a JSON value as a cell: strings without quotes, and null as `none`.
 pub(crate) fn cell_text(value: &Value) -> String {
     match value {
         Value::Null => "none".into(),
@@ -11,7 +11,7 @@
     }
 }
 
-/// Rows of cells, with columns as wide as their widest cell. Each row ends with a line break.
+/// Formats rows of cells, with each column as wide as its widest cell. Each row ends with a line break.
 pub(crate) fn table<const N: usize>(rows: &[[String; N]]) -> String {
     let widths: [usize; N] = std::array::from_fn(|column| {
         let widths = rows.iter().map(|row| row[column].chars().count());
--- a/crates/shorefront/src/commands/target.rs
+++ b/crates/shorefront/src/commands/target.rs
@@ -1,4 +1,4 @@
-//! Which control balancers are called, and how their answers are read and shown.
+//! Selects the control balancers to call, and reads and formats their responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -34,7 +34,7 @@
 }
 
 impl Target {
-    /// The addresses to call: those given, else those of the settings file.
+    /// Returns the addresses to call: those given on the command line, otherwise those in the settings file.
     fn addresses(&self) -> Result<Vec<SocketAddr>, CommandError> {
         if !self.at.is_empty() {
             return Ok(self.at.clone());
@@ -46,7 +46,7 @@
         Ok(own.into_iter().chain(others).collect())
     }
 
-    /// A client of all these balancers.
+    /// Returns a client that calls these control balancers.
     pub(crate) fn client(&self) -> Result<OperatorClient, CommandError> {
         let timeout = Duration::try_from_secs_f64(self.patience).map_err(|source| {
             CommandError::InvalidPatience {
@@ -60,7 +60,7 @@
         })
     }
 
-    /// A document as the operator wants to see it.
+    /// Formats a document in the requested output format.
     pub(crate) fn format(&self, value: &Value) -> String {
         match self.output {
             OutputFormat::Table => serde_json::to_string_pretty(value).unwrap_or_default(),
@@ -69,24 +69,24 @@
     }
 }
 
-/// Calls, and returns the JSON of the answer if that reports success.
+/// Sends a request, and returns the JSON body of the response if that reports success.
 pub(crate) async fn call(
     client: &OperatorClient,
     request: &OperatorRequest,
 ) -> Result<Value, CommandError> {
-    read_answer(&client.call(request).await?)
+    read_response(&client.call(request).await?)
 }
 
-fn read_answer(answer: &Response<Bytes>) -> Result<Value, CommandError> {
-    let body = String::from_utf8_lossy(answer.body()).into_owned();
-    if answer.status().is_success() {
+fn read_response(response: &Response<Bytes>) -> Result<Value, CommandError> {
+    let body = String::from_utf8_lossy(response.body()).into_owned();
+    if response.status().is_success() {
         return serde_json::from_str(&body)
-            .map_err(|source| CommandError::UnreadableAnswer { body, source });
+            .map_err(|source| CommandError::UnreadableResponse { body, source });
     }
     let document = serde_json::from_str::<Value>(&body).ok();
     let reason = document.and_then(|document| document["err"].as_str().map(str::to_string));
     Err(CommandError::Refused {
-        status: answer.status().as_u16(),
+        status: response.status().as_u16(),
         reason: reason.unwrap_or(body),
     })
 }
@@ -103,11 +103,11 @@
 pub(crate) async fn read_current_config(
     client: &OperatorClient,
 ) -> Result<CurrentConfig, CommandError> {
-    let answer = client.call(&OperatorRequest::get("/-/Config.Read")).await?;
-    if answer.status() == StatusCode::NOT_FOUND {
+    let response = client.call(&OperatorRequest::get("/-/Config.Read")).await?;
+    if response.status() == StatusCode::NOT_FOUND {
         return Ok(CurrentConfig::default());
     }
-    let config = read_answer(&answer)?;
+    let config = read_response(&response)?;
     Ok(CurrentConfig {
         revision: config["rev"].as_u64().unwrap_or(0),
         config: Some(config),
--- a/crates/shorefront/src/logging.rs
+++ b/crates/shorefront/src/logging.rs
@@ -1,23 +1,23 @@
-//! Log lines: to standard error, as text or JSON, with levels by target.
+//! Sets up logging to standard error, as text or JSON, with levels per target.
 
 use clap::ValueEnum;
 use tracing_subscriber::filter::{ParseError, Targets};
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Names the variable with the levels of log lines, as `target=level` or a level for all.
+/// Environment variable with the log levels, as `target=level` or one level for all targets.
 const LOG_LEVELS_ENV_VAR: &str = "SHOREFRONT_LOG";
-/// Levels where the variable is not set.
+/// Log levels if the variable is not set.
 const DEFAULT_LOG_LEVELS: &str = "info";
 
-// No doc comments here: the help of `--log` has none for its values.
+// The variants have no doc comments, because these would appear in the help of `--log`.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub(crate) enum LogFormat {
     Text,
     Json,
 }
 
-/// The levels in the environment can't be understood.
+/// The log levels in the environment can't be parsed.
 #[derive(Debug, thiserror::Error)]
 #[error("{LOG_LEVELS_ENV_VAR}={levels}: {source}")]
 pub(crate) struct InvalidLogLevels {
@@ -25,11 +25,11 @@
     source: ParseError,
 }
 
-/// Sets up the log for the whole process. To be called once.
+/// Sets up logging for the whole process. Must be called only once.
 ///
 /// # Errors
 ///
-/// The levels named by `SHOREFRONT_LOG` can't be understood.
+/// Returns an error if the levels in `SHOREFRONT_LOG` can't be parsed.
 pub(crate) fn init(format: LogFormat) -> Result<(), InvalidLogLevels> {
     let levels = std::env::var(LOG_LEVELS_ENV_VAR).unwrap_or_else(|_| DEFAULT_LOG_LEVELS.into());
     let filter: Targets = match levels.parse() {
--- a/crates/shorefront/src/main.rs
+++ b/crates/shorefront/src/main.rs
@@ -1,10 +1,10 @@
-//! The program `shorefront`: a role for each plane, and the operator's commands.
+//! The `shorefront` program: a role for each plane, and the operator's commands.
 //!
-//! `shorefront data-plane` and `shorefront control` run until they are told to end or can't go on; what they own is
-//! described in `data_plane::runtime` and `control_plane::runtime`. Each runs on one thread. All other commands end by
-//! themselves. Standard output carries what was asked for, standard error log lines and errors. The exit status is 0
-//! for success, 1 for a failure, 2 for a command line that can't be understood, 78 for unusable settings, and 3 or 4
-//! for an operator's command that was rejected or has no definite outcome.
+//! `shorefront data-plane` and `shorefront control` run until they receive SIGTERM or fail; they are described in
+//! `data_plane::runtime` and `control_plane::runtime`. Each runs on one thread. All other commands end by themselves.
+//! Results go to standard output, log lines and errors to standard error. The exit status is 0 for success, 1 for a
+//! failure, 2 for an invalid command line, 78 for unusable settings, and 3 or 4 for an operator's command that was
+//! refused or has no definite outcome.
 
 mod commands;
 mod logging;
@@ -55,10 +55,10 @@
 
 /// Exit status of a program that failed.
 const EXIT_FAILURE: u8 = 1;
-/// Exit status where settings or log levels can't be used: `EX_CONFIG` of sysexits.h.
+/// Exit status for unusable settings or log levels: `EX_CONFIG` of sysexits.h.
 const EXIT_UNUSABLE_SETTINGS: u8 = 78;
 
-/// Why the program ends without success.
+/// An error that ends the program.
 #[derive(Debug, thiserror::Error)]
 enum Error {
     #[error(transparent)]
@@ -116,7 +116,7 @@
     }
 }
 
-/// Runs a task, and those that it spawns, on this thread. They end with it.
+/// Runs a task, and the tasks that it spawns, on this thread. The spawned tasks end with it.
 fn block_on<T>(task: impl Future<Output = T>) -> Result<T, Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -126,7 +126,7 @@
 }
 
 async fn run_role(role: &Role, path: PathBuf, settings: Settings) -> Result<(), Error> {
-    // Before all else: until there is a handler, the signal ends the process.
+    // The handlers are installed first: without one, SIGHUP ends the process.
     let hangup = signal(SignalKind::hangup()).map_err(|source| Error::SignalHandler {
         name: "SIGHUP",
         source,
--- a/crates/shorefront/src/settings_watcher.rs
+++ b/crates/shorefront/src/settings_watcher.rs
@@ -1,7 +1,7 @@
-//! Follows the settings file: it is read again upon SIGHUP and whenever it has changed.
+//! Reloads the settings file upon SIGHUP and whenever the file has changed.
 //!
-//! The running role gets each new version over a channel. A file that can't be used, or is gone, leaves the settings
-//! that are in force. A new zone or address takes effect only with the next start of the process.
+//! The running role receives each new version over a channel. If the file is unusable or missing, the current settings
+//! stay in force. A changed zone or listen address takes effect only when the process is restarted.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
@@ -14,7 +14,7 @@
 /// How often the file is checked for changes.
 const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Tells one version of the file from another.
+/// Modification time and size of the file, to detect changes.
 #[derive(PartialEq, Eq)]
 struct FileVersion {
     modified: SystemTime,
@@ -31,7 +31,8 @@
     }
 }
 
-/// Sends settings other than `current` to `reloads` as they come, until the process ends.
+/// Sends each version of the settings that differs from the previous one to `reloads`, until the process ends. The
+/// role was started with the settings in `current`.
 pub(crate) async fn run(
     path: PathBuf,
     mut current: Settings,
@@ -51,22 +52,22 @@
         version = new_version;
         match Settings::read(&path) {
             Ok(settings) if settings == current => {
-                tracing::info!("settings file read again without a change");
+                tracing::info!("settings file reloaded, nothing changed");
             }
             Ok(settings) => {
                 if settings.listen != current.listen || settings.zone != current.zone {
                     tracing::warn!(
                         zone = settings.zone,
-                        "a change of zone or listen addresses takes effect with the next start"
+                        "a changed zone or listen address takes effect only after a restart"
                     );
                 }
                 tracing::info!(seeds = ?settings.seeds, "settings reloaded");
                 current = settings.clone();
-                // The role that would receive them has ended, and the process is about to.
+                // Sending fails only if the role has ended, and then the process is about to end too.
                 let _ = reloads.send(settings);
             }
             Err(error) => {
-                tracing::warn!(%error, "settings not reloaded, those in force are kept");
+                tracing::warn!(%error, "settings file not reloaded, the current settings stay in force");
             }
         }
     }
--- a/crates/shorefront/tests/answers/client.rs
+++ b/crates/shorefront/tests/answers/client.rs
@@ -1,53 +1,54 @@
-//! Clients that send, abandon and repeat, each by its own seeded numbers.
+//! Clients that send requests and abandon some of them, each driven by its own seeded random numbers.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
 use std::thread::{self, Scope, ScopedJoinHandle};
 
-use crate::answer::{assert_nothing_unread, assert_own_answer, read_answer};
+use crate::answer::{assert_nothing_unread, assert_response_matches_run, read_response};
 use crate::common::http_client::connect;
 use crate::upstream::Runs;
 
-/// How an upstream may misbehave.
+/// Ways in which an upstream may misbehave; repeated ones are chosen more often.
 const FAULTY_PLANS: [&str; 14] = [
-    "twice",
-    "twice",
-    "twice-error",
-    "twice-nameless",
-    "late",
-    "late",
-    "late-error",
-    "late-nameless",
-    "noise",
-    "nameless",
-    "cut",
-    "silent",
+    "surplus",
+    "surplus",
+    "surplus-error",
+    "surplus-without-id",
+    "late-surplus",
+    "late-surplus",
+    "late-surplus-error",
+    "late-surplus-without-id",
+    "garbage",
+    "without-id",
+    "truncated",
+    "no-response",
     "error",
-    "unpromised",
+    "unproven-rejection",
 ];
-/// Statuses that promise that a request has not run.
+/// Statuses that imply that a request has not run.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// How requests ended.
+/// Number of requests by how they ended.
 #[derive(Debug, Default)]
 pub(crate) struct Tally {
     pub(crate) served: AtomicUsize,
     failed: AtomicUsize,
-    refused: AtomicUsize,
+    rejected: AtomicUsize,
     abandoned: AtomicUsize,
-    /// The connection ended without an answer, or within it.
-    unanswered: AtomicUsize,
-    /// All clients are to end.
-    pub(crate) is_over: AtomicBool,
+    /// Requests whose connection ended before or within the response.
+    without_response: AtomicUsize,
+    /// Tells all clients to stop.
+    pub(crate) should_stop: AtomicBool,
 }
 
-/// What was sent, and what is known of it.
+/// A request that was sent, and what its client knows about it.
 pub(crate) struct SentRequest {
     pub(crate) id: String,
-    /// It may not run twice.
+    /// Whether the request must not run more than once.
     pub(crate) is_mutating: bool,
-    pub(crate) is_promised_not_to_run: bool,
+    /// Whether the response said that the request has not run.
+    pub(crate) is_reported_not_run: bool,
 }
 
 /// A linear congruential generator.
@@ -62,17 +63,17 @@
         (self.0 >> 33) as usize % n
     }
 
-    /// How the upstream is to answer.
+    /// Chooses how the upstream responds.
     fn plan(&mut self) -> &'static str {
         match self.below(10) {
             0..3 => FAULTY_PLANS[self.below(FAULTY_PLANS.len())],
             3 => "slow",
-            4 if self.below(4) == 0 => "turned-away",
+            4 if self.below(4) == 0 => "rejected",
             _ => "plain",
         }
     }
 
-    /// Length of the answer's body.
+    /// Chooses the length of the response body.
     fn body_bytes(&mut self) -> usize {
         match self.below(20) {
             0 => 100_000 + self.below(900_000),
@@ -82,18 +83,18 @@
     }
 }
 
-/// Ends all clients where one of them has seen a fault.
-struct EndAllOnPanic<'a>(&'a Tally);
+/// Stops all clients when one of them panics.
+struct StopAllOnPanic<'a>(&'a Tally);
 
-impl Drop for EndAllOnPanic<'_> {
+impl Drop for StopAllOnPanic<'_> {
     fn drop(&mut self) {
         if thread::panicking() {
-            self.0.is_over.store(true, Relaxed);
+            self.0.should_stop.store(true, Relaxed);
         }
     }
 }
 
-/// Starts this many clients, which run until the tally says that it is over.
+/// Starts `count` clients, which run until the tally tells them to stop.
 pub(crate) fn run_clients<'scope>(
     scope: &'scope Scope<'scope, '_>,
     count: usize,
@@ -111,8 +112,8 @@
     runs: &'a Runs,
     tally: &'a Tally,
     random: Random,
-    /// A connection to be used again.
-    kept: Option<TcpStream>,
+    /// A connection that can be reused.
+    idle_connection: Option<TcpStream>,
     sent: Vec<SentRequest>,
 }
 
@@ -124,15 +125,15 @@
             runs,
             tally,
             random: Random(number as u64 + 1),
-            kept: None,
+            idle_connection: None,
             sent: Vec::new(),
         }
     }
 
     fn run(mut self) -> Vec<SentRequest> {
-        let _end_all = EndAllOnPanic(self.tally);
-        while !self.tally.is_over.load(Relaxed) {
-            // Without a connection, that balancer is down for the moment.
+        let _stop_all = StopAllOnPanic(self.tally);
+        while !self.tally.should_stop.load(Relaxed) {
+            // Connecting fails while the chosen balancer is down.
             if let Some(stream) = self.connection() {
                 self.send_request(stream);
             }
@@ -141,8 +142,12 @@
     }
 
     fn connection(&mut self) -> Option<TcpStream> {
-        let kept = self.kept.take().filter(|_| self.random.below(8) > 0);
-        kept.or_else(|| connect(self.addresses[self.random.below(self.addresses.len())]).ok())
+        let idle_connection = self
+            .idle_connection
+            .take()
+            .filter(|_| self.random.below(8) > 0);
+        idle_connection
+            .or_else(|| connect(self.addresses[self.random.below(self.addresses.len())]).ok())
     }
 
     fn send_request(&mut self, mut stream: TcpStream) {
@@ -159,39 +164,39 @@
         let mut sent = SentRequest {
             id,
             is_mutating,
-            is_promised_not_to_run: false,
+            is_reported_not_run: false,
         };
         if stream.write_all(request.as_bytes()).is_err() {
-            self.tally.unanswered.fetch_add(1, Relaxed);
+            self.tally.without_response.fetch_add(1, Relaxed);
         } else if self.random.below(20) == 0 {
-            // Gone at once, or amid the answer: with something unread, that is a reset.
+            // Disconnects before or within the response. Closing with unread bytes resets the connection.
             if self.random.below(2) == 0 {
                 let _ = stream.read(&mut [0; 20]);
             }
             self.tally.abandoned.fetch_add(1, Relaxed);
         } else {
-            self.receive_answer(stream, &mut sent);
+            self.receive_response(stream, &mut sent);
         }
         self.sent.push(sent);
     }
 
-    fn receive_answer(&mut self, mut stream: TcpStream, sent: &mut SentRequest) {
-        let Some(answer) = read_answer(&mut stream, true) else {
-            self.tally.unanswered.fetch_add(1, Relaxed);
+    fn receive_response(&mut self, mut stream: TcpStream, sent: &mut SentRequest) {
+        let Some(response) = read_response(&mut stream, true) else {
+            self.tally.without_response.fetch_add(1, Relaxed);
             return;
         };
-        assert_own_answer(self.runs, &sent.id, &answer);
-        let counter = match answer.status {
-            _ if !answer.is_complete => &self.tally.unanswered,
+        assert_response_matches_run(self.runs, &sent.id, &response);
+        let counter = match response.status {
+            _ if !response.is_complete => &self.tally.without_response,
             200 => &self.tally.served,
-            503 => &self.tally.refused,
+            503 => &self.tally.rejected,
             _ => &self.tally.failed,
         };
         counter.fetch_add(1, Relaxed);
-        sent.is_promised_not_to_run = NOT_RUN_STATUSES.contains(&answer.status);
-        if answer.is_complete && answer.header("connection") != Some("close") {
+        sent.is_reported_not_run = NOT_RUN_STATUSES.contains(&response.status);
+        if response.is_complete && response.header("connection") != Some("close") {
             assert_nothing_unread(&stream);
-            self.kept = Some(stream);
+            self.idle_connection = Some(stream);
         }
     }
 }
--- a/crates/shorefront/tests/answers/fleet.rs
+++ b/crates/shorefront/tests/answers/fleet.rs
@@ -1,4 +1,4 @@
-//! Data-plane balancers, with what they need around them.
+//! Several data-plane balancers with a control balancer, upstreams and a mock platform.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,18 +21,18 @@
 /// How a balancer is stopped.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Stop {
-    /// In order, by SIGTERM.
+    /// Graceful shutdown by SIGTERM.
     Terminate,
-    /// Outright.
+    /// Immediate end by SIGKILL.
     Kill,
 }
 
 pub(crate) struct Fleet {
     folder: PathBuf,
-    /// What the upstreams ran.
+    /// The runs that the upstreams recorded.
     pub(crate) runs: Runs,
     settings: SettingsTemplate,
-    /// Of each balancer.
+    /// Client address of each data-plane balancer.
     pub(crate) http: Vec<SocketAddr>,
     readiness: Vec<SocketAddr>,
     balancers: Vec<Option<Process>>,
@@ -40,7 +40,7 @@
 }
 
 impl Fleet {
-    /// Starts a control balancer and this many data-plane balancers, before the same upstreams.
+    /// Starts a control balancer and this many data-plane balancers that share the same upstreams.
     pub(crate) fn start(name: &str, balancers: usize) -> Self {
         let (folder, runs) = (temporary_folder(name), Runs::default());
         let instances: Vec<Value> = (0..UPSTREAMS)
@@ -53,8 +53,8 @@
             platform: start_mock_server(move |_, _| list.clone()),
         };
         let listen = json!({"ctl": settings.ctl});
-        let of_control = with_grace(settings.settings("control", &folder, true, &listen));
-        let control = start(&folder, "control", &of_control);
+        let control_settings = with_grace(settings.settings("control", &folder, true, &listen));
+        let control = start(&folder, "control", &control_settings);
         let mut fleet = Self {
             folder,
             runs,
@@ -99,7 +99,7 @@
         wait_until_ready(self.readiness[balancer]);
     }
 
-    /// Kills all balancers.
+    /// Kills all data-plane balancers.
     pub(crate) fn stop_all(&mut self) {
         self.balancers.clear();
     }
@@ -111,7 +111,7 @@
     }
 }
 
-/// A short time for requests under way when a balancer is stopped in order.
+/// Adds a short grace period for requests in flight when a balancer is shut down.
 fn with_grace(mut settings: Value) -> Value {
     settings["bounds"] = json!({"grace_s": 3.0});
     settings
--- a/crates/shorefront/tests/answers/upstream.rs
+++ b/crates/shorefront/tests/answers/upstream.rs
@@ -1,5 +1,5 @@
-//! A mock server for upstreams that misbehave. Each request says in its header `Plan` how it is to be answered; what ran,
-//! and what was answered to it, is recorded by the request's id.
+//! A mock upstream that can misbehave. The header `Plan` of each request says how the upstream responds. Every run and
+//! the response to it are recorded under the id of the request.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,21 +8,21 @@
 use std::thread;
 use std::time::Duration;
 
-/// What one run of a request was answered with.
+/// The response to one run of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Run {
     pub(crate) status: u16,
     pub(crate) body: String,
-    /// All of it was sent, as far as the upstream knows.
+    /// Whether the upstream sends the whole response.
     pub(crate) is_complete: bool,
 }
 
-/// All runs, by the id of their request.
+/// All runs, by request id.
 #[derive(Clone, Default)]
 pub(crate) struct Runs(Arc<Mutex<HashMap<String, Vec<Run>>>>);
 
 impl Runs {
-    /// The runs of a request.
+    /// Returns the runs of a request.
     pub(crate) fn of(&self, id: &str) -> Vec<Run> {
         self.0
             .lock()
@@ -42,12 +42,12 @@
     }
 }
 
-/// What a request says.
+/// The headers of a request that decide how the upstream responds.
 struct Request {
     id: String,
-    /// How it is to be answered.
+    /// How the upstream responds.
     plan: String,
-    /// Length of the answer's body.
+    /// Length of the response body.
     body_bytes: usize,
 }
 
@@ -79,15 +79,15 @@
     })
 }
 
-/// The body of the answer to a run: unlike that of any other.
-fn answer_body(id: &str, run: usize, size: usize) -> String {
+/// Returns the body of the response to a run, which differs from that of any other run.
+fn response_body(id: &str, run: usize, size: usize) -> String {
     let name = format!("{id}/{run};");
     let mut body = name.repeat(size / name.len() + 1);
     body.truncate(size.max(name.len()));
     body
 }
 
-fn answer_text(status: u16, id: Option<&str>, body: &str, is_chunked: bool) -> String {
+fn response_text(status: u16, id: Option<&str>, body: &str, is_chunked: bool) -> String {
     let echo = id
         .map(|id| format!("Attempt-Id: {id}\r\n"))
         .unwrap_or_default();
@@ -101,16 +101,16 @@
     format!("{head}Content-Length: {length}\r\n\r\n{body}")
 }
 
-/// Answers the requests of one connection until it ends.
+/// Responds to the requests of one connection until it ends.
 fn serve(stream: TcpStream, runs: &Runs) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let mut reader = BufReader::new(stream.try_clone().ok()?);
-    // An answer that comes late does not come within another.
+    // The lock keeps a late response from being written in the middle of another one.
     let connection = Connection(Arc::new(Mutex::new(stream)));
     loop {
         let request = read_request(&mut reader)?;
         let id = request.id.as_str();
-        if request.plan == "turned-away" {
+        if request.plan == "rejected" {
             connection.send(&format!(
                 "HTTP/1.1 503 No\r\nAttempt-Id: {id}\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
             ))?;
@@ -118,23 +118,23 @@
         }
         let status = match request.plan.as_str() {
             "error" => 500,
-            "unpromised" => 503,
+            "unproven-rejection" => 503,
             _ => 200,
         };
         let number = runs.of(id).len();
-        let body = answer_body(id, number, request.body_bytes);
-        let is_complete = !["cut", "silent"].contains(&request.plan.as_str());
+        let body = response_body(id, number, request.body_bytes);
+        let is_complete = !["truncated", "no-response"].contains(&request.plan.as_str());
         let run = Run {
             status,
             body,
             is_complete,
         };
         runs.add(id, run.clone());
-        connection.answer(&request, run)?;
+        connection.respond(&request, run)?;
     }
 }
 
-/// The side of a connection on which answers are sent.
+/// The sending side of a connection.
 #[derive(Clone)]
 struct Connection(Arc<Mutex<TcpStream>>);
 
@@ -144,53 +144,53 @@
         stream.write_all(text.as_bytes()).ok()
     }
 
-    /// Ends the connection. Returns `None`: no further request is read from it.
+    /// Closes the connection. Returns `None`, since no further request is read from it.
     fn shut_down(&self) -> Option<()> {
         let stream = self.0.lock().expect("whole");
-        // The balancer may have ended it before.
+        // The balancer may have closed it already.
         let _ = stream.shutdown(Shutdown::Both);
         None
     }
 
-    /// Answers a request as it says. `None` if the connection has ended.
-    fn answer(&self, request: &Request, run: Run) -> Option<()> {
+    /// Responds to a request according to its plan. Returns `None` if the connection has ended.
+    fn respond(&self, request: &Request, run: Run) -> Option<()> {
         let (id, body) = (request.id.as_str(), run.body);
         let is_chunked = request.body_bytes % 2 == 1;
-        let own = answer_text(run.status, Some(id), &body, is_chunked);
-        let surplus = |status, echo| answer_text(status, echo, &format!("surplus of {id}"), false);
+        let own = response_text(run.status, Some(id), &body, is_chunked);
+        let surplus =
+            |status, echo| response_text(status, echo, &format!("surplus of {id}"), false);
         match request.plan.as_str() {
-            "cut" | "silent" => {
-                if request.plan == "cut" {
+            "truncated" | "no-response" => {
+                if request.plan == "truncated" {
                     self.send(&own[..own.len() - body.len() / 2 - 1])?;
                 }
-                // Also for an answer to an earlier request that would come late: nothing could tell it from
-                // the rest of this one.
+                // Nothing may follow: a late response to an earlier request would be read as the rest of this one.
                 self.shut_down()
             }
-            "nameless" => {
-                // On a connection that had other exchanges a balancer waits for an answer with the request's id.
-                self.send(&answer_text(200, None, &body, false))?;
+            "without-id" => {
+                // On a reused connection the balancer goes on waiting for a response with the request's id.
+                self.send(&response_text(200, None, &body, false))?;
                 self.shut_down()
             }
             "slow" => {
                 thread::sleep(Duration::from_millis(20));
                 self.send(&own)
             }
-            "twice" => self.send(&(own + &surplus(200, Some(id)))),
-            "twice-error" => self.send(&(own + &surplus(500, Some(id)))),
-            "twice-nameless" => self.send(&(own + &surplus(200, None))),
-            "noise" => self.send(&(own + "\x16\x03 no answer\r\n\r\n")),
-            late if late.starts_with("late") => {
+            "surplus" => self.send(&(own + &surplus(200, Some(id)))),
+            "surplus-error" => self.send(&(own + &surplus(500, Some(id)))),
+            "surplus-without-id" => self.send(&(own + &surplus(200, None))),
+            "garbage" => self.send(&(own + "\x16\x03 no response\r\n\r\n")),
+            late if late.starts_with("late-") => {
                 self.send(&own)?;
                 let late = match late {
-                    "late-error" => surplus(500, Some(id)),
-                    "late-nameless" => surplus(200, None),
+                    "late-surplus-error" => surplus(500, Some(id)),
+                    "late-surplus-without-id" => surplus(200, None),
                     _ => surplus(200, Some(id)),
                 };
-                let (connection, pause_ms) = (self.clone(), request.body_bytes as u64 % 40);
+                let (connection, delay_ms) = (self.clone(), request.body_bytes as u64 % 40);
                 thread::spawn(move || {
-                    thread::sleep(Duration::from_millis(pause_ms));
-                    // The balancer may have ended the connection.
+                    thread::sleep(Duration::from_millis(delay_ms));
+                    // The balancer may have closed the connection.
                     let _ = connection.send(&late);
                 });
                 Some(())
@@ -204,7 +204,7 @@
     }
 }
 
-/// Serves on a port of its own until the test ends.
+/// Starts an upstream on a free port that runs until the test ends.
 pub(crate) fn start_upstream(runs: &Runs) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
--- a/crates/shorefront/tests/common/mock_server.rs
+++ b/crates/shorefront/tests/common/mock_server.rs
@@ -1,11 +1,11 @@
-//! HTTP servers on loopback in the place of the platform, upstreams and control balancers.
+//! Mock HTTP servers on loopback that stand in for the platform, upstreams and control balancers.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
 
-/// Serves on a port of its own until the test ends. `respond` makes the body of each response from the request line
-/// and the headers, which are in lower case; the status is 200.
+/// Starts a server on a free port that runs until the test ends. `respond` returns the body of each response, given the
+/// request line and the headers in lower case. The status is 200.
 pub(crate) fn start_mock_server(
     respond: impl Fn(&str, &str) -> String + Send + Clone + 'static,
 ) -> SocketAddr {
@@ -29,14 +29,14 @@
         let length = body.len();
         let id = headers.lines().find(|l| l.starts_with("attempt-id: "));
         let echo = id.map(|id| format!("{id}\r\n")).unwrap_or_default();
-        let answer = format!(
+        let response = format!(
             "HTTP/1.1 200 OK\r\n{echo}Upstream-Seal: s\r\nContent-Length: {length}\r\n\r\n{body}"
         );
-        (&mut &*stream).write_all(answer.as_bytes()).ok()?;
+        (&mut &*stream).write_all(response.as_bytes()).ok()?;
     }
 }
 
-/// Reads one request with its body: the request line, and the headers in lower case.
+/// Reads one request with its body, and returns the request line and the headers in lower case.
 fn read_request(reader: &mut BufReader<TcpStream>) -> Option<(String, String)> {
     let (mut request_line, mut headers) = (String::new(), String::new());
     if reader.read_line(&mut request_line).unwrap_or(0) == 0 {
--- a/crates/shorefront/tests/common/mod.rs
+++ b/crates/shorefront/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Shared by the tests of whole processes: starting them, and waiting for what they do.
-#![allow(dead_code, reason = "each test program uses a part of it")]
+//! Helpers of the tests that run whole processes: starting them and waiting for events.
+#![allow(dead_code, reason = "each test program uses only a part of it")]
 
 pub(crate) mod http_client;
 pub(crate) mod mock_server;
@@ -17,16 +17,16 @@
 
 /// The program under test.
 pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_shorefront");
-/// Longest wait for anything that has to happen: wide enough for a busy machine.
+/// Time limit for an expected event, long enough for a busy machine.
 pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(30);
-/// Between two looks at what is waited for.
+/// Interval between two checks for an expected event.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A process that is killed when the test ends.
 pub(crate) struct Process(pub(crate) Child);
 
 impl Process {
-    /// Kills the process outright, and waits until it is gone.
+    /// Kills the process with SIGKILL, and waits until it has ended.
     pub(crate) fn kill(&mut self) {
         self.0.kill().expect("killed");
         self.0.wait().expect("gone");
@@ -41,7 +41,7 @@
     }
 }
 
-/// Starts a role with these settings, which are written to a file in `folder`.
+/// Starts a role with the given settings, which are written to a file in `folder`.
 pub(crate) fn start(folder: &Path, role: &str, settings: &Value) -> Process {
     let file = folder.join(format!("{role}.json"));
     std::fs::write(&file, settings.to_string()).expect("written");
@@ -52,20 +52,20 @@
     Process(child.expect("started"))
 }
 
-/// The exit status of a command, and what it wrote to both outputs.
+/// Returns the exit status of a command, and what it wrote to standard output and standard error.
 pub(crate) fn status_and_output(output: &Output) -> (Option<i32>, String) {
     let written = [&output.stdout[..], &output.stderr[..]].concat();
     let text = String::from_utf8_lossy(&written).into_owned();
     (output.status.code(), text)
 }
 
-/// An address on loopback.
+/// Returns the loopback address with this port.
 pub(crate) fn loopback(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// A port that is free, below those that the system gives to outgoing connections: none of them takes it between this
-/// check and its use.
+/// Returns a free port below the range that the system uses for outgoing connections, so that none of them can take it
+/// between this check and its use.
 pub(crate) fn free_port() -> u16 {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     loop {
@@ -77,12 +77,12 @@
     }
 }
 
-/// A free address on loopback.
+/// Returns a free address on loopback.
 pub(crate) fn free_address() -> SocketAddr {
     loopback(free_port())
 }
 
-/// Waits until `poll` returns something.
+/// Calls `poll` until it returns a value. Panics after [`WAIT_LIMIT`].
 pub(crate) fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let started = Instant::now();
     loop {
@@ -104,7 +104,7 @@
     });
 }
 
-/// An empty folder of this test run.
+/// Creates an empty folder for this test run.
 pub(crate) fn temporary_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("shorefront-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -112,19 +112,19 @@
     folder
 }
 
-/// What the settings of all processes of a test have in common.
+/// Settings that all processes of a test have in common.
 pub(crate) struct SettingsTemplate {
-    /// Of the control balancer.
+    /// Address of the control balancer's HTTP API.
     pub(crate) ctl: SocketAddr,
-    /// For connections between control processes.
+    /// Port for connections between control processes.
     pub(crate) internal_port: u16,
-    /// The platform's interface.
+    /// Address of the platform's API.
     pub(crate) platform: SocketAddr,
 }
 
 impl SettingsTemplate {
-    /// Settings of a process that stores its data in `folder`. A control process with `bootstrap` may begin a new
-    /// system.
+    /// Returns the settings of a process that stores its data in `folder`. A control process with `bootstrap` may
+    /// initialize a new system.
     pub(crate) fn settings(
         &self,
         node: &str,
@@ -140,13 +140,13 @@
     }
 }
 
-/// An upstream as the platform's list describes it.
+/// Returns an upstream as an entry of the platform's instance list.
 pub(crate) fn instance(id: &str, service: &str, address: SocketAddr, slots: u32) -> Value {
     json!({"id": id, "svc": service, "addr": address, "zone": "a", "slots": slots,
         "state": "ready", "warm_left_ms": 0})
 }
 
-/// The platform's list.
+/// Returns the platform's instance list.
 pub(crate) fn instance_list(instances: &[Value]) -> String {
     json!({"instances": instances, "next_token": null}).to_string()
 }
--- a/crates/shorefront/tests/outside_view.rs
+++ b/crates/shorefront/tests/outside_view.rs
@@ -1,8 +1,7 @@
-//! What operators and other programs see of shorefront, kept as text files: command-line help, exit statuses with
-//! their error texts, `shorefront status`, and the names in `/-/metrics` and `/-/Status`. They stay as they are from
-//! build to build.
+//! Golden tests of what operators and other programs see of shorefront: command-line help, exit statuses with their
+//! error texts, `shorefront status`, and the names in `/-/metrics` and `/-/Status`. They must not change unnoticed.
 //!
-//! `SHOREFRONT_WRITE_FIXTURES=1 cargo test -p shorefront --test outside_view` writes the files anew. Without the
+//! `SHOREFRONT_WRITE_FIXTURES=1 cargo test -p shorefront --test outside_view` rewrites the golden files. Without the
 //! variable a missing file is a failure.
 
 mod common;
@@ -24,10 +23,10 @@
 };
 use serde_json::{Value, json};
 
-/// Set to `1`, it has the files written before they are compared.
+/// Environment variable that, set to `1`, has the golden files written before they are compared.
 const WRITE_FIXTURES_ENV_VAR: &str = "SHOREFRONT_WRITE_FIXTURES";
 
-/// Compares a text with the one in its file.
+/// Compares a text with its golden file.
 fn assert_golden(name: &str, text: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
@@ -40,7 +39,7 @@
     assert_eq!(text, golden, "{name}");
 }
 
-/// Runs the program in a folder. Returns its exit status, and what it wrote to both outputs.
+/// Runs the program in a folder. Returns its exit status, and what it wrote to standard output and standard error.
 fn run(folder: &Path, arguments: &[&str], settings: Option<&str>) -> (Option<i32>, String) {
     let mut command = Command::new(PROGRAM);
     command.current_dir(folder).args(arguments);
@@ -197,7 +196,7 @@
 }
 
 #[test]
-fn status_shows_fixed_answers_unchanged() {
+fn status_output_for_fixed_responses_is_unchanged() {
     let serve = |status: Value| start_mock_server(move |_, _| status.to_string()).to_string();
     let (leader, follower) = (serve(leader_status()), serve(follower_status()));
     let cases: [(&str, Vec<&str>); 4] = [
@@ -275,7 +274,7 @@
         wait_until_ready(self.readiness);
     }
 
-    /// Sends a request, and closes the connection before its answer.
+    /// Sends a request, and closes the connection before the response.
     fn abandon_request(&self, path: &str) {
         let headers = "Host: h\r\nAttempt-Id: 7\r\nDeadline-Ms: 4000\r\n\r\n";
         let mut client = connect(self.http).expect("reachable");
@@ -292,7 +291,7 @@
     }
 }
 
-/// Names, types, units and labels of metrics, sorted, without their values and the ports of this run.
+/// Returns the names, types, units and labels of metrics, sorted, without values and without the ports of this run.
 fn metric_names(text: &str) -> String {
     let lines = text
         .lines()
@@ -318,7 +317,7 @@
     }
 }
 
-/// The paths of all fields of a JSON document, sorted; those of a list's items once.
+/// Adds the paths of all fields of a JSON document to `names`. The items of a list share their paths.
 fn field_names(value: &Value, path: &str, names: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -339,10 +338,10 @@
 #[test]
 fn names_of_metrics_and_of_status_fields_are_unchanged() {
     let system = System::start("outside-names");
-    let answer = get(system.http, "h", "/once/x");
-    assert_eq!(answer.map(|a| a.status), Some(200));
-    let metrics = |at: SocketAddr| get(at, "r", "/-/metrics").map(|answer| answer.body);
-    // Both ways in which an attempt ends whose client has left.
+    let response = get(system.http, "h", "/once/x");
+    assert_eq!(response.map(|a| a.status), Some(200));
+    let metrics = |at: SocketAddr| get(at, "r", "/-/metrics").map(|response| response.body);
+    // The two ways in which an attempt ends after its client has disconnected.
     let ends = [
         r#"seconds_count{end="Cancelled"}"#,
         r#"seconds_count{end="Finished"}"#,
--- a/crates/shorefront/tests/whole_path/configuration.rs
+++ b/crates/shorefront/tests/whole_path/configuration.rs
@@ -1,8 +1,8 @@
-//! Changes of the configuration, and what is left of them when a control process is killed.
+//! Changes of the configuration, and their durability when the control process is killed.
 
 use serde_json::{Value, json};
 
-use crate::common::http_client::{Answer, get, replace_config};
+use crate::common::http_client::{Response, get, replace_config};
 use crate::common::{wait_for, wait_until_ready};
 use crate::system::System;
 
@@ -12,37 +12,37 @@
             "deadline_ms": 5000, "target_ms": 1000, "svc": service, "tries": 2}]})
 }
 
-fn answer_from(upstream: &str) -> Option<Answer> {
-    Some(Answer {
+fn response_from(upstream: &str) -> Option<Response> {
+    Some(Response {
         status: 200,
         body: format!("from {upstream}"),
     })
 }
 
-/// Metrics are served where the platform's checks go, and on `ctl`.
+/// Checks the metrics of the data plane, on its readiness address, and of the control plane, on `ctl`.
 fn check_metrics(system: &System) {
-    let of_data_plane = get(system.readiness, "r", "/-/metrics").expect("metrics");
+    let data_plane_metrics = get(system.readiness, "r", "/-/metrics").expect("metrics");
     for line in [
         "shorefront_requests_total{route=\"r\",outcome=\"Served\"} 1",
         "shorefront_unrouted_requests_total 1",
         "shorefront_configuration_version 5",
         "shorefront_upstreams 2",
     ] {
-        let metrics = &of_data_plane.body;
+        let metrics = &data_plane_metrics.body;
         assert!(metrics.contains(line), "no {line}: {metrics}");
     }
-    let of_control = get(system.ctl, "c", "/-/metrics").expect("metrics");
+    let control_metrics = get(system.ctl, "c", "/-/metrics").expect("metrics");
     for line in [
         "shorefront_control_leads 1",
         "shorefront_control_upstreams{zone=\"a\"} 2",
     ] {
-        let metrics = &of_control.body;
+        let metrics = &control_metrics.body;
         assert!(metrics.contains(line), "no {line}: {metrics}");
     }
 }
 
 #[test]
-fn a_change_moves_a_route_and_outlives_its_control_process() {
+fn changed_route_takes_effect_and_survives_a_kill_of_the_control_process() {
     let mut system = System::start("path");
     let (ctl, http) = (system.ctl, system.http);
     let replace = |base, config: &Value| replace_config(ctl, base, config);
@@ -51,28 +51,32 @@
     });
     let again = replace(0, &config(5, "one"));
     assert_eq!(again, Some(200), "sent again unchanged");
-    let on_another = replace(0, &config(6, "two"));
-    assert_eq!(on_another, Some(412), "on a revision that is not current");
+    let on_other_base = replace(0, &config(6, "two"));
+    assert_eq!(
+        on_other_base,
+        Some(412),
+        "on a revision that is not current"
+    );
     let unknown_service = replace(5, &config(6, "three"));
     assert_eq!(unknown_service, Some(400), "an unknown service");
 
     wait_until_ready(system.readiness);
-    assert_eq!(get(http, "h.example", "/p/x"), answer_from("i-1"));
+    assert_eq!(get(http, "h.example", "/p/x"), response_from("i-1"));
     assert_eq!(get(http, "h.example", "/q/").map(|a| a.status), Some(404));
     check_metrics(&system);
 
     assert_eq!(replace(5, &config(8, "two")), Some(200));
-    wait_for("the moved route", || {
+    wait_for("the changed route", || {
         get(http, "h.example", "/p/x").filter(|a| a.body == "from i-2")
     });
 
-    // Killed outright, it comes back with what it acknowledged; traffic goes on meanwhile.
+    // After a kill the control process recovers what it acknowledged. Requests are served meanwhile.
     system.kill_control();
-    assert_eq!(get(http, "h.example", "/p/x"), answer_from("i-2"));
+    assert_eq!(get(http, "h.example", "/p/x"), response_from("i-2"));
     system.restart_control();
-    let kept = wait_for("the configuration", || {
+    let recovered = wait_for("the configuration", || {
         get(ctl, "c", "/-/Config.Read").filter(|a| a.status == 200)
     });
-    let kept: Value = serde_json::from_str(&kept.body).expect("JSON");
-    assert_eq!(kept, config(8, "two"));
+    let recovered: Value = serde_json::from_str(&recovered.body).expect("JSON");
+    assert_eq!(recovered, config(8, "two"));
 }
--- a/crates/shorefront/tests/whole_path/hostile_requests.rs
+++ b/crates/shorefront/tests/whole_path/hostile_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are malformed on purpose.
+//! Requests that are deliberately malformed.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -8,10 +8,10 @@
 use crate::common::http_client::{connect, exchange_bytes};
 use crate::system::System;
 
-/// The headers that a request needs here.
+/// Headers that a valid request needs.
 const HEADERS: &str = "Host: h\r\nAttempt-Id: 1\r\nDeadline-Ms: 4000\r\n";
 
-/// A request that must not be found inside another one.
+/// Returns a request that must not be recognized inside another one.
 fn smuggled_request() -> String {
     format!("GET /p/evil HTTP/1.1\r\n{HEADERS}\r\n")
 }
@@ -20,7 +20,8 @@
     format!("POST /p/x HTTP/1.1\r\n{HEADERS}{more_headers}\r\n{body}")
 }
 
-/// A malformed request. `statuses` are those that its answer may have; an empty one is a close without an answer.
+/// A malformed request. `statuses` are those that the response may have; an empty one stands for a close without a
+/// response.
 struct Case {
     name: &'static str,
     sent: String,
@@ -45,7 +46,7 @@
             &["400"],
         ),
         case(
-            "a length that is none",
+            "an invalid length",
             post("Content-Length: 4x\r\n", "abcd"),
             &["400"],
         ),
@@ -55,7 +56,7 @@
             &["400", "501"],
         ),
         case(
-            "chunked not last",
+            "chunked is not the last coding",
             coding("chunked, identity", &format!("0\r\n\r\n{evil}")),
             &["400", "501"],
         ),
@@ -65,7 +66,7 @@
             &["400"],
         ),
         case(
-            "a chunk too long to count",
+            "a chunk length that overflows",
             coding("chunked", "fffffffffffffffff\r\nabc"),
             &["400"],
         ),
@@ -92,17 +93,17 @@
             &["400"],
         ),
         case(
-            "an authority",
+            "a target with an authority",
             format!("GET http://h/p/x HTTP/1.1\r\n{HEADERS}\r\n"),
             &["400"],
         ),
         case(
-            "no HTTP",
+            "not HTTP",
             "\x16\x03\x01\x02\x00\x01\r\n\r\n".into(),
             &["400"],
         ),
         case(
-            "a deadline that is none",
+            "an invalid deadline",
             "GET /p/x HTTP/1.1\r\nHost: h\r\nDeadline-Ms: soon\r\n\r\n".into(),
             &["400"],
         ),
@@ -123,7 +124,7 @@
             &["413"],
         ),
         case(
-            "chunks too long",
+            "a chunked body too long",
             post(
                 "Transfer-Encoding: chunked\r\n",
                 &format!("3ff\r\n{}\r\n0\r\n\r\n", &long[..1023]),
@@ -138,30 +139,30 @@
     ]
 }
 
-/// A body that its client cuts short gets an error or no answer.
+/// Checks that a request whose body is truncated gets an error or no response.
 fn check_truncated_body(http: SocketAddr) {
     let mut stream = connect(http).expect("reachable");
     stream
         .write_all(post("Content-Length: 10\r\n", "abc").as_bytes())
         .expect("sent");
     stream.shutdown(Shutdown::Write).expect("shut");
-    let mut answer = String::new();
-    let _ = stream.read_to_string(&mut answer);
+    let mut response = String::new();
+    let _ = stream.read_to_string(&mut response);
     assert!(
-        answer.is_empty() || answer.starts_with("HTTP/1.1 400"),
-        "{answer:?}"
+        response.is_empty() || response.starts_with("HTTP/1.1 400"),
+        "{response:?}"
     );
 }
 
-/// With a length beside a coding the coding counts, and nothing behind it is a request.
+/// Checks that `Transfer-Encoding` overrides `Content-Length`, and that nothing after the body is taken for a request.
 fn check_length_beside_coding(system: &System) {
     let both = post(
         "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
         "0\r\n\r\n",
     );
     let sent = both + &smuggled_request();
-    let answer = exchange_bytes(system.http, sent.as_bytes());
-    assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{answer:?}");
+    let response = exchange_bytes(system.http, sent.as_bytes());
+    assert_eq!(response.matches("HTTP/1.1 ").count(), 1, "{response:?}");
     let lines = system.request_lines();
     assert!(
         !lines.iter().any(|l| l.contains("evil")),
@@ -169,7 +170,7 @@
     );
 }
 
-/// Pipelined requests are answered in their order, each once.
+/// Checks that pipelined requests each get one response, in order.
 fn check_pipelined_requests(system: &System) {
     let request = |n: u32, more: &str| format!("GET /p/{n} HTTP/1.1\r\n{HEADERS}{more}\r\n");
     let sent = [
@@ -178,8 +179,8 @@
         request(3, "Connection: close\r\n"),
     ]
     .concat();
-    let answer = exchange_bytes(system.http, sent.as_bytes());
-    assert_eq!(answer.matches("HTTP/1.1 200").count(), 3, "{answer:?}");
+    let response = exchange_bytes(system.http, sent.as_bytes());
+    assert_eq!(response.matches("HTTP/1.1 200").count(), 3, "{response:?}");
     let mut lines = system.request_lines();
     lines.retain(|l| l.starts_with("GET /p/"));
     assert_eq!(
@@ -202,15 +203,19 @@
             "header_timeout_ms": 700, "idle_timeout_ms": 1500}}));
     let cases = [framing_cases(), header_cases(), limit_cases()];
     for case in cases.iter().flatten() {
-        let answer = exchange_bytes(system.http, case.sent.as_bytes());
-        let status = answer.split(' ').nth(1).unwrap_or("");
-        assert!(case.statuses.contains(&status), "{}: {answer:?}", case.name);
+        let response = exchange_bytes(system.http, case.sent.as_bytes());
+        let status = response.split(' ').nth(1).unwrap_or("");
+        assert!(
+            case.statuses.contains(&status),
+            "{}: {response:?}",
+            case.name
+        );
     }
     check_truncated_body(system.http);
     assert_eq!(
         system.request_lines(),
         Vec::<String>::new(),
-        "nothing of that was for an upstream"
+        "a malformed request reached an upstream"
     );
     check_length_beside_coding(&system);
     check_pipelined_requests(&system);
--- a/crates/shorefront/tests/whole_path/key_owners.rs
+++ b/crates/shorefront/tests/whole_path/key_owners.rs
@@ -1,4 +1,4 @@
-//! Services whose upstreams divide the keys.
+//! Sharded services, whose upstreams each own a part of the keys.
 
 use serde_json::json;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_restarted_control_process_renews_the_leases_that_stand() {
+fn restarted_control_process_renews_existing_leases() {
     let mut system = System::start("keys");
     system.configure(
         &json!({"rev": 5, "services": [{"name": "one", "sharded": true}],
@@ -23,18 +23,18 @@
     );
     let headers = "Host: h\r\nAttempt-Id: 1\r\nDeadline-Ms: 4000\r\nConnection: close\r\n";
     let request = format!("GET /p/x HTTP/1.1\r\n{headers}Shard-Key: 70\r\n\r\n");
-    let answer = wait_for("an owner of the key", || {
+    let response = wait_for("an owner of the key", || {
         send(system.http, &request).filter(|a| a.status == 200)
     });
-    assert_eq!(answer.body, "from i-1");
+    assert_eq!(response.body, "from i-1");
     wait_for("a grant", || (grants(&system) > 0).then_some(()));
-    // The next process knows from its disk who owns which keys, and renews their leases.
+    // The restarted process reads the owners of the keys from its disk, and renews their leases.
     system.kill_control();
     let before = grants(&system);
     system.restart_control();
     wait_for("a renewal", || (grants(&system) > before).then_some(()));
-    let answer = send(system.http, &request).map(|a| a.body);
-    assert_eq!(answer, Some("from i-1".into()));
+    let response = send(system.http, &request).map(|a| a.body);
+    assert_eq!(response, Some("from i-1".into()));
     let lines = system.request_lines();
     assert!(
         !lines.iter().any(|l| l.starts_with("POST /-/release")),
--- a/crates/shorefront/tests/whole_path/main.rs
+++ b/crates/shorefront/tests/whole_path/main.rs
@@ -1,5 +1,5 @@
-//! The whole path as processes on loopback: a control balancer, a data-plane balancer, and mock servers for the platform
-//! and an upstream. The tests wait for events, with a limit wide enough for a busy machine.
+//! End-to-end tests with processes on loopback: a control balancer, a data-plane balancer, and mock servers for the
+//! platform and an upstream. The tests wait for events, with a time limit that is long enough for a busy machine.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/shorefront/tests/whole_path/operator_commands.rs
+++ b/crates/shorefront/tests/whole_path/operator_commands.rs
@@ -1,4 +1,4 @@
-//! The operator's commands, against a running system.
+//! The operator's commands, run against a running system.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -14,7 +14,7 @@
             "deadline_ms": 5000, "target_ms": 1000, "svc": service, "tries": 2}]})
 }
 
-/// Runs commands on a system, with one file for configurations.
+/// Runs commands against a system, with one file for configurations.
 struct Operator<'a> {
     system: &'a System,
     file: PathBuf,
@@ -115,7 +115,7 @@
     );
 }
 
-/// Where nobody answers, nothing says what became of the command. Without any address there is nobody to call.
+/// Checks the exit status when no control balancer responds, and the error when no address is known.
 fn check_without_control_balancer() {
     let unreachable = Command::new(PROGRAM)
         .args(["config", "get", "--patience", "0.2", "--at"])
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn an_operator_changes_drains_and_reads_by_command() {
+fn operator_commands_change_configuration_evacuate_a_zone_and_report_status() {
     let system = System::start("commands");
     let operator = Operator {
         system: &system,
--- a/crates/shorefront/tests/whole_path/settings_file.rs
+++ b/crates/shorefront/tests/whole_path/settings_file.rs
@@ -1,4 +1,4 @@
-//! Settings files that can't be used.
+//! Unusable settings files.
 
 use std::process::Command;
 
--- a/crates/shorefront/tests/whole_path/system.rs
+++ b/crates/shorefront/tests/whole_path/system.rs
@@ -1,4 +1,4 @@
-//! A control balancer and a data-plane balancer, with what they need around them.
+//! A control balancer and a data-plane balancer, with mock servers for the platform and an upstream.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,13 +21,13 @@
     settings: SettingsTemplate,
     control: Option<Process>,
     _data_plane: Process,
-    /// Request lines that reached the upstream.
+    /// Request lines that the upstream has received.
     request_lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl System {
-    /// Starts the system, with upstream `i-1` of service `one` and `i-2` of service `two`. Each answers with the name
-    /// of the upstream that the request was meant for.
+    /// Starts the system with upstream `i-1` of service `one` and `i-2` of service `two`. Each responds with the
+    /// name of the upstream that the request was meant for.
     pub(crate) fn start(name: &str) -> Self {
         let folder = temporary_folder(name);
         let request_lines = Arc::new(Mutex::new(Vec::new()));
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Puts the first configuration in force, and waits until the data plane serves by it.
+    /// Applies the first configuration, and waits until the data plane is ready.
     pub(crate) fn configure(&self, config: &Value) {
         wait_for("the configuration", || {
             replace_config(self.ctl, 0, config).filter(|status| *status == 200)
@@ -68,12 +68,12 @@
         wait_until_ready(self.readiness);
     }
 
-    /// Kills the control balancer outright.
+    /// Kills the control balancer with SIGKILL.
     pub(crate) fn kill_control(&mut self) {
         self.control.take().expect("it runs").kill();
     }
 
-    /// Starts the control balancer again, on its data.
+    /// Starts the control balancer again with its stored data.
     pub(crate) fn restart_control(&mut self) {
         let listen = json!({"ctl": self.ctl});
         let settings = self
@@ -82,7 +82,7 @@
         self.control = Some(start(&self.folder, "control", &settings));
     }
 
-    /// Request lines that reached the upstream so far.
+    /// Returns the request lines that the upstream has received so far.
     pub(crate) fn request_lines(&self) -> Vec<String> {
         self.request_lines.lock().expect("whole").clone()
     }
