--- a/crates/control-plane/src/command.rs
+++ b/crates/control-plane/src/command.rs
@@ -1,8 +1,8 @@
-//! Commands, as they stand in the log, and their outcomes.
+//! Commands, as they are stored in the log, and their outcomes.
 //!
-//! A [`Command`] is one entry of the replicated log. Its serialized names and their order are held by the golden tests
-//! (`tests/golden`): every build reads what earlier builds wrote. What a command does is the job of
-//! [`ReplicatedState::apply`](crate::replicated_state::ReplicatedState::apply).
+//! A [`Command`] is the payload of one entry of the replicated log. The golden tests (`tests/golden`) pin its
+//! serialized names and their order, because every build must read what earlier builds wrote.
+//! [`ReplicatedState::apply`](crate::replicated_state::ReplicatedState::apply) carries out a command.
 //!
 //! This module owns no state and does no I/O.
 
@@ -14,37 +14,38 @@
 use crate::configuration::{AmendmentError, ConfigurationError};
 use crate::evacuations::EvacuationStep;
 
-/// Bytes of a SHA-256 that identify a change of the configuration.
+/// Length in bytes of the truncated SHA-256 that identifies a configuration change.
 const DIGEST_BYTES: usize = 16;
 
-/// A change of the replicated state, as it stands in the log.
+/// A change of the replicated state, as it is stored in the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// A complete configuration that takes the place of the current one.
+    /// Replaces the current configuration by a complete one.
     Replace {
-        /// The revision it builds on: it is accepted only while this one is current.
+        /// The revision that the change is based on. The change is accepted only while this revision is current.
         base: u64,
-        /// The configuration as JSON, as it was sent.
+        /// The configuration as JSON, exactly as received.
         body: String,
     },
-    /// Items that are added to the current configuration, replaced by name, or removed.
+    /// Adds items to the current configuration, replaces items by name, or removes them.
     Amend {
-        /// The revision it builds on: it is accepted only while this one is current.
+        /// The revision that the change is based on. The change is accepted only while this revision is current.
         base: u64,
-        /// The new `rev`, `upsert` and `remove` as JSON, as they were sent.
+        /// The new `rev`, `upsert` and `remove` as JSON, exactly as received.
         body: String,
     },
-    /// An evacuation, as builds before form 4 of the snapshot wrote it. Still applied where it stands in a log.
+    /// An evacuation in the form written by builds before snapshot format 4. Still applied when a log contains it.
     #[serde(rename = "Evacuate")]
     LegacyEvacuate {
         /// The zone.
         zone: String,
-        /// Index of the last evacuation or return that the caller's server had applied: a command that was decided on
-        /// an older state has no effect.
+        /// Index of the last evacuation or return that the proposing server had applied. The command has no effect if
+        /// the state has changed since then.
         #[serde(rename = "seen")]
         expected_index: u64,
     },
-    /// A return, as builds before form 4 of the snapshot wrote it. Still applied where it stands in a log.
+    /// A return, which ends an evacuation, in the form written by builds before snapshot format 4. Still applied when a
+    /// log contains it.
     #[serde(rename = "Return")]
     LegacyReturn {
         /// The zone.
@@ -53,15 +54,15 @@
         #[serde(rename = "seen")]
         expected_index: u64,
     },
-    /// Assigns ranges of a service's keys. Each change is applied, or not, by itself.
+    /// Assigns ranges of a service's keys. Each change is applied or rejected on its own.
     #[serde(rename = "Place")]
     AssignKeys {
         /// The service.
         service: String,
-        /// The changes; each says which fencing token it expects.
+        /// The changes; each contains the fencing token that it expects.
         changes: Vec<KeyRangeChange>,
     },
-    /// A step of an evacuation of a zone, or of its return.
+    /// A step of the evacuation of a zone, or of its return.
     #[serde(rename = "Evacuation")]
     ZoneStep {
         /// The zone.
@@ -71,41 +72,42 @@
     },
 }
 
-/// What became of a command at its index.
+/// The result of applying a command at its index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// It has changed the state.
+    /// It changed the state.
     Applied,
-    /// The same command, byte for byte, was applied before: it was sent again. Acknowledged like [`Self::Applied`].
+    /// An identical command, byte for byte, was applied before: this one was resent. Acknowledged like
+    /// [`Self::Applied`].
     AlreadyApplied,
-    /// It builds on another revision than the current one, and was not applied before.
+    /// It is based on a revision other than the current one and was not applied before.
     RevisionMismatch {
         /// The current revision.
         current: u64,
     },
-    /// Another command that changed the same zone, or the same keys, came in between: decide again on the new state.
+    /// A concurrent command changed the same zone or the same keys first. The caller decides again on the new state.
     Conflict,
     /// It can never be applied.
     Invalid(InvalidCommand),
-    /// It is so old that it is not known any more whether it was applied. It must not be reported as refused.
+    /// It is too old: whether it was applied is no longer known. It must not be reported as rejected.
     Expired,
 }
 
-/// Why a change of the configuration can never be accepted. Operators read the texts.
+/// Why a configuration change can never be accepted. The messages are shown to operators.
 ///
-/// Errors of `serde_json` are kept as text: outcomes are compared and copied, and those errors can't be.
+/// Errors of `serde_json` are stored as text, because outcomes are compared and cloned and those errors can't be.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidCommand {
     /// The body is not JSON.
     #[error("not JSON: {reason}")]
     NotJson {
-        /// What the parser says, with line and column.
+        /// The parser's message, with line and column.
         reason: String,
     },
-    /// The body has no `rev`, or one that is no whole number.
+    /// The body has no `rev`, or its `rev` is not a whole number.
     #[error("`rev`: expected a whole number")]
     RevisionNotANumber,
-    /// The new `rev` does not rise.
+    /// The new `rev` is not greater than the current one.
     #[error("`rev`: {sent} is not above the current {current}")]
     RevisionNotAboveCurrent {
         /// `rev` in the body.
@@ -113,15 +115,15 @@
         /// The current revision.
         current: u64,
     },
-    /// The amendment can't be carried out on the current configuration.
+    /// The amendment can't be applied to the current configuration.
     #[error(transparent)]
     Amendment(#[from] AmendmentError),
-    /// The resulting configuration breaks a rule.
+    /// The resulting configuration violates a rule.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
 }
 
-/// Whether a change of the configuration is complete, or names items.
+/// Whether a configuration change replaces the configuration or amends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChangeKind {
     /// From [`Command::Replace`].
@@ -130,24 +132,24 @@
     Amend,
 }
 
-/// A change of the configuration, as a command carries it.
+/// A configuration change, as contained in a command.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConfigurationChange<'a> {
-    /// Whether the body is a complete configuration.
+    /// Whether the body is a complete configuration or an amendment.
     pub(crate) kind: ChangeKind,
-    /// The revision it builds on.
+    /// The revision that the change is based on.
     pub(crate) base: u64,
-    /// JSON, as it was sent.
+    /// JSON, exactly as received.
     pub(crate) body: &'a str,
 }
 
-/// Identifies a change of the configuration: the leading bytes of a SHA-256 over its kind, base and body. Two commands
-/// with the same digest are the same command, sent again.
+/// Identifies a configuration change: the leading bytes of a SHA-256 over its kind, base and body. Two commands with
+/// the same digest are copies of one command that was resent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CommandDigest([u8; DIGEST_BYTES]);
 
 impl Command {
-    /// The change of the configuration that this command is; `None` for a command of another kind.
+    /// Returns the configuration change that this command contains, or `None` for other kinds of commands.
     pub(crate) fn as_configuration_change(&self) -> Option<ConfigurationChange<'_>> {
         match self {
             Self::Replace { base, body } => Some(ConfigurationChange::replace(*base, body)),
@@ -171,7 +173,8 @@
         Self { kind, base, body }
     }
 
-    /// What identifies this change. Snapshots hold it: neither its input nor its length may change.
+    /// Returns the digest of this change. Snapshots contain digests, so neither the hashed input nor the length may
+    /// change.
     pub(crate) fn digest(&self) -> CommandDigest {
         let kind: u8 = match self.kind {
             ChangeKind::Replace => 0,
@@ -186,7 +189,7 @@
 }
 
 impl CommandDigest {
-    /// The digest that begins a longer one. Missing bytes are 0.
+    /// Truncates a longer digest. Missing bytes are 0.
     pub(crate) fn from_leading_bytes(bytes: &[u8]) -> Self {
         let mut digest = [0; DIGEST_BYTES];
         digest
--- a/crates/control-plane/src/configuration.rs
+++ b/crates/control-plane/src/configuration.rs
@@ -1,8 +1,8 @@
-//! Configurations: what makes one valid, and how an amendment leads from the current one to the next.
+//! Configurations: validation, and applying an amendment to the current configuration.
 //!
-//! Both are pure functions of their input: every control process applies the same commands in the same order and must
-//! come to the same outcomes, so a rule that changes has to give the same outcome in the builds of a roll-out.
-//! When a change is accepted at all is decided in [`crate::replicated_state`].
+//! Both are pure functions of their input. Every control process applies the same commands in the same order and must
+//! reach the same outcomes. A rule may therefore be changed only in such a way that all builds running during a rollout
+//! reach the same outcome. [`crate::replicated_state`] decides whether a change is accepted.
 
 mod amendment;
 mod validation;
--- a/crates/control-plane/src/configuration/amendment.rs
+++ b/crates/control-plane/src/configuration/amendment.rs
@@ -1,69 +1,69 @@
-//! Amendments: items that are added to a configuration, replaced by name, or removed.
+//! Amendments: add items to a configuration, replace items by name, or remove them.
 //!
-//! The rules are those of `/-/Config.Amend`: `remove` is carried out before `upsert`, `limits` is replaced as a whole,
-//! an item that is to be removed and is not there is no error. Whatever the configuration holds that this build doesn't
-//! know is kept. Whether the result is valid is checked by [`validate`](super::validate).
+//! The rules are those of `/-/Config.Amend`: `remove` is applied before `upsert`, `limits` is replaced as a whole, and
+//! removing an item that doesn't exist is not an error. Fields that this build doesn't know are kept.
+//! [`validate`](super::validate) checks whether the result is valid.
 
 use std::fmt;
 
 use serde_json::{Map, Value};
 
-/// Why an amendment can't be carried out. Operators read the texts.
+/// Why an amendment can't be applied. The messages are shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AmendmentError {
-    /// The configuration that is to be amended can't be read.
+    /// The current configuration can't be parsed.
     #[error("the current configuration: {reason}")]
     CurrentConfiguration {
-        /// What the parser says.
+        /// The parser's message.
         reason: String,
     },
-    /// The body is no JSON object.
+    /// The body is not a JSON object.
     #[error("expected an object")]
     NotAnObject,
-    /// `upsert` or `remove` is no JSON object.
+    /// `upsert` or `remove` is not a JSON object.
     #[error("`{section}`: expected an object")]
     SectionNotAnObject {
         /// `upsert` or `remove`.
         section: &'static str,
     },
-    /// The body has another field than those of an amendment.
+    /// The body has a field that is not part of an amendment.
     #[error("`{field}`: expected `rev`, `upsert` or `remove`")]
     UnknownField {
-        /// The field.
+        /// The name of the field.
         field: String,
     },
-    /// Only routes and services are amended by name.
+    /// The amendment names a list other than `routes` and `services`.
     #[error("{at}: expected `routes` or `services`")]
     UnknownList {
-        /// What was named instead.
+        /// The unknown list.
         at: ListPath,
     },
-    /// The names that are to be removed, or the items that are to be added, are no JSON array.
+    /// The names to remove, or the items to add, are not a JSON array.
     #[error("{at}: expected a list")]
     NotAList {
-        /// Where.
+        /// The position in the amendment.
         at: ListPath,
     },
-    /// An item that is to be added has no name, so that it can't be told which one it replaces.
+    /// An item to add has no name, so the item that it replaces can't be determined.
     #[error("{at}: an item without a `name`")]
     ItemWithoutName {
-        /// Where.
+        /// The position in the amendment.
         at: ListPath,
     },
-    /// The current configuration holds something else than a list there.
+    /// The current configuration contains something other than a list under this name.
     #[error("{at}: not a list in the current configuration")]
     CurrentNotAList {
-        /// Where.
+        /// The position in the amendment.
         at: ListPath,
     },
 }
 
-/// A list in the body of an amendment, such as `` `upsert.routes` ``.
+/// The path of a list in the body of an amendment, such as `` `upsert.routes` ``.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListPath {
     /// `upsert` or `remove`.
     pub section: &'static str,
-    /// The list's name, as it was sent.
+    /// The list's name, as received.
     pub list: String,
 }
 
@@ -73,7 +73,8 @@
     }
 }
 
-/// The current configuration (JSON, or empty for none) with the changes of an amendment's body.
+/// Applies the body of an amendment to the current configuration (JSON, or empty if there is none) and returns the
+/// result.
 pub(crate) fn amend(current: &str, body: Value) -> Result<Value, AmendmentError> {
     let mut config: Map<String, Value> = if current.is_empty() {
         Map::new()
@@ -153,7 +154,7 @@
     Ok(())
 }
 
-/// A list of the configuration, empty where the configuration has none.
+/// Returns the list of the configuration that the path names. Inserts an empty list if the configuration has none.
 fn items_at<'a>(
     config: &'a mut Map<String, Value>,
     at: &ListPath,
--- a/crates/control-plane/src/configuration/validation.rs
+++ b/crates/control-plane/src/configuration/validation.rs
@@ -1,4 +1,4 @@
-//! The rules that a complete configuration has to keep.
+//! The rules that a complete configuration must satisfy.
 
 use std::collections::BTreeSet;
 
@@ -6,47 +6,47 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Why a configuration is invalid. Operators read the texts.
+/// Why a configuration is invalid. The messages are shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigurationError {
-    /// A field is missing, or is not of its type.
+    /// A field is missing or has the wrong type.
     #[error("{reason}")]
     Malformed {
-        /// What the parser says; it names the field.
+        /// The parser's message, which names the field.
         reason: String,
     },
-    /// Two services have one name.
+    /// Two services have the same name.
     #[error("service `{service}` stands twice")]
     DuplicateService {
-        /// Their name.
+        /// The shared name.
         service: String,
     },
-    /// `warmup_s` (seconds) or `warmup_per_s` (requests a second) is negative, infinite or no number.
+    /// `warmup_s` (seconds) or `warmup_per_s` (requests per second) is negative, infinite or NaN.
     #[error("service `{service}`: `warmup_s` and `warmup_per_s` are 0 or more")]
     InvalidWarmup {
         /// The service.
         service: String,
     },
-    /// A route breaks a rule.
+    /// A route violates a rule.
     #[error("route `{route}`: {source}")]
     Route {
         /// The route.
         route: String,
-        /// The rule.
+        /// The violated rule.
         source: RouteError,
     },
 }
 
-/// Which rule a route breaks.
+/// The rule that a route violates.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// Two routes have one name.
+    /// Two routes have the same name.
     #[error("stands twice")]
     Duplicate,
-    /// Two routes have one host (whatever its case) and prefix: it could not be told which of them is meant.
+    /// Two routes have the same host (ignoring case) and prefix, so a request would match both.
     #[error("another route has its host and prefix")]
     DuplicateMatch,
-    /// `path_prefix` has no slash at its begin or end.
+    /// `path_prefix` does not begin and end with a slash.
     #[error("`path_prefix` begins and ends with a slash")]
     PathPrefix,
     /// `host` is empty.
@@ -61,25 +61,25 @@
     /// `tries` is 0.
     #[error("`tries` is 0")]
     ZeroTries,
-    /// It has both `svc` and `split`, or neither.
+    /// Both `svc` and `split` are set, or neither is.
     #[error("expected either `svc` or `split`")]
     ServiceOrSplit,
-    /// No service of its `split` would get a request.
+    /// All weights of `split` are 0, so no service would get a request.
     #[error("its weights add up to 0")]
     ZeroWeight,
-    /// It names a service that the configuration does not have.
+    /// The route names a service that the configuration doesn't contain.
     #[error("names the unknown service `{service}`")]
     UnknownService {
-        /// That name.
+        /// The unknown name.
         service: String,
     },
 }
 
-/// Reads a complete configuration and checks it against all rules.
+/// Parses a complete configuration and checks it against all rules.
 ///
 /// # Errors
 ///
-/// The first rule that is broken, in the order in which services and routes stand.
+/// Returns the first violated rule. Services are checked before routes, each in the order of the configuration.
 pub fn validate(config: &Value) -> Result<Config, ConfigurationError> {
     let config = Config::deserialize(config).map_err(|e| ConfigurationError::Malformed {
         reason: e.to_string(),
@@ -89,7 +89,7 @@
     Ok(config)
 }
 
-/// Checks the services and gives their names.
+/// Checks the services and returns their names.
 fn validate_services(services: &[Service]) -> Result<BTreeSet<&str>, ConfigurationError> {
     let mut names = BTreeSet::new();
     for service in services {
@@ -127,7 +127,7 @@
     Ok(())
 }
 
-/// Checks what a route says for itself.
+/// Checks the rules that concern a single route.
 fn validate_route(route: &Route, services: &BTreeSet<&str>) -> Result<(), RouteError> {
     if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
         return Err(RouteError::PathPrefix);
@@ -156,7 +156,7 @@
     {
         return Err(RouteError::ZeroWeight);
     }
-    // A service of weight 0 has to be known too: its weight may rise later.
+    // A service of weight 0 must be known too, because its weight may be raised later.
     if let Some((unknown, _)) = weighted.iter().find(|(name, _)| !services.contains(name)) {
         return Err(RouteError::UnknownService {
             service: (*unknown).to_string(),
--- a/crates/control-plane/src/evacuations.rs
+++ b/crates/control-plane/src/evacuations.rs
@@ -1,70 +1,75 @@
-//! Evacuations of zones, and their returns, as replicated state.
+//! Evacuations and returns of zones, as replicated state. A *return* ends an evacuation: the zone gets requests again
+//! once all its evacuations have ended.
 //!
-//! **State and owner.** [`ZoneEvacuations`] is a part of the [`ReplicatedState`](crate::replicated_state), one for each
-//! zone; [`ZoneEvacuations::apply`] alone changes it, at the index of a committed [`EvacuationStep`]. No I/O, no clock.
+//! **State and owner.** [`ZoneEvacuations`] is part of the [`ReplicatedState`](crate::replicated_state); there is one
+//! for each zone. Only [`ZoneEvacuations::apply`] changes it, at the index of a committed [`EvacuationStep`]. No I/O,
+//! no clock.
 //!
-//! **Identity.** A call that evacuates a zone, or returns it, has no identity on the wire, and its caller sends it again
-//! until it hears an answer. So each one that is accepted gets an identity here: its index in the log ([`CommandId`]).
-//! What a later call of the same kind is depends on whether the earlier one may still be sent again, and on what is
-//! known of its acknowledgement ([`ZoneEvacuations::decide`]):
+//! **Identity.** A call that evacuates or returns a zone carries no identifier in the protocol, and its caller resends
+//! it until it gets an answer. Each accepted call therefore gets an identifier here: its index in the log
+//! ([`CommandId`]). Whether a later call of the same kind is a resent copy of an earlier one depends on whether the
+//! earlier one may still be resent and on what is known of its acknowledgement ([`ZoneEvacuations::decide`]):
 //!
-//! - an *evacuation* that comes while the earlier one may be sent again is the same one, whatever became of its
-//!   acknowledgement: counted twice, its one return would leave the zone empty for good. While nobody can have heard
-//!   of the earlier one, the later one is the same however late it comes;
-//! - a *return* that comes while the earlier one may be sent again is another one only if the earlier one was heard.
+//! - An *evacuation* that arrives while the earlier one may still be resent is a copy of it, whatever happened to the
+//!   earlier acknowledgement. If it were counted twice, a single return would leave the zone evacuated for good. As
+//!   long as no caller can have received an acknowledgement of the earlier one, the later one is a copy no matter how
+//!   late it arrives.
+//! - A *return* that arrives while the earlier one may still be resent is a new return only if the earlier
+//!   acknowledgement was received.
 //!
-//! **Promise.** A zone has at least as many evacuations here as operators have heard acknowledged and have not
-//! begun to return, where two evacuations of one zone begin further apart than a call is sent again. Closer ones
-//! are one evacuation. The cases are listed in `docs/design/0010-operator-commands.md`.
+//! **Guarantee.** A zone has at least as many evacuations here as operators have seen acknowledged and have not begun
+//! to return, provided that two evacuations of one zone begin further apart than the time for which a call is resent.
+//! Evacuations closer together count as one. The cases are listed in `docs/design/0010-operator-commands.md`.
 //!
-//! **Steps of one call**, each an entry of the log: `Begin` or `Finish`, then `Acknowledge` before the answer is written
-//! to the caller, then `Withdraw` if it could not be written or its connection broke, and for a return `Confirm` once
-//! the caller has surely read it. A leader that dies in between leaves `Sent`: then nobody knows whether the caller has
-//! heard, and the rules above say what a later call counts as.
+//! **Steps of a call.** Each step is an entry of the log: `Begin` or `Finish`; then `Acknowledge`, before the answer is
+//! written to the caller; then `Withdraw`, if the answer could not be written or its connection broke; for a return,
+//! `Confirm` once the caller has certainly read the answer. If the leader fails in between, the state remains `Sent`:
+//! it is unknown whether the caller received the answer, and the rules above decide how a later call is counted.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Identity of an accepted evacuation or return: the index of its first step in the log.
+/// Identifier of an accepted evacuation or return: the index of its first step in the log.
 pub type CommandId = u64;
 
-/// One attempt to acknowledge a call. A term has one leader, and it numbers its attempts.
+/// One attempt to acknowledge a call. Each term has a single leader, which numbers its attempts, so the pair is unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcknowledgementAttempt {
     /// The leader's term.
     pub term: u64,
-    /// Rises within the term.
+    /// Increases within the term.
     pub number: u64,
 }
 
-/// Whether the caller may have heard that its call is accepted.
+/// Whether the caller may have received the acknowledgement of its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcknowledgementState {
-    /// Surely not: no acknowledgement was written.
+    /// Certainly not: no acknowledgement was written.
     #[serde(rename = "Unwritten")]
     NotSent,
-    /// This attempt has written it, or is about to.
+    /// Possibly: this attempt has written the acknowledgement or is about to.
     #[serde(rename = "Written")]
     Sent(AcknowledgementAttempt),
-    /// It was written, and the connection broke before the caller had confirmed it: most likely not.
+    /// Probably not: the acknowledgement was written, but the connection broke before the caller confirmed it.
     #[serde(rename = "Broken")]
     ConnectionBroken,
-    /// Accepted by a build before form 4 of the snapshot, which did not keep this.
+    /// Accepted by a build before snapshot format 4, which did not record this.
     Unknown,
 }
 
-/// A step of an evacuation or a return, each an entry of the log.
+/// A step of an evacuation or a return. Each step is an entry of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EvacuationStep {
-    /// An evacuation begins.
+    /// Begins an evacuation.
     Begin,
-    /// A return ends an evacuation.
+    /// Ends an evacuation: the first step of a return.
     Finish {
-        /// The evacuation.
+        /// The evacuation to end.
         ends: CommandId,
     },
-    /// An attempt is about to acknowledge. It may only if this step is applied: so of two attempts one does.
+    /// An attempt is about to send the acknowledgement, and may do so only if this step is applied. Thus only one of
+    /// several concurrent attempts does.
     Acknowledge {
         /// The evacuation or return.
         #[serde(rename = "order")]
@@ -72,25 +77,26 @@
         /// The attempt.
         attempt: AcknowledgementAttempt,
     },
-    /// The caller has not heard of that attempt, or most likely not: another attempt may acknowledge.
+    /// The caller has not received the acknowledgement of that attempt, or probably not: another attempt may
+    /// acknowledge.
     Withdraw {
         /// The evacuation or return.
         #[serde(rename = "order")]
         command: CommandId,
         /// The attempt.
         attempt: AcknowledgementAttempt,
-        /// Whether the acknowledgement was written, and its connection broke after that.
+        /// Whether the acknowledgement had been written before its connection broke.
         written: bool,
     },
-    /// The caller of a return has heard: a later return is another one.
+    /// The caller of a return has received the acknowledgement: a later return is a new one.
     Confirm {
         /// The return.
         #[serde(rename = "order")]
         command: CommandId,
     },
-    /// The returns up to this one are not sent again any more.
+    /// The returns up to this one are no longer resent.
     Expire {
-        /// The last of them.
+        /// The last of these returns.
         last: CommandId,
     },
 }
@@ -98,73 +104,87 @@
 /// The evacuations and returns of one zone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneEvacuations {
-    /// Evacuations that were not returned. While there is one, the zone's upstreams get no requests.
+    /// Evacuations that have not ended. While there is at least one, the zone's upstreams get no requests.
     pub evacuations: BTreeMap<CommandId, AcknowledgementState>,
-    /// Returns, for as long as they may be sent again.
+    /// Returns that may still be resent.
     pub returns: BTreeMap<CommandId, AcknowledgementState>,
 }
 
-/// What is to be done with a call that has come.
+/// How to handle an evacuation or return call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// It is a new one: propose this step, and once it is applied decide again.
+    /// It is a new call: propose this step, and decide again once the step is applied.
     New(EvacuationStep),
-    /// It is this one, sent again, whose caller has not heard.
+    /// It is a resent copy of this command, whose caller has not received an acknowledgement.
     Duplicate(CommandId),
-    /// It may be this one, sent again, whose caller may have heard: acknowledge it without effect.
+    /// It may be a resent copy of this command, whose caller may have received the acknowledgement: acknowledge it
+    /// without any effect.
     PossibleDuplicate(CommandId),
-    /// A return, and there is no evacuation.
+    /// It is a return, and the zone has no evacuation.
     NothingToReturn,
 }
 
 impl AcknowledgementState {
-    /// Whether an attempt may acknowledge: as far as is known, no other has reached the caller.
-    fn is_free(self) -> bool {
+    /// Whether a new attempt may acknowledge the command: as far as is known, no other acknowledgement reached the
+    /// caller.
+    fn may_be_acknowledged(self) -> bool {
         matches!(self, Self::NotSent | Self::ConnectionBroken)
     }
 }
 
 impl ZoneEvacuations {
-    /// What a call that has come is: here one that is sent again is recognized. `begin` is set for an evacuation.
-    /// `recent` tells whether an evacuation was accepted (a return: or acknowledged) so lately that its caller may
-    /// still send it again.
-    pub fn decide(&self, begin: bool, recent: impl Fn(CommandId) -> bool) -> Decision {
-        if begin {
-            self.decide_evacuation(recent)
+    /// Decides whether a call is new or a resent copy of an earlier one. `may_be_resent` tells whether a command was
+    /// accepted so recently that its caller may still resend it; for returns, the time counts from the last
+    /// acknowledgement.
+    pub fn decide(
+        &self,
+        is_evacuation: bool,
+        may_be_resent: impl Fn(CommandId) -> bool,
+    ) -> Decision {
+        if is_evacuation {
+            self.decide_evacuation(may_be_resent)
         } else {
-            self.decide_return(recent)
+            self.decide_return(may_be_resent)
         }
     }
 
-    fn decide_evacuation(&self, recent: impl Fn(CommandId) -> bool) -> Decision {
-        let unheard = |(id, state): (&CommandId, &AcknowledgementState)| match state {
-            // However long ago: nobody can have heard of it.
+    fn decide_evacuation(&self, may_be_resent: impl Fn(CommandId) -> bool) -> Decision {
+        let unacknowledged = |(id, state): (&CommandId, &AcknowledgementState)| match state {
+            // Regardless of its age: no caller can have received an acknowledgement.
             AcknowledgementState::NotSent => Some(*id),
-            AcknowledgementState::ConnectionBroken => recent(*id).then_some(*id),
+            AcknowledgementState::ConnectionBroken => may_be_resent(*id).then_some(*id),
             AcknowledgementState::Sent(_) | AcknowledgementState::Unknown => None,
         };
-        if let Some(id) = self.evacuations.iter().find_map(unheard) {
+        if let Some(id) = self.evacuations.iter().find_map(unacknowledged) {
             return Decision::Duplicate(id);
         }
-        let last = self.evacuations.keys().copied().rfind(|id| recent(*id));
+        let last = self
+            .evacuations
+            .keys()
+            .copied()
+            .rfind(|id| may_be_resent(*id));
         last.map_or(
             Decision::New(EvacuationStep::Begin),
             Decision::PossibleDuplicate,
         )
     }
 
-    fn decide_return(&self, recent: impl Fn(CommandId) -> bool) -> Decision {
-        let expired = self.returns.keys().copied().take_while(|id| !recent(*id));
+    fn decide_return(&self, may_be_resent: impl Fn(CommandId) -> bool) -> Decision {
+        let expired = self
+            .returns
+            .keys()
+            .copied()
+            .take_while(|id| !may_be_resent(*id));
         if let Some(last) = expired.last() {
             return Decision::New(EvacuationStep::Expire { last });
         }
-        let unheard = |(id, state): (&CommandId, &AcknowledgementState)| {
-            (state.is_free() && recent(*id)).then_some(*id)
+        let unacknowledged = |(id, state): (&CommandId, &AcknowledgementState)| {
+            (state.may_be_acknowledged() && may_be_resent(*id)).then_some(*id)
         };
-        if let Some(id) = self.returns.iter().find_map(unheard) {
+        if let Some(id) = self.returns.iter().find_map(unacknowledged) {
             return Decision::Duplicate(id);
         }
-        if let Some(id) = self.returns.keys().copied().find(|id| recent(*id)) {
+        if let Some(id) = self.returns.keys().copied().find(|id| may_be_resent(*id)) {
             return Decision::PossibleDuplicate(id);
         }
         self.evacuation_to_end()
@@ -173,7 +193,8 @@
             })
     }
 
-    /// The evacuation that a return ends: one whose caller may have heard before one whose caller still sends it.
+    /// Returns the evacuation that a return ends. Evacuations whose callers may have received the acknowledgement come
+    /// before those whose callers still resend the call.
     fn evacuation_to_end(&self) -> Option<CommandId> {
         let rank = |state: &AcknowledgementState| match state {
             AcknowledgementState::Sent(_) | AcknowledgementState::Unknown => 0,
@@ -186,8 +207,8 @@
             .map(|(id, _)| *id)
     }
 
-    /// Applies a committed step, which stands at `index` of the log. `false` if it has no effect, since it was decided
-    /// on a state that has changed by now.
+    /// Applies a committed step, which is stored at `index` of the log. Returns `false` if the step has no effect
+    /// because the state has changed since the step was proposed.
     pub fn apply(&mut self, index: CommandId, step: EvacuationStep) -> bool {
         match step {
             EvacuationStep::Begin => self.begin(index),
@@ -207,7 +228,7 @@
         }
     }
 
-    /// A second evacuation does not begin while nobody can have heard of the first.
+    /// Begins an evacuation, unless the zone has one that no caller can know to be accepted.
     fn begin(&mut self, index: CommandId) -> bool {
         let applies = !has_unsent(&self.evacuations);
         if applies {
@@ -217,7 +238,7 @@
         applies
     }
 
-    /// Nor does a second return.
+    /// Ends an evacuation, unless the zone has a return that no caller can know to be accepted.
     fn finish(&mut self, index: CommandId, ends: CommandId) -> bool {
         let applies = !has_unsent(&self.returns) && self.evacuations.remove(&ends).is_some();
         if applies {
@@ -227,7 +248,10 @@
     }
 
     fn acknowledge(&mut self, id: CommandId, attempt: AcknowledgementAttempt) -> bool {
-        let Some(state) = self.state_mut(id).filter(|state| state.is_free()) else {
+        let Some(state) = self
+            .state_mut(id)
+            .filter(|state| state.may_be_acknowledged())
+        else {
             return false;
         };
         *state = AcknowledgementState::Sent(attempt);
@@ -235,8 +259,8 @@
     }
 
     fn withdraw(&mut self, id: CommandId, attempt: AcknowledgementAttempt, written: bool) -> bool {
-        let own = AcknowledgementState::Sent(attempt);
-        let Some(state) = self.state_mut(id).filter(|state| **state == own) else {
+        let expected = AcknowledgementState::Sent(attempt);
+        let Some(state) = self.state_mut(id).filter(|state| **state == expected) else {
             return false;
         };
         *state = if written {
@@ -253,13 +277,13 @@
             .or_else(|| self.returns.get_mut(&id))
     }
 
-    /// Whether nothing is known of the zone.
+    /// Whether the zone has neither evacuations nor returns.
     pub fn is_empty(&self) -> bool {
         self.evacuations.is_empty() && self.returns.is_empty()
     }
 }
 
-/// Whether one of them has not been acknowledged to anybody.
+/// Whether the acknowledgement of any of these commands has not been sent to anyone.
 fn has_unsent(commands: &BTreeMap<CommandId, AcknowledgementState>) -> bool {
     commands
         .values()
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,31 +1,31 @@
-//! The control plane: processes that agree on the configuration, the evacuations of zones and the owners of keys, keep
-//! the lists of upstreams, and tell the data plane what has changed.
+//! The control plane: processes that replicate the configuration, the zone evacuations and the ownership of key ranges
+//! through a Raft log, maintain the lists of upstreams, and send changes to the data plane.
 //!
-//! In the order in which a command meets them:
+//! Modules, in the order in which a command passes through them:
 //!
-//! - [`operator_client`]: an operator's side. Sends a call until its answer is definite.
-//! - [`http_api`]: operators' calls and their statuses; the directory that clients ask for balancers.
-//! - [`server`]: [`ControlServer`](server::ControlServer): this process's member of the log, sessions, peers and zones.
-//! - [`command`]: commands, as they stand in the log, and their outcomes.
-//! - [`replicated_state`]: what is agreed on, and what a command does to it. Here commands that are sent again are
-//!   recognized. No I/O.
-//! - [`configuration`]: which configurations are valid, and what an amendment leads to. No I/O.
+//! - [`operator_client`]: the operator's side. Retries a call until it gets a definite answer.
+//! - [`http_api`]: the operators' HTTP calls and their status codes, and the directory in which clients look up
+//!   balancers.
+//! - [`server`]: [`ControlServer`](server::ControlServer): this process's Raft node, sessions, peers and zones.
+//! - [`command`]: the commands, as they are stored in the log, and their outcomes.
+//! - [`replicated_state`]: the replicated state and the effect of each command on it. Detects resent commands. No I/O.
+//! - [`configuration`]: validation of configurations, and amendments. No I/O.
 //! - [`evacuations`]: evacuations and returns of zones within the replicated state. No I/O.
-//! - [`store`]: what is on disk, in one `redb` file that a thread of its own writes.
-//! - [`snapshot`]: the forms of the replicated state in a snapshot of the log.
+//! - [`store`]: persistent storage, in one `redb` file that a dedicated thread writes.
+//! - [`snapshot`]: the formats of the replicated state in a snapshot of the log.
 //! - [`connections`]: connections between control processes, and the sessions of the data plane.
-//! - [`peer_writer`]: in which order messages go to a peer, and at what pace.
-//! - [`discovery`]: the platform's list of upstreams, asked for by the one process that keeps a zone.
-//! - [`key_leases`]: the leader grants ranges of keys to upstreams, as `placement` plans.
-//! - [`metrics`]: the state of a process in the format of Prometheus.
-//! - [`runtime`]: puts all this together, from the settings to the end of the process.
+//! - [`peer_writer`]: the order and rate in which messages are sent to a peer.
+//! - [`discovery`]: polls the platform's list of upstreams; one process does so for each zone.
+//! - [`key_leases`]: the leader assigns ranges of keys to upstreams, according to the plan of `placement`.
+//! - [`metrics`]: the state of a process in the Prometheus format.
+//! - [`runtime`]: assembles the process, from reading the settings to shutting down.
 //!
-//! **Promises.** A command that was acknowledged is synced on a majority of the members; replicated state is told and
-//! read only in contact with one.
+//! **Guarantees.** A command that was acknowledged is synced to disk on a majority of the members. Replicated state is
+//! read and served only in quorum contact.
 //!
-//! **When a neighbour is gone.** Without a majority, commands get 503, sessions hear that the process is out of contact,
-//! and the data plane goes on with what it has. The zone of a silent control process is kept by another. A process whose
-//! disk was wiped, or whose file is damaged, comes back as a new member ([`store`]).
+//! **Failures.** Without a majority, commands get status 503, sessions are told that the process is out of contact, and
+//! the data plane continues with the state it has. The zone of a control process that is unreachable is managed by
+//! another one. A process whose disk was wiped or whose file is damaged rejoins as a new member ([`store`]).
 #![forbid(unsafe_code)]
 
 pub mod command;
--- a/crates/control-plane/src/replicated_state.rs
+++ b/crates/control-plane/src/replicated_state.rs
@@ -1,27 +1,28 @@
-//! The replicated state: the configuration, the evacuations of zones and the ranges of keys, as of the last applied
-//! entry of the log.
+//! The replicated state: the configuration, the evacuations of zones and the ownership of key ranges, as of the last
+//! applied entry of the log.
 //!
-//! **State and owner.** [`ReplicatedState`] is all that the control processes agree on. Each holds a copy, changed by
-//! [`ReplicatedState::apply`] alone, once for each committed entry in the order of the log: so all copies that have
-//! applied the same entries are equal. A copy is rebuilt from a snapshot ([`crate::snapshot`]) and the entries behind
-//! it. No I/O, no clock: what a neighbour does, or whether it is there, has no influence here.
+//! **State and owner.** [`ReplicatedState`] is the whole state on which the control processes agree. Each process holds
+//! a copy, which only [`ReplicatedState::apply`] changes, once per committed entry in log order, so copies that have
+//! applied the same entries are equal. A copy is rebuilt from a snapshot ([`crate::snapshot`]) and the entries after
+//! it. No I/O, no clock: peers and their failures have no influence here.
 //!
-//! **Where a command that is sent again is recognized.**
+//! **Where resent commands are detected.**
 //!
-//! - A change of the configuration: `ReplicatedState::evaluate`, by the digests of the last
-//!   [`MAX_REMEMBERED_REVISIONS`] accepted changes. It is acknowledged as often as it comes
-//!   ([`CommandOutcome::AlreadyApplied`]) and has no second effect. An older one gets [`CommandOutcome::Expired`]: the
-//!   caller hears that it is not known what became of it.
-//! - An evacuation or a return: [`ZoneEvacuations::decide`] before it goes to the log, and [`ZoneEvacuations::apply`]
+//! - A configuration change: in `ReplicatedState::evaluate`, by the digests of the last [`MAX_REMEMBERED_REVISIONS`]
+//!   accepted changes. Every copy is acknowledged ([`CommandOutcome::AlreadyApplied`]) and has no further effect. A
+//!   copy of an older change gets [`CommandOutcome::Expired`], which tells the caller that the outcome is no longer
+//!   known.
+//! - An evacuation or a return: in [`ZoneEvacuations::decide`] before it is proposed, and in [`ZoneEvacuations::apply`]
 //!   at its index.
-//! - A change of keys: it names the fencing token that it expects, which rises with each change; a second copy of it
-//!   has no effect.
+//! - A change of key ranges: it contains the fencing token that it expects, which increases with each change, so a
+//!   second copy has no effect.
 //!
-//! **Rejected changes stay rejected.** A change that comes before its base is refused; if the base is accepted later, a
-//! late copy of the change would be accepted after its caller has heard of the refusal. So the refusal itself stands in
-//! the log (`ReplicatedState::is_final` says which outcomes need that) and is remembered until its base is outdated.
+//! **Rejected changes stay rejected.** A change that arrives before its base revision is rejected. If the base were
+//! accepted later, a late copy of the change could be accepted after its caller was told of the rejection. The
+//! rejection is therefore written to the log (`ReplicatedState::is_final` tells which outcomes need that) and
+//! remembered until its base is outdated.
 //!
-//! **What it may lose.** Only what is written above: the digests of changes older than the remembered revisions.
+//! **What may be lost.** Only what is described above: the digests of changes older than the remembered revisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -37,55 +38,55 @@
 use crate::configuration::{amend, validate};
 use crate::evacuations::{AcknowledgementState, EvacuationStep, ZoneEvacuations};
 
-/// So many accepted changes of the configuration are known by their digests: eleven hours at 4,500 changes a day, in
-/// under 50 kB of a snapshot. An older one that is sent again gets no definite outcome.
+/// The number of accepted configuration changes whose digests are remembered: eleven hours at 4,500 changes per day, in
+/// under 50 kB of a snapshot. A copy of an older change gets no definite outcome.
 pub const MAX_REMEMBERED_REVISIONS: usize = 2048;
-/// So many changes that came before their base are remembered as rejected. Beyond, such a change gets no definite
-/// outcome.
+/// The maximum number of remembered changes that were rejected because they arrived before their base. Beyond it, such
+/// a change gets no definite outcome.
 const MAX_REJECTED_COMMANDS: usize = 256;
 
-/// What the control processes agree on, as of the last applied entry.
+/// The state on which the control processes agree, as of the last applied entry.
 ///
-/// Stored in snapshots: the written names and their order are held by the golden tests.
+/// Stored in snapshots: the golden tests pin the serialized names and their order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The current revision of the configuration; 0 before the first one. Rises only.
+    /// The current revision of the configuration; 0 before the first one. Never decreases.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// Index of the entry that led to it.
+    /// Index of the entry that set the current configuration.
     pub config_index: u64,
-    /// The configuration as JSON, with all that its sender put into it; empty before the first one.
+    /// The configuration as JSON, including fields that this build doesn't know; empty before the first one.
     pub config: Arc<str>,
-    /// Evacuations and returns by zone. Zones without any have no entry.
+    /// Evacuations and returns by zone. Zones that have neither are absent.
     #[serde(rename = "zones")]
     pub zone_evacuations: BTreeMap<String, ZoneEvacuations>,
     /// Index of the last entry that began or ended an evacuation.
     #[serde(rename = "evacuated_index")]
     pub evacuations_index: u64,
-    /// Who owns which range of keys, by service, for the services whose upstreams divide their keys.
+    /// The owner of each key range, by service, for the services whose keys are sharded among their upstreams.
     pub keys: BTreeMap<String, KeyRangeMap>,
     /// Index of the last entry that changed `keys`.
     pub keys_index: u64,
-    /// Accepted changes by the revision they led to: the newest [`MAX_REMEMBERED_REVISIONS`].
+    /// The digests of the newest [`MAX_REMEMBERED_REVISIONS`] accepted changes, by the revision that each created.
     #[serde(rename = "taken")]
     pub(crate) accepted_revisions: BTreeMap<u64, CommandDigest>,
-    /// The newest revision that has left `accepted_revisions`; 0 while none has.
+    /// The newest revision that was dropped from `accepted_revisions`; 0 if none was.
     #[serde(rename = "forgotten")]
     pub(crate) last_expired_revision: u64,
-    /// Changes that came before their base, by that base, and were rejected.
+    /// Changes that were rejected because they arrived before their base, with that base.
     #[serde(rename = "refused")]
     pub(crate) rejected_commands: BTreeSet<(u64, CommandDigest)>,
 }
 
-/// The configuration that an acceptable change leads to.
+/// The configuration that results from an acceptable change.
 struct NextConfiguration {
     revision: u64,
     config: String,
 }
 
 impl ReplicatedState {
-    /// The outcome that a change of the configuration would have now. Other commands are decided where they are
-    /// applied; for them this is [`CommandOutcome::Applied`].
+    /// Returns the outcome that a configuration change would have now. Other commands are decided when they are
+    /// applied; for them this returns [`CommandOutcome::Applied`].
     pub fn check(&self, command: &Command) -> CommandOutcome {
         let change = command.as_configuration_change();
         match change.map(|change| self.evaluate(change)) {
@@ -94,18 +95,20 @@
         }
     }
 
-    /// Whether an outcome that [`Self::check`] gave holds for good though the command doesn't stand in the log. All do
-    /// but two: an acceptance, and the rejection of a change whose base may still be accepted, while another copy of
-    /// the change is on its way.
+    /// Whether an outcome returned by [`Self::check`] is permanent even though the command is not in the log. Two
+    /// outcomes are not: an acceptance, and the rejection of a change whose base may still be accepted while another
+    /// copy of the change is in flight.
     pub fn is_final(&self, command: &Command, outcome: &CommandOutcome) -> bool {
         let change = command.as_configuration_change();
-        let early = change.is_some_and(|change| change.base > self.revision);
-        let noted = change.is_some_and(|change| self.is_rejected(change));
+        let is_early = change.is_some_and(|change| change.base > self.revision);
+        let is_recorded = change.is_some_and(|change| self.is_rejected(change));
         *outcome != CommandOutcome::Applied
-            && (!early || noted || !matches!(outcome, CommandOutcome::RevisionMismatch { .. }))
+            && (!is_early
+                || is_recorded
+                || !matches!(outcome, CommandOutcome::RevisionMismatch { .. }))
     }
 
-    /// Applies a committed command, which stands at `index` of the log.
+    /// Applies a committed command, which is stored at `index` of the log.
     pub fn apply(&mut self, index: u64, command: &Command) -> CommandOutcome {
         match command {
             Command::Replace { base, body } => {
@@ -127,8 +130,8 @@
         }
     }
 
-    /// What a change of the configuration leads to now, or its outcome if it is not to be accepted. Here a change that
-    /// is sent again is recognized.
+    /// Returns the configuration that a change leads to, or the outcome if the change is not acceptable. Detects resent
+    /// changes.
     fn evaluate(
         &self,
         change: ConfigurationChange<'_>,
@@ -145,7 +148,7 @@
         if change.base < revision && revision <= self.last_expired_revision {
             return Err(CommandOutcome::Expired);
         }
-        // Before the body is looked into: whether an amendment makes sense can be said on its base alone.
+        // Checked before the contents of the body: an amendment can be judged only against its base.
         if change.base != self.revision || self.is_rejected(change) {
             return Err(CommandOutcome::RevisionMismatch {
                 current: self.revision,
@@ -170,7 +173,7 @@
         })
     }
 
-    /// Whether the change came before its base and was rejected.
+    /// Whether the change arrived before its base and was rejected.
     fn is_rejected(&self, change: ConfigurationChange<'_>) -> bool {
         self.rejected_commands
             .contains(&(change.base, change.digest()))
@@ -187,8 +190,8 @@
                 CommandOutcome::Applied
             }
             Err(outcome) => {
-                let early = change.base > self.revision;
-                if early && matches!(outcome, CommandOutcome::RevisionMismatch { .. }) {
+                let is_early = change.base > self.revision;
+                if is_early && matches!(outcome, CommandOutcome::RevisionMismatch { .. }) {
                     if self.rejected_commands.len() >= MAX_REJECTED_COMMANDS {
                         return CommandOutcome::Expired;
                     }
@@ -212,7 +215,7 @@
                 .pop_first()
                 .map_or(0, |(revision, _)| revision);
         }
-        // The base of the others is outdated: they can't be accepted any more.
+        // The base of the dropped changes is outdated, so they can't be accepted any more.
         self.rejected_commands.retain(|(base, _)| *base >= revision);
     }
 
@@ -260,7 +263,7 @@
         changes: &[KeyRangeChange],
     ) -> CommandOutcome {
         let ranges = self.keys.entry(service.to_string()).or_default();
-        // Each is applied, also where an earlier one was not.
+        // Every change is tried, even if an earlier one was rejected.
         let applied = changes.iter().filter(|c| ranges.apply(index, c)).count();
         if applied == 0 {
             return CommandOutcome::Conflict;
@@ -269,14 +272,14 @@
         CommandOutcome::Applied
     }
 
-    /// How many evacuations a zone is subject to; its upstreams get no requests while there is one.
+    /// Returns the number of evacuations of a zone. Its upstreams get no requests while there is at least one.
     pub fn evacuation_count(&self, zone: &str) -> usize {
         self.zone_evacuations
             .get(zone)
             .map_or(0, |zone| zone.evacuations.len())
     }
 
-    /// The evacuated zones, each with the number of its evacuations.
+    /// Returns the evacuated zones, each with the number of its evacuations.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = (&String, usize)> {
         let all = self
             .zone_evacuations
@@ -285,7 +288,7 @@
         all.filter(|(_, evacuations)| *evacuations > 0)
     }
 
-    /// Names of the services whose upstreams divide their keys, as the configuration says.
+    /// Returns the names of the services whose keys are sharded among their upstreams, according to the configuration.
     pub fn sharded_services(&self) -> Vec<String> {
         let config = serde_json::from_str::<Config>(&self.config);
         let services = config.map(|c| c.services).unwrap_or_default();
--- a/crates/control-plane/src/replicated_state/tests.rs
+++ b/crates/control-plane/src/replicated_state/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the replicated state: which changes are accepted, which are recognized when they are sent again.
+//! Tests of the replicated state: which changes are accepted, and which are detected as resent.
 
 use serde_json::json;
 
@@ -38,7 +38,7 @@
     let next = configuration(9, &[route("a", "t")]);
     assert_eq!(state.apply(3, &replace(5, &next)), CommandOutcome::Applied);
     assert_eq!((state.revision, state.config_index), (9, 3));
-    // The first one, sent again late, was accepted; it does not come back into force.
+    // A late copy of the first change is acknowledged, but does not restore the old configuration.
     assert_eq!(
         state.apply(4, &replace(0, &body)),
         CommandOutcome::AlreadyApplied
@@ -94,7 +94,7 @@
     );
     let config: Value = serde_json::from_str(&state.config).expect("JSON");
     assert_eq!(config["routes"].as_array().map(Vec::len), Some(1));
-    // A service that a route still names can't go.
+    // A service can't be removed while a route refers to it.
     let change = json!({"rev": 9, "remove": {"services": ["s"]}});
     assert!(matches!(
         state.check(&amend(8, &change)),
@@ -173,7 +173,7 @@
     assert_eq!(begin(&mut state, 3, "b"), CommandOutcome::Applied);
     assert_eq!(begin(&mut state, 4, "a"), CommandOutcome::Applied);
     assert_eq!(finish(&mut state, 5, "a"), CommandOutcome::Applied);
-    assert_eq!(state.evacuation_count("a"), 1, "another evacuation is left");
+    assert_eq!(state.evacuation_count("a"), 1, "one evacuation remains");
     assert_eq!(finish(&mut state, 6, "a"), CommandOutcome::Applied);
     assert_eq!(
         state.evacuated_zones().collect::<Vec<_>>(),
@@ -181,7 +181,7 @@
     );
     assert_eq!(finish(&mut state, 7, "a"), CommandOutcome::AlreadyApplied);
     assert_eq!((state.evacuations_index, state.config_index), (6, 1));
-    // Decided on the state before the last one: it has no effect.
+    // Decided on an outdated state, so it has no effect.
     let late = Command::LegacyEvacuate {
         zone: "b".into(),
         expected_index: 5,
@@ -207,7 +207,7 @@
         };
         assert_eq!(state.check(&change(n)), expected, "change {n}");
     }
-    // What can't have been accepted is refused, also where its revision has expired.
+    // A change that can't have been accepted is rejected, even if its revision has expired.
     let stale = replace(7, &json!({"rev": 5, "routes": [], "services": []}));
     assert_eq!(
         state.check(&stale),
@@ -223,7 +223,11 @@
         }
     );
     let restored = crate::snapshot::decode(&crate::snapshot::encode(&state).expect("written"));
-    assert_eq!(restored.expect("read"), state, "kept through a snapshot");
+    assert_eq!(
+        restored.expect("read"),
+        state,
+        "unchanged by a snapshot round trip"
+    );
     let size = crate::snapshot::encode(&state).map_or(0, |data| data.len());
     assert!(size < 50_000, "{size} bytes");
 }
@@ -236,7 +240,7 @@
     assert_eq!(outcome, CommandOutcome::RevisionMismatch { current: 5 });
     assert!(
         !state.is_final(&early, &outcome),
-        "it has to stand in the log"
+        "the rejection must be written to the log"
     );
     assert_eq!(state.apply(2, &early), outcome);
     assert!(state.is_final(&early, &outcome));
@@ -247,11 +251,14 @@
     assert_eq!(
         state.apply(4, &early),
         CommandOutcome::RevisionMismatch { current: 7 },
-        "a copy of it, late"
+        "a late copy"
     );
     let another = replace(7, &configuration(10, &[route("a", "t")]));
     assert_eq!(state.apply(5, &another), CommandOutcome::Applied);
-    assert!(state.rejected_commands.is_empty(), "stale by now");
+    assert!(
+        state.rejected_commands.is_empty(),
+        "dropped because its base is outdated"
+    );
 }
 
 #[test]
@@ -304,7 +311,7 @@
     assert_eq!(
         state.apply(8, &assign(0, "b")),
         CommandOutcome::Conflict,
-        "decided on what was before"
+        "expects an outdated fencing token"
     );
     assert_eq!(state.keys_index, 7);
     assert_eq!(state.apply(9, &assign(1, "b")), CommandOutcome::Applied);
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -1,20 +1,21 @@
-//! One control process: its member of the log, the replicated state, the sessions of the data plane, the zones'
-//! upstreams, and the other control processes.
+//! One control process: its Raft node, the replicated state, the sessions of the data plane, the zones' upstreams, and
+//! the other control processes.
 //!
-//! **State.** All of it is in `state::State`, divided by owner; that module says who may change what. The modules
-//! beside it hold what [`ControlServer`] does by concern: `log_driver` (steps of the log, and what follows from them),
-//! `contact` (quorum contact, reads, who leads), `commands` and `acknowledgement` (operators' commands), `membership`,
+//! **State.** All state is in `state::State`, divided by owner; that module documents who may change what. The modules
+//! next to it implement [`ControlServer`] by concern: `log_driver` (steps of the Raft node and their effects),
+//! `contact` (quorum contact, reads, leadership), `commands` and `acknowledgement` (operators' commands), `membership`,
 //! `peers`, `sessions`, `zones`, `keys`.
 //!
-//! **Threads.** Everything runs on one thread. The state is behind one [`RefCell`]: a borrow never lasts across an
-//! `await`, nor across `ControlServer::notify_changed`. Whoever waits for changes waits on
+//! **Threads.** Everything runs on a single thread. The state is in one [`RefCell`], which is never borrowed across an
+//! `await` or a call of `ControlServer::notify_changed`. Tasks that wait for changes use
 //! [`ControlServer::watch_changes`].
 //!
-//! **Promises.** A command's outcome is returned only after its entry is committed by a majority and applied here. What is
-//! agreed on is read and handed out only in quorum contact.
+//! **Guarantees.** A command's outcome is returned only after its entry is committed by a majority and applied here.
+//! Replicated state is read and served only in quorum contact.
 //!
-//! **Neighbours.** A peer that is silent for 3 s loses its sessions here and has to introduce itself again; a peer that
-//! comes back wiped has another id and is met as a new one. Without a leader, commands end as [`Indeterminate`].
+//! **Failures.** The sessions of a peer that is silent for 3 s are dropped, and it has to introduce itself again. A
+//! peer that restarts with a wiped disk has a new id and is treated as a new peer. Without a leader, commands end as
+//! [`Indeterminate`].
 
 mod acknowledgement;
 mod clock;
@@ -57,74 +58,76 @@
 };
 use crate::store::DiskRequest;
 
-/// A leader sends heartbeats this often. They cross regions, and their bytes are paid for.
+/// The interval between the leader's heartbeats. Heartbeats cross regions, where traffic is billed by the byte.
 const HEARTBEAT_INTERVAL_MS: u64 = 200;
-/// A member that hears nothing of a leader for so long, up to twice as long, campaigns: two heartbeats may be lost or
-/// late first.
+/// A member that receives nothing from a leader for a random time between this and twice this starts an election. It
+/// allows for two lost or late heartbeats.
 pub const ELECTION_TIMEOUT_MS: u64 = 600;
 const TIMING: Timing = Timing {
     heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
     election_timeout_ms: ELECTION_TIMEOUT_MS,
 };
-/// A process that is no member of the log asks to become one this often: it counts as lost until it is.
+/// The interval at which a process that is not a member of the log asks to join: it counts as lost until it is a
+/// member.
 const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest time between two ticks of the log.
+/// The longest time between two ticks of the Raft node.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// The log is compacted after so many entries.
+/// The log is compacted when it has more entries than this.
 pub(crate) const COMPACT_AFTER_ENTRIES: usize = 256;
-/// The log is compacted after so many bytes of commands: large configurations must not fill the disk before there are
-/// many entries.
+/// The log is compacted when the commands applied since the last compaction have more bytes than this: large
+/// configurations must not fill the disk while there are still few entries.
 pub(crate) const COMPACT_AFTER_BYTES: usize = 2 << 20;
-/// Control processes send each other heartbeats this often, and all sessions to those that missed changes.
+/// The interval at which control processes send each other heartbeats, and all their sessions to peers that missed
+/// changes.
 pub const SESSION_SYNC_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// A peer to be dialled.
+/// A request to connect to a peer.
 pub struct DialRequest {
-    /// Where it listens for peers.
+    /// The address on which the peer listens for other control processes.
     pub address: SocketAddr,
-    /// What it is to be sent, in order.
+    /// The messages to send to it, in order.
     pub messages: mpsc::Receiver<PeerMessage>,
-    /// Wakes when the peer has connected to this process itself.
+    /// Notified when the peer has connected to this process.
     pub connected: Rc<Notify>,
 }
 
-/// Where a [`ControlServer`] sends what it wants done.
+/// Channels through which a [`ControlServer`] requests work from its host.
 pub struct Channels {
-    /// What the disk is to write, in order.
+    /// Writes for the disk, in order.
     pub disk: disk::Sender<DiskRequest>,
-    /// Peers to be dialled.
+    /// Peers to connect to.
     pub dial: mpsc::UnboundedSender<DialRequest>,
-    /// Why this process can't go on.
+    /// Errors after which this process can't continue.
     pub fatal_errors: mpsc::UnboundedSender<FatalError>,
 }
 
-/// Why a control process can't go on: its log holds what this build can't read, and must not pass over.
+/// Why a control process can't continue: its log contains something that this build can't read and must not skip.
 #[derive(Debug, thiserror::Error)]
 pub enum FatalError {
-    /// A snapshot of the replicated state.
+    /// The snapshot of the replicated state can't be read.
     #[error(transparent)]
     UnreadableSnapshot(#[from] crate::snapshot::SnapshotError),
-    /// A committed entry, maybe of a later build.
-    #[error("entry {index} can't be read: {source}")]
+    /// A committed entry can't be read; it may have been written by a later build.
+    #[error("failed to decode log entry {index}: {source}")]
     UnreadableEntry {
-        /// Its index.
+        /// The entry's index.
         index: u64,
-        /// What is wrong with it.
+        /// The decoding error.
         source: ciborium::de::Error<std::io::Error>,
     },
 }
 
-/// What a [`ControlServer`] takes from its machine besides settings, disk and network.
+/// What a [`ControlServer`] gets from its machine apart from settings, disk and network.
 pub struct Environment {
-    /// Where tokens of reads begin: drawn at random, because an answer to an earlier life of this process must not pass
-    /// for one to this.
+    /// The token that precedes the first read token. It is random, so that a late answer to an earlier run of this
+    /// process is not taken for an answer to this one.
     pub first_token: u64,
-    /// Milliseconds of Unix time. It may step either way.
+    /// Returns Unix time in milliseconds. It may jump forwards and backwards.
     pub wall_clock: Box<dyn Fn() -> u64>,
 }
 
 impl Environment {
-    /// That of the machine on which this process runs.
+    /// Returns the environment of the machine on which this process runs.
     pub fn of_machine() -> Self {
         let wall_clock = || {
             let unix = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -140,11 +143,11 @@
 
 /// One control process.
 pub struct ControlServer {
-    /// As read when the process began.
+    /// The settings, as read when the process started.
     pub settings: Settings,
-    /// Its name in the log.
+    /// This process's id in the log.
     pub id: NodeId,
-    /// How it introduces itself to peers and balancers.
+    /// How this process introduces itself to peers and balancers.
     pub control_node: ControlNode,
     clock: Clock,
     state: RefCell<State>,
@@ -153,17 +156,17 @@
     changes: ChangeNotifier,
 }
 
-/// Why a command has no outcome.
+/// Why the outcome of a command is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Indeterminate {
-    /// Another process leads; its address for peers, where known.
+    /// Another process leads. Contains its address for peers, if known.
     NotLeader(Option<SocketAddr>),
-    /// No majority answered in time: the command may be applied or not.
+    /// No majority answered in time. The command may or may not have been applied.
     NoMajority,
 }
 
 impl ControlServer {
-    /// A control process that goes on from what its disk holds. Nothing happens by itself: its host runs
+    /// Creates a control process that continues from the state on its disk. It does nothing on its own: the host runs
     /// [`Self::run_clock`] and [`Self::run_disk_events`], and serves `channels`.
     pub fn new(
         settings: Settings,
@@ -203,12 +206,12 @@
             changes: ChangeNotifier::default(),
         });
         server.add_seeds(&server.settings.seeds);
-        // Carries out what the member of the log wants from its start.
+        // Carries out what the Raft node requests on startup.
         server.with_raft_node(|_| {});
         server
     }
 
-    /// Wakes with every change that the data plane, the directory or the status may show.
+    /// Returns a watcher that is notified of every change that may affect the data plane, the directory or the status.
     pub fn watch_changes(&self) -> ChangeWatcher {
         self.changes.watch()
     }
@@ -217,7 +220,7 @@
         self.changes.notify();
     }
 
-    /// Milliseconds since this process began.
+    /// Returns the milliseconds since this process started.
     pub fn uptime_ms(&self) -> u64 {
         self.clock.uptime_ms()
     }
--- a/crates/control-plane/src/server/acknowledgement.rs
+++ b/crates/control-plane/src/server/acknowledgement.rs
@@ -1,8 +1,9 @@
 //! The acknowledgement of an evacuation or a return, from before it is written until its caller has read it.
 //!
-//! Two control processes must not both tell callers of the same command, and a command that is sent again must be told
-//! from a new one. So the log holds which attempt may acknowledge a command, and what became of it: see
-//! [`crate::evacuations`]. What is not in the log by the time this process dies counts as written: on the safe side.
+//! Two control processes must not both acknowledge the same command to different callers, and a resent command must be
+//! distinguished from a new one. The log therefore records which attempt may acknowledge a command, and with what
+//! result: see [`crate::evacuations`]. If this process fails before it has recorded a result, the acknowledgement
+//! counts as sent, which is the safe assumption.
 
 use std::rc::Rc;
 
@@ -12,21 +13,22 @@
 use crate::configuration::Command;
 use crate::evacuations::{AcknowledgementAttempt, CommandId, EvacuationStep};
 
-/// A command to a zone that is applied, and may be acknowledged to its caller. Dropped before that is written, the
-/// command counts as one that was never acknowledged.
+/// An applied zone command whose caller may now get its acknowledgement. If it is dropped before the acknowledgement is
+/// written, the log records that none was sent.
 pub struct Acknowledgement {
     server: Rc<ControlServer>,
     zone: String,
-    /// `None` where there was nothing to return.
+    /// `None` if the call was a return and there was no evacuation to end.
     command: Option<CommandId>,
     is_return: bool,
-    /// `None` where it may be a return that was acknowledged already.
+    /// `None` if no attempt is recorded in the log: the command may have been acknowledged already, or there was
+    /// nothing to return.
     attempt: Option<AcknowledgementAttempt>,
     is_sent: bool,
 }
 
 impl Acknowledgement {
-    /// Counts as open for its zone until it is dropped.
+    /// Creates an acknowledgement, which counts as open for its zone until it is dropped.
     pub(super) fn open(
         server: Rc<ControlServer>,
         zone: &str,
@@ -47,24 +49,25 @@
         }
     }
 
-    /// The log gives the command to another attempt: there is nothing to withdraw.
+    /// Gives up the attempt: the log granted the acknowledgement to another attempt, so there is nothing to withdraw.
     pub(super) fn abandon_attempt(&mut self) {
         self.attempt = None;
     }
 
-    /// It is being written: from here on its caller may have read it.
+    /// Records that the acknowledgement is about to be written: from now on the caller may have read it.
     pub fn mark_sent(&mut self) {
         self.is_sent = true;
     }
 
-    /// Its caller has surely read it: a like command that comes is another one.
+    /// Records that the caller has certainly read the acknowledgement, so a later return is a new one. Evacuations need
+    /// no such record.
     pub async fn confirm(self) {
         if let Some(command) = self.command.filter(|_| self.is_return) {
             self.replicate(EvacuationStep::Confirm { command }).await;
         }
     }
 
-    /// The connection broke after it was written.
+    /// Records that the connection broke after the acknowledgement was written.
     pub async fn mark_connection_broken(self) {
         if let Some(withdrawal) = self.withdrawal(true) {
             self.replicate(withdrawal).await;
@@ -79,12 +82,13 @@
         })
     }
 
-    /// Where this process no longer leads, the command stays as it was, on the safe side.
+    /// Proposes a step and waits for its outcome. If this process no longer leads, the command keeps its state in the
+    /// log, which is safe.
     async fn replicate(&self, step: EvacuationStep) {
-        let until = Instant::now() + CALLER_WAIT;
+        let deadline = Instant::now() + CALLER_WAIT;
         let _ = self
             .server
-            .replicate_zone_step(&self.zone, step, until)
+            .replicate_zone_step(&self.zone, step, deadline)
             .await;
     }
 }
@@ -94,7 +98,7 @@
         if !self.is_sent
             && let Some(step) = self.withdrawal(false)
         {
-            // Nobody waits for what becomes of it. Where this process no longer leads, the command stays as it was.
+            // Nothing waits for the outcome. If this process no longer leads, the command keeps its state in the log.
             let _ = self.server.propose(&Command::ZoneStep {
                 zone: self.zone.clone(),
                 step,
--- a/crates/control-plane/src/server/clock.rs
+++ b/crates/control-plane/src/server/clock.rs
@@ -2,14 +2,15 @@
 
 use tokio::time::Instant;
 
-/// Uptime, which never steps back and runs on while the process stands still, and Unix time, which may step either way.
+/// Uptime, which is monotonic and includes time during which the process was suspended, and Unix time, which may jump
+/// forwards and backwards.
 pub(super) struct Clock {
     started: Instant,
     unix_ms: Box<dyn Fn() -> u64>,
 }
 
 impl Clock {
-    /// Its uptime begins now.
+    /// Creates a clock whose uptime starts now.
     pub(super) fn new(unix_ms: Box<dyn Fn() -> u64>) -> Self {
         Self {
             started: Instant::now(),
@@ -17,12 +18,12 @@
         }
     }
 
-    /// Milliseconds since the process began.
+    /// Returns the milliseconds since the process started.
     pub(super) fn uptime_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Milliseconds of Unix time.
+    /// Returns Unix time in milliseconds.
     pub(super) fn unix_ms(&self) -> u64 {
         (self.unix_ms)()
     }
--- a/crates/control-plane/src/server/commands.rs
+++ b/crates/control-plane/src/server/commands.rs
@@ -1,8 +1,8 @@
-//! Operators' commands: they go through the log, and each acknowledgement comes from the outcome at the command's
-//! position in it.
+//! Operators' commands. They are replicated through the log, and each acknowledgement reports the outcome of the
+//! command at its index.
 //!
-//! A caller whose command has no outcome in time is told so ([`Indeterminate`]) and sends it again, here or elsewhere; a
-//! command that is sent again has the same outcome. A process that dies drops its callers' connections.
+//! A caller whose command has no outcome in time is told so ([`Indeterminate`]) and resends it, to this process or
+//! another one; a resent command has the same outcome. When a process fails, its callers' connections break.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,26 +15,26 @@
 use crate::configuration::{Command, CommandOutcome};
 use crate::evacuations::{CommandId, Decision, EvacuationStep};
 
-/// How long a caller waits for the answer to a command to a zone: what it sent may be as old when it comes.
+/// How long a caller waits for the answer to a zone command. A command may thus be this old when it arrives.
 pub const CALLER_WAIT: Duration = Duration::from_millis(1000);
 
-/// A command to a zone is decided on within this time: it takes up to four rounds.
+/// The time allowed for deciding on a zone command, which takes up to four rounds of replication.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(400);
-/// How often it is looked whether the command before it is settled.
+/// The interval at which [`ControlServer::wait_until_zone_settled`] checks whether the previous command is settled.
 const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl ControlServer {
     /// Changes the configuration through the log.
     ///
     /// # Errors
-    /// [`Indeterminate`] where the command has no outcome within `within`.
+    /// Returns [`Indeterminate`] if the command has no outcome within `within`.
     pub async fn submit_command(
         &self,
         command: &Command,
         within: Duration,
     ) -> Result<CommandOutcome, Indeterminate> {
-        let until = Instant::now() + within;
-        self.wait_until_current_leader(until).await?;
+        let deadline = Instant::now() + within;
+        self.wait_until_current_leader(deadline).await?;
         let (outcome, is_final) = {
             let state = self.state.borrow();
             let replicated = state.log.state();
@@ -45,36 +45,37 @@
         if is_final {
             return Ok(outcome);
         }
-        self.replicate(command, until).await
+        self.replicate(command, deadline).await
     }
 
-    /// Evacuates a zone (`begin`), or returns it. Whether that is a new command or one sent again depends on what stands
-    /// in the replicated state, and on what became of the acknowledgement that is returned.
+    /// Evacuates a zone, or returns it if `is_evacuation` is false. Whether the call is new or a resent copy depends on
+    /// the replicated state, which also records the result of each [`Acknowledgement`] that was returned here.
     ///
     /// # Errors
-    /// [`Indeterminate`] where the command is not known to be applied within `within`.
+    /// Returns [`Indeterminate`] if the command is not known to be applied within `within`.
     pub async fn submit_zone_command(
         self: &Rc<Self>,
         zone: &str,
-        begin: bool,
+        is_evacuation: bool,
         within: Duration,
     ) -> Result<Acknowledgement, Indeterminate> {
-        let arrived = Instant::now();
-        let until = arrived + within;
-        let acknowledge_freely =
-            |command| Acknowledgement::open(self.clone(), zone, command, !begin, None);
+        let arrived_at = Instant::now();
+        let deadline = arrived_at + within;
+        let acknowledge_without_attempt =
+            |command| Acknowledgement::open(self.clone(), zone, command, !is_evacuation, None);
         loop {
-            self.wait_until_current_leader(until).await?;
-            self.wait_until_zone_settled(zone, until).await?;
-            match self.decide_zone_command(zone, begin, arrived) {
-                Decision::NothingToReturn => return Ok(acknowledge_freely(None)),
+            self.wait_until_current_leader(deadline).await?;
+            self.wait_until_zone_settled(zone, deadline).await?;
+            match self.decide_zone_command(zone, is_evacuation, arrived_at) {
+                Decision::NothingToReturn => return Ok(acknowledge_without_attempt(None)),
                 Decision::PossibleDuplicate(command) => {
-                    return Ok(acknowledge_freely(Some(command)));
+                    return Ok(acknowledge_without_attempt(Some(command)));
                 }
-                // Applied, it is met as a duplicate on the next turn, and acknowledged like one.
-                Decision::New(step) => drop(self.replicate_zone_step(zone, step, until).await?),
+                // Once applied, the command is found as a duplicate in the next iteration, and is acknowledged as such.
+                Decision::New(step) => drop(self.replicate_zone_step(zone, step, deadline).await?),
                 Decision::Duplicate(command) => {
-                    let attempt = self.attempt_acknowledgement(zone, command, !begin, until);
+                    let attempt =
+                        self.attempt_acknowledgement(zone, command, !is_evacuation, deadline);
                     if let Some(acknowledgement) = attempt.await? {
                         return Ok(acknowledgement);
                     }
@@ -83,14 +84,14 @@
         }
     }
 
-    /// Has the log grant the acknowledgement of a command to an attempt of this process; `None` where another attempt
-    /// has it.
+    /// Claims the acknowledgement of a command for a new attempt of this process, through the log. Returns `None` if
+    /// another attempt holds it.
     async fn attempt_acknowledgement(
         self: &Rc<Self>,
         zone: &str,
         command: CommandId,
         is_return: bool,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Option<Acknowledgement>, Indeterminate> {
         let attempt = {
             let mut state = self.state.borrow_mut();
@@ -100,24 +101,24 @@
         let mut acknowledgement =
             Acknowledgement::open(self.clone(), zone, Some(command), is_return, Some(attempt));
         let step = EvacuationStep::Acknowledge { command, attempt };
-        if self.replicate_zone_step(zone, step, until).await? != CommandOutcome::Applied {
+        if self.replicate_zone_step(zone, step, deadline).await? != CommandOutcome::Applied {
             acknowledgement.abandon_attempt();
             return Ok(None);
         }
-        // Later than its caller listens it is not written, and so is withdrawn.
-        if Instant::now() < until {
+        // Past the deadline the caller no longer listens: the acknowledgement is dropped, and thereby withdrawn.
+        if Instant::now() < deadline {
             Ok(Some(acknowledgement))
         } else {
             Err(Indeterminate::NoMajority)
         }
     }
 
-    /// Waits until all is applied that this leader has put into the log about the zone; and, as long as there is
-    /// time to decide without it, for what becomes of acknowledgements that are under way.
+    /// Waits until every step that this leader has proposed for the zone is applied. While enough time remains to
+    /// decide afterwards, also waits for the results of open acknowledgements.
     async fn wait_until_zone_settled(
         &self,
         zone: &str,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<(), Indeterminate> {
         loop {
             let now = Instant::now();
@@ -126,11 +127,11 @@
                 .borrow()
                 .zone_commands
                 .has_open_acknowledgement(zone)
-                && now + DECISION_TIMEOUT < until;
+                && now + DECISION_TIMEOUT < deadline;
             if !is_settling && !self.has_unapplied_step(zone) {
                 return Ok(());
             }
-            if now >= until {
+            if now >= deadline {
                 return Err(Indeterminate::NoMajority);
             }
             sleep(SETTLE_POLL_INTERVAL).await;
@@ -145,47 +146,52 @@
             .has_unapplied_step(zone, term, state.log.applied_index())
     }
 
-    /// What a command is that arrived then: a new one, or one sent again.
-    fn decide_zone_command(&self, zone: &str, begin: bool, arrived: Instant) -> Decision {
+    /// Decides whether a command that arrived at this time is new or a resent copy.
+    fn decide_zone_command(
+        &self,
+        zone: &str,
+        is_evacuation: bool,
+        arrived_at: Instant,
+    ) -> Decision {
         let mut resend_window = Duration::from_millis(self.settings.bounds.ack_ms);
-        if !begin {
-            // It is counted from the last acknowledgement, which may be as late as its caller listens.
+        if !is_evacuation {
+            // For a return, the window starts at the last acknowledgement, which may be as late as the caller listens.
             resend_window += CALLER_WAIT;
         }
         let mut state = self.state.borrow_mut();
         let State {
             log, zone_commands, ..
         } = &mut *state;
-        zone_commands.decide(zone, begin, arrived, resend_window, log.state())
+        zone_commands.decide(zone, is_evacuation, arrived_at, resend_window, log.state())
     }
 
-    /// Puts a step of a command to a zone into the log, and waits for its outcome.
+    /// Proposes a step of a zone command and waits for its outcome.
     pub(super) async fn replicate_zone_step(
         &self,
         zone: &str,
         step: EvacuationStep,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<CommandOutcome, Indeterminate> {
         let command = Command::ZoneStep {
             zone: zone.to_string(),
             step,
         };
-        self.replicate(&command, until).await
+        self.replicate(&command, deadline).await
     }
 
-    /// Puts a command into the log, and waits for its outcome.
+    /// Proposes a command and waits for its outcome.
     async fn replicate(
         &self,
         command: &Command,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<CommandOutcome, Indeterminate> {
         let Some(pending) = self.propose(command) else {
             return Err(Indeterminate::NotLeader(self.leader_address()));
         };
-        let left = until.saturating_duration_since(Instant::now());
-        match timeout(left, pending.outcome).await {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        match timeout(remaining, pending.outcome).await {
             Ok(Ok(outcome)) => Ok(outcome),
-            // Another entry took its place.
+            // Another entry replaced the command.
             Ok(Err(_)) => Err(Indeterminate::NoMajority),
             Err(_) => {
                 let mut state = self.state.borrow_mut();
@@ -195,11 +201,11 @@
         }
     }
 
-    /// Puts a command into the log, if this process leads.
+    /// Appends a command to the log, if this process leads.
     pub(super) fn propose(&self, command: &Command) -> Option<PendingCommand> {
         let mut data = Vec::new();
         ciborium::into_writer(command, &mut data)
-            .inspect_err(|error| tracing::error!(%error, "a command can't be encoded"))
+            .inspect_err(|error| tracing::error!(%error, "failed to encode a command"))
             .ok()?;
         self.with_state(|state| {
             let index = state.log.node_mut().propose(data)?;
--- a/crates/control-plane/src/server/contact.rs
+++ b/crates/control-plane/src/server/contact.rs
@@ -1,12 +1,13 @@
-//! Quorum contact, linearizable reads, and who leads.
+//! Quorum contact, linearizable reads, and leadership.
 //!
-//! A control process is **in contact** while, within the last 2 s, it had applied all that had been
-//! acknowledged anywhere. The leader proves that by a round of heartbeats that a majority has answered, a follower by the
-//! leader's answer to its question (Raft thesis, 6.4); both count from the moment of sending, on a clock that runs on while
-//! the process stands still. So whoever looks right after a freeze finds that the process is out of contact.
+//! A control process is **in quorum contact** if, at some point within the last 2 s, it had applied everything that had
+//! been acknowledged anywhere by then. The leader proves this by a round of heartbeats that a majority has answered, a
+//! follower by the leader's answer to a request (Raft thesis, 6.4). Both count from the time of sending, on a clock
+//! that includes time during which the process was suspended. A check right after a suspension therefore finds the
+//! process out of contact.
 //!
-//! Without a majority nobody is in contact: reads fail, and balancers are told so. A process without a disk is no member
-//! of the log and is never in contact; it only learns who leads.
+//! Without a majority no process is in contact: reads fail, and balancers are told so. A process without a disk is not
+//! a member of the log and is never in contact; it only learns which process leads.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,44 +20,47 @@
 use super::state::{PeerReadToken, Reader};
 use super::{ControlServer, ELECTION_TIMEOUT_MS, Indeterminate};
 
-/// What is agreed on is served for so long after the moment up to which it is known to be complete: two questions
-/// may be lost, or take long on a narrow link. Far below the time that a new version has to come into force.
+/// How long the replicated state is served after the time at which it is known to have been complete. It allows for two
+/// contact requests that are lost or slow on a narrow link, and is far below the time within which a new configuration
+/// has to take effect.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(2000);
-/// A leader to whom a caller can be redirected is confirmed by a majority within this: some round trips across regions.
+/// How long to wait for a majority to confirm the leader to which a caller is redirected: a few round trips across
+/// regions.
 const LEADER_CONFIRM_TIMEOUT: Duration = Duration::from_millis(300);
-/// A command that finds no leader waits so long for one, within the second after which its caller moves on: an election
-/// is over sooner than a caller who is turned away comes back.
+/// How long a command that finds no leader waits for one. An election takes less time than a rejected caller takes to
+/// retry. Kept below the second after which a caller tries another process.
 const LEADER_WAIT: Duration = Duration::from_millis(930);
-/// Between two looks at what has changed.
+/// The interval at which waiting tasks poll for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// While this process leads: when a majority last followed it.
+/// The confirmed leadership of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfirmedLeadership {
-    /// Its term.
+    /// The term in which it leads.
     pub term: u64,
-    /// Uptime in ms at which it surely led.
+    /// Uptime in ms at which it certainly led, confirmed by a majority.
     pub at_ms: u64,
 }
 
 impl ControlServer {
-    /// How long ago all that was acknowledged by then was applied here; `None` where that was never known.
+    /// Returns the time since the latest point at which everything acknowledged by then is known to be applied here, or
+    /// `None` if there is no such point.
     pub fn quorum_contact_age(&self) -> Option<Duration> {
         let state = self.state.borrow();
-        let by_log = state.log.node().quorum_contact_at();
-        let at_ms = by_log.max(state.contact.proven_at_ms())?;
+        let proven_by_log = state.log.node().quorum_contact_at();
+        let at_ms = proven_by_log.max(state.contact.proven_at_ms())?;
         Some(Duration::from_millis(
             self.uptime_ms().saturating_sub(at_ms),
         ))
     }
 
-    /// Whether what is agreed on may be served at this moment.
+    /// Whether the replicated state may be served now.
     pub fn has_quorum_contact(&self) -> bool {
         self.quorum_contact_age()
             .is_some_and(|age| age < CONTACT_TIMEOUT)
     }
 
-    /// Asks the leader for contact when that is due, and notifies watchers when contact is lost or regained.
+    /// Sends the leader a contact request if one is due, and notifies watchers when contact is lost or regained.
     pub(super) fn maintain_contact(&self) {
         if self.control_node.has_disk
             && !self.is_leader()
@@ -81,53 +85,53 @@
         }
     }
 
-    /// Waits until all that was acknowledged before this call is applied here. Returns whether that was so within
-    /// `within`. It never is where there is no disk. Failure seen once: a process without a disk took the confirmation
-    /// that somebody leads for contact, and told balancers so, while it held nothing of what is agreed on.
+    /// Waits until everything acknowledged before this call is applied here. Returns whether that happened within
+    /// `within`. Always false without a disk: a process without a disk once took the confirmation that a leader exists
+    /// for quorum contact and reported it to balancers, although it had none of the replicated state.
     pub async fn wait_until_current(&self, within: Duration) -> bool {
         if !self.control_node.has_disk {
             return false;
         }
-        let (began_ms, until) = (self.uptime_ms(), Instant::now() + within);
+        let (began_ms, deadline) = (self.uptime_ms(), Instant::now() + within);
         loop {
-            // A leader that was just lost does not answer: ask whoever leads next.
+            // A leader that was just lost does not answer: after an election timeout, ask the next leader.
             let election_timeout = Duration::from_millis(ELECTION_TIMEOUT_MS);
-            let patience = election_timeout.min(until - Instant::now());
-            if let Some(index) = self.read_index(patience).await {
-                let is_applied = self.wait_until_applied(index, until).await;
+            let attempt_timeout = election_timeout.min(deadline - Instant::now());
+            if let Some(index) = self.read_index(attempt_timeout).await {
+                let is_applied = self.wait_until_applied(index, deadline).await;
                 if is_applied {
                     self.state.borrow_mut().contact.record_proof(began_ms);
                 }
                 return is_applied;
             }
-            if Instant::now() + POLL_INTERVAL >= until {
+            if Instant::now() + POLL_INTERVAL >= deadline {
                 return false;
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until the entry at this index is applied. Returns whether that was so before `until`.
-    async fn wait_until_applied(&self, index: u64, until: Instant) -> bool {
+    /// Waits until the entry at this index is applied. Returns whether that happened before the deadline.
+    async fn wait_until_applied(&self, index: u64, deadline: Instant) -> bool {
         let mut changes = self.watch_changes();
         while self.state.borrow().log.applied_index() < index {
             let change = timeout(POLL_INTERVAL, changes.changed()).await;
-            if change.is_err() && Instant::now() >= until {
+            if change.is_err() && Instant::now() >= deadline {
                 return false;
             }
         }
         true
     }
 
-    /// The index that covers all that was acknowledged before this call. A process that is no member of the log learns
-    /// no index, only that there is a leader that a majority confirms.
+    /// Returns an index that covers everything acknowledged before this call. A process that is not a member of the log
+    /// gets no meaningful index, only the confirmation that a majority follows a leader.
     async fn read_index(&self, within: Duration) -> Option<u64> {
-        let (answer, answered) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let token = self
             .state
             .borrow_mut()
             .reads
-            .register(Reader::Local(answer));
+            .register(Reader::Local(sender));
         if self.control_node.has_disk || self.is_leader() {
             self.with_raft_node(|node| node.request_read(token.get()));
         } else if let Some(leader) = self.leader_address() {
@@ -135,12 +139,12 @@
             let question = PeerMessage::ConfirmLeadership { token };
             self.state.borrow().peers.send(leader, question);
         }
-        let index = timeout(within, answered).await;
+        let index = timeout(within, receiver).await;
         self.state.borrow_mut().reads.remove(token);
         index.ok()?.ok()?
     }
 
-    /// A peer asks whether a majority confirms that this process leads.
+    /// Handles a peer's question whether a majority confirms that this process leads.
     pub(super) fn handle_confirm_leadership(&self, peer: SocketAddr, token: u64) {
         if self.is_leader() {
             let reader = Reader::Peer {
@@ -152,32 +156,32 @@
         }
     }
 
-    /// Waits until this process leads and knows all that was acknowledged: a leader that was cut off must not reject a
-    /// command on what it last knew.
+    /// Waits until this process leads and has applied everything that was acknowledged: a leader that was partitioned
+    /// off must not reject a command on the basis of outdated state.
     pub(super) async fn wait_until_current_leader(
         &self,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<(), Indeterminate> {
-        self.wait_for_leadership(until.min(Instant::now() + LEADER_WAIT))
+        self.wait_for_leadership(deadline.min(Instant::now() + LEADER_WAIT))
             .await?;
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() || !self.wait_until_current(left).await {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() || !self.wait_until_current(remaining).await {
             return Err(Indeterminate::NoMajority);
         }
         Ok(())
     }
 
-    /// Waits until this process leads, or another one is confirmed by a majority to lead: nobody is redirected to one
-    /// that is gone or cut off.
-    async fn wait_for_leadership(&self, until: Instant) -> Result<(), Indeterminate> {
+    /// Waits until this process leads, or until a majority confirms that another one does: callers must not be
+    /// redirected to a leader that has failed or is partitioned off.
+    async fn wait_for_leadership(&self, deadline: Instant) -> Result<(), Indeterminate> {
         while !self.is_leader() {
             let leader = self.leader_address();
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Err(Indeterminate::NotLeader(None));
             }
-            let patience = LEADER_CONFIRM_TIMEOUT.min(left);
-            let is_confirmed = leader.is_some() && self.read_index(patience).await.is_some();
+            let attempt_timeout = LEADER_CONFIRM_TIMEOUT.min(remaining);
+            let is_confirmed = leader.is_some() && self.read_index(attempt_timeout).await.is_some();
             if is_confirmed && self.leader_address() == leader {
                 return Err(Indeterminate::NotLeader(leader));
             }
@@ -186,18 +190,18 @@
         Ok(())
     }
 
-    /// Where to redirect a caller whom only the leader, or a member of the log, can answer.
+    /// Returns where to redirect a caller whose request only the leader, or only a member of the log, can answer.
     pub async fn redirect_target(&self) -> Indeterminate {
-        let leads = self.wait_for_leadership(Instant::now() + LEADER_WAIT).await;
-        leads.err().unwrap_or(Indeterminate::NoMajority)
+        let result = self.wait_for_leadership(Instant::now() + LEADER_WAIT).await;
+        result.err().unwrap_or(Indeterminate::NoMajority)
     }
 
-    /// Whether this process takes itself for the leader. Whether it still is shows only when a majority is asked.
+    /// Whether this process considers itself the leader. Only asking a majority shows whether it still is.
     pub fn is_leader(&self) -> bool {
         self.state.borrow().log.node().status().role == Role::Leader
     }
 
-    /// While this process leads: its term, and when a majority last followed it.
+    /// Returns the term and the time of the latest majority confirmation while this process leads, else `None`.
     pub fn confirmed_leadership(&self) -> Option<ConfirmedLeadership> {
         let state = self.state.borrow();
         let node = state.log.node();
@@ -207,8 +211,8 @@
         })
     }
 
-    /// The leader's address for peers, as far as is known: as the log says or, where there is no disk, as the peers say.
-    /// Whether it still leads shows when it is asked.
+    /// Returns the leader's address for peers, if known: from the log or, without a disk, from the peers' heartbeats.
+    /// The leader may have lost leadership since.
     pub fn leader_address(&self) -> Option<SocketAddr> {
         let state = self.state.borrow();
         if self.control_node.has_disk {
--- a/crates/control-plane/src/server/keys.rs
+++ b/crates/control-plane/src/server/keys.rs
@@ -1,4 +1,4 @@
-//! Which upstream holds which keys, as agreed on, and how much work there is for them.
+//! The replicated assignment of key ranges to upstreams, and the load on the keys.
 
 use protocol::key_load::KeyLoadReport;
 use protocol::key_ranges::{KeyRangeChange, KeyRangeMap};
@@ -6,18 +6,18 @@
 use super::ControlServer;
 use crate::configuration::Command;
 
-/// The services whose upstreams divide their keys.
+/// The services whose keys are sharded among their upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardedServices {
-    /// Index of the configuration that names them.
+    /// Log index of the configuration that this list is taken from.
     pub config_index: u64,
-    /// Their names.
+    /// The names of the services.
     pub services: Vec<String>,
 }
 
 impl ControlServer {
-    /// Puts changes of a service's key ranges into the log, if this process leads. Whether they count shows once they
-    /// are applied.
+    /// Proposes changes of a service's key ranges, if this process leads. Each change is accepted or rejected when it
+    /// is applied.
     pub fn propose_key_changes(&self, service: &str, changes: Vec<KeyRangeChange>) {
         let command = Command::AssignKeys {
             service: service.to_string(),
@@ -25,32 +25,32 @@
         };
         let mut data = Vec::new();
         match ciborium::into_writer(&command, &mut data) {
-            // Where it no longer leads, the next leader plans anew.
+            // If this process no longer leads, the next leader makes a new plan.
             Ok(()) => drop(self.with_raft_node(|node| node.propose(data))),
-            Err(error) => tracing::error!(service, %error, "key changes can't be encoded"),
+            Err(error) => tracing::error!(service, %error, "failed to encode key range changes"),
         }
     }
 
-    /// Adds requests that balancers counted by key.
+    /// Adds request counts by key, as reported by balancers.
     pub fn record_key_load(&self, counts: KeyLoadReport) {
         self.state.borrow_mut().key_load.record(counts);
     }
 
-    /// Takes the counts of requests that were not taken yet.
+    /// Returns the request counts collected since the last call.
     pub fn take_key_load(&self) -> KeyLoadReport {
         self.state.borrow_mut().key_load.take()
     }
 
-    /// Looks at a service's key ranges, as agreed on.
-    pub fn with_key_ranges<T>(&self, service: &str, look: impl FnOnce(&KeyRangeMap) -> T) -> T {
+    /// Calls `read` with the replicated key ranges of a service.
+    pub fn with_key_ranges<T>(&self, service: &str, read: impl FnOnce(&KeyRangeMap) -> T) -> T {
         let state = self.state.borrow();
         match state.log.state().keys.get(service) {
-            Some(ranges) => look(ranges),
-            None => look(&KeyRangeMap::default()),
+            Some(ranges) => read(ranges),
+            None => read(&KeyRangeMap::default()),
         }
     }
 
-    /// The services whose upstreams divide their keys, if the configuration is another than the one at `known_index`.
+    /// Returns the sharded services, unless the current configuration is the one at `known_index`.
     pub fn sharded_services_since(&self, known_index: u64) -> Option<ShardedServices> {
         let state = self.state.borrow();
         let replicated = state.log.state();
--- a/crates/control-plane/src/server/log_driver.rs
+++ b/crates/control-plane/src/server/log_driver.rs
@@ -1,5 +1,5 @@
-//! Drives the member of the log: gives it time, the disk's reports and messages, and carries out what it wants done
-//! (`Ready`), in the order that its promises need.
+//! Drives the Raft node: passes it the time, the disk's completions and the peers' messages, and carries out the work
+//! that it requests ([`Ready`]), in the order that Raft's guarantees require.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::store::DiskRequest;
 
 impl ControlServer {
-    /// Ticks the log and sends peers what is due, for good.
+    /// Ticks the Raft node and sends the periodic messages to peers. Never returns.
     pub async fn run_clock(self: Rc<Self>) {
         let mut last_heartbeat = Instant::now() - SESSION_SYNC_INTERVAL;
         let mut last_join = Instant::now();
@@ -38,29 +38,31 @@
         }
     }
 
-    /// An election or a heartbeat must not be late by what is left of a tick.
+    /// Returns the time until the next tick. It ends early for an election or a heartbeat that is due, which must not
+    /// be delayed by the rest of the interval.
     fn time_to_next_tick(&self) -> Duration {
-        let due = self.state.borrow().log.node().next_tick_at();
-        let left = due.saturating_sub(self.uptime_ms()).max(1);
-        TICK_INTERVAL.min(Duration::from_millis(left))
+        let next_tick_at = self.state.borrow().log.node().next_tick_at();
+        let remaining_ms = next_tick_at.saturating_sub(self.uptime_ms()).max(1);
+        TICK_INTERVAL.min(Duration::from_millis(remaining_ms))
     }
 
-    /// Reports to the log which writes the disk has synced, by their sequence numbers; ends when the disk fails.
+    /// Reports to the Raft node which writes are synced to disk, by sequence number. Returns when the disk fails.
     pub async fn run_disk_events(self: Rc<Self>, mut synced: mpsc::UnboundedReceiver<u64>) {
         while let Some(sequence) = synced.recv().await {
             self.with_raft_node(|node| node.on_persisted(sequence));
         }
     }
 
-    /// Lets the member of the log take something in, and carries out what it wants done.
+    /// Performs a step of the Raft node and carries out the work that it requests.
     pub(super) fn with_raft_node<T>(&self, step: impl FnOnce(&mut RaftNode) -> T) -> T {
         self.with_state(|state| step(state.log.node_mut()))
     }
 
-    /// As [`Self::with_raft_node`], for a caller that has to note something before the step's results are carried out.
+    /// Like [`Self::with_raft_node`], for a caller that has to record something before the requested work is carried
+    /// out.
     pub(super) fn with_state<T>(&self, step: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state.borrow_mut();
-        // This process may have stood still since the last tick.
+        // The process may have been suspended since the last tick.
         state.log.node_mut().advance_clock(self.uptime_ms());
         let result = step(&mut state);
         let ready = state.log.node_mut().take_ready();
@@ -73,8 +75,8 @@
         result
     }
 
-    /// Carries out what the member of the log wants done. Writes are queued before messages are sent: the member itself
-    /// holds back what has to wait for a sync. Returns whether anything that is watched has changed.
+    /// Carries out the work that the Raft node requests. Writes are queued before messages are sent; the node itself
+    /// holds back messages that must wait for a sync. Returns whether anything that watchers see has changed.
     fn carry_out(&self, state: &mut State, ready: Ready) -> bool {
         for request in ready.persist_requests {
             self.write_to_disk(DiskRequest::Persist(request));
@@ -104,24 +106,24 @@
         has_changed
     }
 
-    /// Without a receiver the disk thread has ended; `run_disk_events` ends with it, and so does the process.
+    /// A closed channel means that the disk thread has ended; `run_disk_events` then returns, and the process ends.
     fn write_to_disk(&self, request: DiskRequest) {
         let _ = self.disk.send(request);
     }
 
-    /// Without a receiver the process is ending already.
+    /// A closed channel means that the process is already ending.
     fn report_fatal(&self, error: FatalError) {
         let _ = self.fatal_errors.send(error);
     }
 
-    /// What is agreed on, as of the last entry applied here.
+    /// Returns a copy of the replicated state, as of the last entry applied here.
     pub fn replicated_state(&self) -> ReplicatedState {
         self.state.borrow().log.state().clone()
     }
 }
 
-/// Sends to the address that the log names, else to the one that the member has connected from. May be dropped: the log
-/// sends again what it needs answered.
+/// Sends a message to the member's address in the log or, if the log has none, to the address from which the member has
+/// connected. The message may be dropped: Raft resends what it needs answered.
 fn send_to_member(state: &State, message: raft::Message) {
     let (log, peers) = (&state.log, &state.peers);
     let address = log
--- a/crates/control-plane/src/server/membership.rs
+++ b/crates/control-plane/src/server/membership.rs
@@ -1,8 +1,8 @@
-//! This process's membership in the log: it asks to join, tells how the members stand, and hands leadership over before
-//! its process ends.
+//! This process's membership in the log: it asks to join, reports the state of the members, and hands over leadership
+//! before the process ends.
 //!
-//! A member that was removed while it was away learns of that only from the leader that takes it in again: so it asks
-//! whenever it votes for nobody or hears no leader.
+//! A member that was removed while it was unreachable learns of this only from the leader that adds it again. It
+//! therefore asks to join while it is not a voter or knows no leader.
 
 use std::time::Duration;
 
@@ -13,28 +13,30 @@
 
 use super::{ControlServer, TIMING};
 
-/// How often it is looked whether another process leads: a fraction of a round trip between regions.
+/// The interval at which [`ControlServer::shut_down`] checks whether another process leads: a fraction of a round trip
+/// between regions.
 const HAND_OVER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A silent voter is removed after this, in ms, where that makes a majority smaller or a learner is ready to replace it,
-/// however soon a lost leader is replaced: a process that is killed starts again within this time.
+/// A voter that is silent for this long is removed if that makes the required majority smaller or a learner is ready to
+/// replace it. Unlike the default of [`MembershipPolicy::new`], this does not scale with the election timeout. A process
+/// that is killed restarts within this time.
 const VOTER_REMOVAL_TIMEOUT_MS: u64 = 1600;
-/// A silent voter is removed after this, in ms, in any case: a machine without power starts again within this time.
+/// A voter that is silent for this long is removed in any case. A machine that loses power restarts within this time.
 const UNCONDITIONAL_REMOVAL_TIMEOUT_MS: u64 = 24_000;
-/// A silent learner is removed after this, in ms.
+/// A learner that is silent for this long is removed.
 const LEARNER_REMOVAL_TIMEOUT_MS: u64 = 8000;
 
 /// What this process knows of the log and its members.
 pub struct LogStatus {
-    /// What its member knows of itself.
+    /// The status of this process's Raft node.
     pub own: raft::Status,
-    /// The members as of its last entry.
+    /// The members as of the last entry of its log.
     pub members: Members,
-    /// How they stand; only the leader knows.
+    /// The state of each member. Only the leader has it.
     pub report: Option<MembershipReport>,
 }
 
-/// When members are removed, for the number of nodes that may be lost according to the settings.
+/// Returns when members are removed, given the number of node losses to tolerate according to the settings.
 pub(super) fn policy(settings: &Settings) -> MembershipPolicy {
     MembershipPolicy {
         voter_removal_timeout_ms: VOTER_REMOVAL_TIMEOUT_MS,
@@ -45,7 +47,7 @@
 }
 
 impl ControlServer {
-    /// What this process knows of the log, for whoever asks how things stand.
+    /// Returns what this process knows of the log, for status and metrics.
     pub fn log_status(&self) -> LogStatus {
         let state = self.state.borrow();
         let node = state.log.node();
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Asks to become a member of the log, while it votes for nobody or hears no leader.
+    /// Asks to join the log while this process is not a voter or knows no leader.
     pub(super) fn request_membership(&self) {
         if !self.control_node.has_disk {
             return;
@@ -77,15 +79,16 @@
         }
     }
 
-    /// The process is about to end: hands leadership over. Returns once another process leads, or `within` has passed.
+    /// Hands over leadership because the process is about to end. Returns once another process leads, or after
+    /// `within`.
     pub async fn shut_down(&self, within: Duration) {
-        let until = Instant::now() + within;
+        let deadline = Instant::now() + within;
         let is_only_voter = self.with_raft_node(|node| {
             node.begin_shutdown();
             !node.members().voters.keys().any(|id| *id != self.id)
         });
         let has_handed_over = || is_only_voter || self.state.borrow().log.node().has_other_leader();
-        while !has_handed_over() && Instant::now() < until {
+        while !has_handed_over() && Instant::now() < deadline {
             sleep(HAND_OVER_POLL_INTERVAL).await;
         }
     }
--- a/crates/control-plane/src/server/peers.rs
+++ b/crates/control-plane/src/server/peers.rs
@@ -1,8 +1,9 @@
-//! The other control processes: who is there, what they are sent, and what they say.
+//! The other control processes: which ones are reachable, and the messages exchanged with them.
 //!
-//! Each process dials every other one and speaks on its own connection only (`connections`). A peer that is silent is
-//! forgotten after a while, with its sessions; one that is gone stays listed and is dialled on. What a peer's queue has no
-//! room for is dropped: the log sends its messages again, sessions are sent whole, zones by request.
+//! Each process dials every other one and sends only on the connection that it opened (`connections`). The sessions of
+//! a peer that stays silent are dropped; the peer itself stays listed, and dialling continues. Messages that don't fit
+//! into a peer's queue are dropped: Raft resends its messages, sessions are later sent in full, zones are sent on
+//! request.
 
 use std::net::SocketAddr;
 
@@ -14,7 +15,7 @@
 use super::state::{MessageAdmission, ReadToken};
 
 impl ControlServer {
-    /// Other machines that serve control, as the settings file names them by now.
+    /// Adds the control processes that the settings file lists as seeds, including those added since startup.
     pub fn add_seeds(&self, seeds: &[SocketAddr]) {
         let mut state = self.state.borrow_mut();
         for seed in seeds {
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Dials all members of the log, whether they have connected to this process or not.
+    /// Adds all members of the log as peers to dial, whether or not they have connected to this process.
     pub(super) fn add_members_as_peers(&self) {
         let mut state = self.state.borrow_mut();
         for address in state.log.member_addresses() {
@@ -30,15 +31,15 @@
         }
     }
 
-    /// A peer has connected and introduced itself.
+    /// Records that a peer has connected and introduced itself.
     pub fn on_peer_connected(&self, id: NodeId, node: ControlNode) {
         self.state.borrow_mut().peers.on_connected(id, node);
     }
 
-    /// A peer has said something. Returns whether it may go on: after too long a silence it has to introduce itself
-    /// again, because what it said before is forgotten.
+    /// Handles a message from a peer. Returns whether the connection may continue: after too long a silence the peer
+    /// has to introduce itself again, because its sessions were dropped.
     pub fn handle_peer_message(&self, from: SocketAddr, message: PeerMessage) -> bool {
-        let is_back = {
+        let has_returned = {
             let mut state = self.state.borrow_mut();
             match state.peers.on_message(from, Instant::now()) {
                 MessageAdmission::Refused => return false,
@@ -50,13 +51,13 @@
             }
         };
         let has_changed = self.dispatch_peer_message(from, message);
-        if is_back || has_changed {
+        if has_returned || has_changed {
             self.notify_changed();
         }
         true
     }
 
-    /// Returns whether the sessions with peers have changed; what else changes is notified by its handler.
+    /// Returns whether the peers' sessions have changed. Handlers notify watchers of any other change.
     fn dispatch_peer_message(&self, from: SocketAddr, message: PeerMessage) -> bool {
         match message {
             PeerMessage::Raft(message) => self.with_raft_node(|node| node.step(message)),
@@ -101,7 +102,7 @@
         false
     }
 
-    /// A peer tells all its sessions, and which control processes it knows.
+    /// Handles the full list of a peer's sessions and the control processes that it knows.
     fn handle_sessions(
         &self,
         from: SocketAddr,
@@ -119,7 +120,7 @@
         has_changed
     }
 
-    /// A peer tells changes of its sessions, and which control processes it knows if those are others than before.
+    /// Handles changes of a peer's sessions, and the control processes that it knows if they have changed.
     fn handle_session_changes(
         &self,
         from: SocketAddr,
@@ -138,7 +139,8 @@
         has_changed
     }
 
-    /// Sends peers the sessions here that have changed since they were sent last, those of one tick together.
+    /// Sends peers the sessions of this process that have changed since they were last sent. Changes within one tick
+    /// are sent together.
     pub(super) fn send_session_changes(&self) {
         let mut state = self.state.borrow_mut();
         let control_nodes = state.peers.take_changed_live_nodes();
@@ -154,7 +156,8 @@
         state.peers.broadcast_session_changes(&message);
     }
 
-    /// Sends peers a heartbeat, all sessions to those that missed changes, and the leader what balancers counted.
+    /// Sends all peers a heartbeat, peers that missed changes all sessions, and the leader the balancers' request
+    /// counts.
     pub(super) fn send_heartbeats(&self) {
         let leader = if self.control_node.has_disk {
             self.leader_address()
@@ -173,7 +176,7 @@
         state.peers.broadcast_heartbeat(leader, &all_sessions);
     }
 
-    /// All sessions with this process, and the control processes that it knows.
+    /// Returns a message with all sessions of this process and the control processes that it knows.
     fn sessions_message(&self) -> PeerMessage {
         let state = self.state.borrow();
         PeerMessage::Sessions {
@@ -182,7 +185,7 @@
         }
     }
 
-    /// What a peer is sent on a new connection: it may have missed anything.
+    /// Returns the messages to send on a new connection. The peer may have missed anything before.
     pub fn introduction_messages(&self) -> Vec<PeerMessage> {
         let mut messages = vec![self.sessions_message()];
         let state = self.state.borrow();
@@ -191,7 +194,7 @@
         messages
     }
 
-    /// Forgets the sessions of peers that have been silent for too long: they are not known to stand.
+    /// Drops the sessions of peers that have been silent for too long, because they may have ended.
     pub fn expire_silent_peers(&self) {
         let has_changed = {
             let mut state = self.state.borrow_mut();
@@ -206,7 +209,7 @@
         }
     }
 
-    /// Control processes with a disk that are there, this one included, in order.
+    /// Returns the reachable control processes that have a disk, including this one, in sorted order.
     pub fn control_nodes(&self) -> Vec<ControlNode> {
         let mut nodes = self.state.borrow().peers.live_nodes();
         nodes.retain(|node| node.has_disk);
--- a/crates/control-plane/src/server/sessions.rs
+++ b/crates/control-plane/src/server/sessions.rs
@@ -1,7 +1,8 @@
-//! Sessions of the data plane, and the updates that a session is sent.
+//! Sessions of the data plane, and the updates that are sent on them.
 //!
-//! A balancer keeps a session with one or two control processes. Each process tells the others of its own (`peers`), so
-//! that every one knows the whole fleet. A balancer whose control process is gone opens a session with another.
+//! A balancer keeps a session with one or two control processes. Each process tells the others of its own sessions
+//! (`peers`), so every process knows the whole fleet. A balancer that loses its control process opens a session with
+//! another one.
 
 use std::rc::Rc;
 
@@ -11,14 +12,14 @@
 use super::state::SessionId;
 
 impl ControlServer {
-    /// A balancer opens a session with this process.
+    /// Opens a balancer's session with this process.
     pub fn open_session(&self, session: Session) -> SessionId {
         let id = self.state.borrow_mut().sessions.next_id();
         self.update_session(id, session);
         id
     }
 
-    /// A balancer says something of itself on its session.
+    /// Records what a balancer reports of itself on its session.
     pub fn update_session(&self, id: SessionId, session: Session) {
         let is_new = self.state.borrow_mut().sessions.update(id, session);
         if is_new {
@@ -26,7 +27,7 @@
         }
     }
 
-    /// A session has ended; another of the same balancer may stand already.
+    /// Ends a session. The same balancer may have opened another one already.
     pub fn end_session(&self, id: SessionId, node: &str) {
         let has_ended = self.state.borrow_mut().sessions.end(id, node);
         if has_ended {
@@ -39,7 +40,7 @@
         self.state.borrow().sessions.contains(node)
     }
 
-    /// All sessions that stand, with any control process, one a node, ordered by node.
+    /// Returns all open sessions with any control process, one for each node, ordered by node.
     pub fn all_sessions(&self) -> Rc<Vec<Session>> {
         self.state.borrow_mut().all_sessions()
     }
@@ -53,12 +54,13 @@
         }
     }
 
-    /// What a balancer that has this lacks; `has` counts it as had from then on. Out of contact nothing is told of what
-    /// is agreed on, and no smaller fleet: whoever is missing may be beyond a partition.
+    /// Returns what a balancer that has `known` lacks, and updates `known` as if the balancer had received it. Out of
+    /// contact the update contains no replicated state and no smaller fleet, because missing balancers may merely be on
+    /// the other side of a partition.
     pub fn watch_update(
         &self,
         node: &str,
-        has: &mut WatchRequest,
+        known: &mut WatchRequest,
         in_contact: bool,
     ) -> Option<WatchUpdate> {
         let mut fleet = self.fleet_view(node);
@@ -66,19 +68,22 @@
         let mut state = self.state.borrow_mut();
         let mut update = WatchUpdate::default();
         if in_contact {
-            state.log.add_changes_since(has, &mut update);
-        } else if let Some(known) = has.fleet.filter(|known| known.balancers > fleet.balancers) {
-            fleet = known;
+            state.log.add_changes_since(known, &mut update);
+        } else if let Some(known_fleet) = known
+            .fleet
+            .filter(|known_fleet| known_fleet.balancers > fleet.balancers)
+        {
+            fleet = known_fleet;
         }
         let uptime_ms = self.uptime_ms();
-        state.zones.add_changes_since(has, &mut update, uptime_ms);
-        if has.fleet != Some(fleet) {
-            has.fleet = Some(fleet);
+        state.zones.add_changes_since(known, &mut update, uptime_ms);
+        if known.fleet != Some(fleet) {
+            known.fleet = Some(fleet);
             update.fleet = Some(fleet);
         }
         let digest = wire::digest(&control_nodes);
-        if has.control_nodes_digest != digest {
-            has.control_nodes_digest = digest;
+        if known.control_nodes_digest != digest {
+            known.control_nodes_digest = digest;
             update.control_nodes = Some(control_nodes);
         }
         (update != WatchUpdate::default()).then_some(update)
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -1,20 +1,20 @@
-//! What one control process knows, divided by owner. Each owner keeps its fields private, so that only its own methods
-//! change them; [`State`] holds what takes more than one owner.
+//! The state of one control process, divided by owner. Each owner keeps its fields private, so that only its own
+//! methods change them; [`State`] implements the operations that involve more than one owner.
 //!
-//! | Owner | What it owns | Who changes it |
+//! | Owner | What it owns | Changed by |
 //! | --- | --- | --- |
-//! | [`ReplicatedLog`] | member of the log, replicated state, applied index | `server::log_driver` |
+//! | [`ReplicatedLog`] | Raft node, replicated state, applied index | `server::log_driver` |
 //! | [`PendingCommands`] | callers that wait for a command's outcome | `server::commands`, `server::log_driver` |
 //! | [`ReadRequests`] | callers that wait for a read of the log | `server::contact`, `server::log_driver` |
 //! | [`QuorumContact`] | when this process was last known to be current | `server::contact` |
-//! | [`PeerRegistry`] | other control processes, and what they said | `server::peers` |
+//! | [`PeerRegistry`] | other control processes, and what they reported | `server::peers` |
 //! | [`SessionRegistry`] | sessions of the data plane with this process | `server::sessions` |
 //! | [`ZoneRegistry`] | each zone's upstreams | `server::zones` |
-//! | [`ZoneCommands`] | evacuations and returns under way | `server::commands`, `server::log_driver` |
-//! | [`KeyLoadCounts`] | requests that balancers counted by key | `server::keys` |
+//! | [`ZoneCommands`] | evacuations and returns in progress | `server::commands`, `server::log_driver` |
+//! | [`KeyLoadCounts`] | request counts by key, as reported by balancers | `server::keys` |
 //!
-//! All of it is in memory. The log's own state is also on disk (`store`); everything else is lost when the process ends
-//! and is learnt anew from peers, balancers and the platform.
+//! All of it is in memory. The Raft log is also on disk (`store`); everything else is lost when the process ends and is
+//! obtained again from peers, balancers and the platform.
 
 mod key_load_counts;
 mod peer_registry;
@@ -46,8 +46,8 @@
 use super::FatalError;
 use crate::configuration::{Command, CommandOutcome};
 
-/// Position of an entry in the log, with the term that it was proposed in: only together do they name one entry
-/// (Raft paper, 5.3).
+/// Index of an entry in the log, with the term in which it was proposed. Only the two together identify an entry (Raft
+/// paper, 5.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LogPosition {
     pub(super) term: u64,
@@ -68,14 +68,14 @@
 }
 
 impl State {
-    /// Replaces the replicated state by a snapshot's. Commands up to its last entry had their outcomes elsewhere:
-    /// their callers here get none.
+    /// Replaces the replicated state by that of a snapshot. The snapshot doesn't contain the outcomes of the commands
+    /// that it covers, so their callers get none.
     pub(super) fn restore(&mut self, snapshot: &Snapshot) -> Result<(), FatalError> {
         self.pending_commands.discard_through(snapshot.index);
         self.log.restore(snapshot)
     }
 
-    /// Applies a committed entry. Returns whether it changed anything that is watched.
+    /// Applies a committed entry. Returns whether it changed anything that watchers see.
     pub(super) fn apply_entry(&mut self, entry: &Entry) -> Result<bool, FatalError> {
         let changed = match &entry.payload {
             Payload::Data(data) => {
@@ -96,12 +96,12 @@
                 Ok(false)
             }
         };
-        // A command that still waits at this index was proposed by an earlier leader, and replaced by this entry.
+        // A command still pending at this index was proposed by an earlier leader and replaced by this entry.
         self.pending_commands.abandon(entry.index);
         changed
     }
 
-    /// Applies a command and tells its caller. Returns whether it changed anything.
+    /// Applies a command and sends the outcome to its caller. Returns whether it changed anything.
     fn apply_command(&mut self, entry: &Entry, command: &Command) -> bool {
         let position = LogPosition {
             term: entry.term,
@@ -121,11 +121,12 @@
         is_applied
     }
 
-    /// A read of the log has ended: `index` is to be applied before it is answered; `None` where it failed.
+    /// Completes a read of the log. The reader must wait until the entry at `index` is applied; `None` means that the
+    /// read failed.
     pub(super) fn complete_read(&mut self, token: ReadToken, index: Option<u64>) {
         match self.reads.remove(token) {
             Some(Reader::Local(answer)) => {
-                // A caller that no longer waits has timed out.
+                // The caller may have timed out.
                 let _ = answer.send(index);
             }
             Some(Reader::Peer { address, token }) if index.is_some() => {
@@ -133,12 +134,12 @@
                 self.peers
                     .send(address, PeerMessage::LeadershipConfirmed { token });
             }
-            // A peer whose read failed asks again by itself.
+            // A peer whose read failed repeats its request.
             Some(Reader::Peer { .. }) | None => {}
         }
     }
 
-    /// All sessions that stand with any control process, ordered by node.
+    /// Returns all open sessions with any control process, ordered by node.
     pub(super) fn all_sessions(&mut self) -> Rc<Vec<Session>> {
         self.sessions.all(self.peers.sessions())
     }
--- a/crates/control-plane/src/server/state/key_load_counts.rs
+++ b/crates/control-plane/src/server/state/key_load_counts.rs
@@ -1,20 +1,20 @@
-//! Requests that balancers counted by key, on their way to the leader.
+//! Request counts by key, collected from balancers on their way to the leader.
 
 use std::collections::BTreeMap;
 
 use protocol::key_load::{BucketLoad, KeyLoadReport};
 
-/// Counts of requests by service and bucket of keys, summed up until they are taken.
+/// Request counts by service and key bucket, summed until they are taken.
 ///
-/// Invariant: a count is in one place only; taking them leaves none. Counts saturate. What is here when the process
-/// dies is lost: the leader plans by fewer counts for a moment.
+/// Invariant: each count is in one place only; taking the counts leaves none behind. Counts saturate. Counts held here
+/// are lost when the process fails; the leader then briefly plans with lower counts.
 #[derive(Default)]
 pub(crate) struct KeyLoadCounts {
     counts: BTreeMap<String, BTreeMap<u16, u16>>,
 }
 
 impl KeyLoadCounts {
-    /// Adds counts of a balancer, or those that a peer passes on.
+    /// Adds the counts of a balancer, or counts that a peer forwards.
     pub(crate) fn record(&mut self, counts: KeyLoadReport) {
         for (service, buckets) in counts {
             let totals = self.counts.entry(service).or_default();
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Hands out all counts and forgets them.
+    /// Returns all counts and clears them.
     pub(crate) fn take(&mut self) -> KeyLoadReport {
         std::mem::take(&mut self.counts)
             .into_iter()
--- a/crates/control-plane/src/server/state/peer_registry.rs
+++ b/crates/control-plane/src/server/state/peer_registry.rs
@@ -1,4 +1,4 @@
-//! The other control processes: how they are reached, and what they last said.
+//! The other control processes: how to reach them, and what they last reported.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,33 +13,33 @@
 
 use crate::server::DialRequest;
 
-/// A peer that has said nothing for so long counts as lost, with its sessions and its zones.
+/// A peer that is silent for this long counts as lost, with its sessions and zones.
 const PEER_TIMEOUT: Duration = Duration::from_millis(3000);
-/// What peers say of the leader is old after so long: they say it every second.
+/// How long a peer's report of who leads is valid. Peers report it every second.
 const LEADER_HINT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// So many messages wait for one peer; further ones are dropped, and their content is sent again later.
+/// Capacity of the message queue of one peer. Messages that don't fit are dropped; their content is sent again later.
 const PEER_QUEUE_MESSAGES: usize = 256;
 
-/// Whom a peer takes for the leader.
+/// The process that a peer considers the leader.
 struct LeaderHint {
     leader: SocketAddr,
     received_at: Instant,
 }
 
 struct Peer {
-    /// How it introduced itself; `None` until it has connected.
+    /// How the peer introduced itself; `None` until it has connected.
     node: Option<ControlNode>,
     queue: mpsc::Sender<PeerMessage>,
-    /// Wakes who dials it.
+    /// Notifies the task that dials the peer.
     connected: Rc<Notify>,
     last_heard: Option<Instant>,
     leader_hint: Option<LeaderHint>,
-    /// The sessions that balancers keep with it, by node.
+    /// The balancers' sessions with the peer, by node.
     sessions: BTreeMap<String, Session>,
-    /// A message about sessions did not fit into its queue: it is sent all sessions next.
+    /// A message about sessions did not fit into the queue, so all sessions are sent next.
     missed_session_changes: bool,
-    /// It was silent for too long, and its sessions are forgotten: it has to introduce itself again.
-    has_lapsed: bool,
+    /// The peer was silent for too long and its sessions were dropped: it has to introduce itself again.
+    is_expired: bool,
 }
 
 impl Peer {
@@ -47,40 +47,40 @@
         self.last_heard.is_some_and(|at| now < at + PEER_TIMEOUT)
     }
 
-    /// A message that does not fit is dropped: everything that is sent this way is sent again later, or may be lost.
+    /// Drops the message if it doesn't fit: everything sent this way is either sent again later or may be lost.
     fn send(&self, message: PeerMessage) {
         let _ = self.queue.try_send(message);
     }
 }
 
-/// What becomes of a message that a peer has sent.
+/// How to treat a message from a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MessageAdmission {
-    /// It is handled.
+    /// Handle it.
     Accepted,
-    /// It is handled, and the peer's sessions count again after a silence.
+    /// Handle it. It is the first message of the peer, or the first after a silence, so its sessions count from now on.
     AcceptedAfterSilence,
-    /// The peer has to introduce itself first.
+    /// Reject it: the peer has to introduce itself first.
     Refused,
 }
 
 /// The peers by address, and the address of each member of the log that has connected.
 ///
-/// Invariants: this process itself is never among them. Each peer was asked to be dialled once, when it was added, and
-/// is never removed. A lapsed peer has no sessions here. Changed by `server::peers` alone; whoever changes sessions has to
-/// invalidate the merged list of the `SessionRegistry`. All is lost with the process: peers come back from the settings'
-/// seeds, the members of the log and what other peers say.
+/// Invariants: this process is never listed. For each peer, one dial request is sent, when the peer is added; peers are
+/// never removed. An expired peer has no sessions here. Only `server::peers` changes the registry; whoever changes
+/// sessions has to invalidate the merged list of the `SessionRegistry`. Everything is lost with the process: peers are
+/// found again through the seeds in the settings, the members of the log, and other peers.
 pub(crate) struct PeerRegistry {
     own_address: SocketAddr,
     dial: mpsc::UnboundedSender<DialRequest>,
     peers: BTreeMap<SocketAddr, Peer>,
     addresses: FxHashMap<NodeId, SocketAddr>,
-    /// The live peers as last sent to the others.
+    /// The live peers, as last announced to the others.
     announced_nodes: Vec<ControlNode>,
 }
 
 impl PeerRegistry {
-    /// Without peers; new ones are dialled through `dial`.
+    /// Creates an empty registry that sends dial requests through `dial`.
     pub(crate) fn new(own_address: SocketAddr, dial: mpsc::UnboundedSender<DialRequest>) -> Self {
         Self {
             own_address,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// A control process that may be there: it is dialled from now on.
+    /// Adds a control process that may exist at this address. It is dialled from now on.
     pub(crate) fn add(&mut self, address: SocketAddr) {
         if address != self.own_address {
             self.get_or_add(address);
@@ -102,7 +102,7 @@
         self.peers.entry(address).or_insert_with(|| {
             let (queue, messages) = mpsc::channel(PEER_QUEUE_MESSAGES);
             let connected = Rc::new(Notify::new());
-            // Without a receiver the process is ending.
+            // A closed channel means that the process is ending.
             let _ = self.dial.send(DialRequest {
                 address,
                 messages,
@@ -116,12 +116,12 @@
                 leader_hint: None,
                 sessions: BTreeMap::new(),
                 missed_session_changes: true,
-                has_lapsed: false,
+                is_expired: false,
             }
         })
     }
 
-    /// A peer has connected and introduced itself.
+    /// Records that a peer has connected and introduced itself.
     pub(crate) fn on_connected(&mut self, id: NodeId, node: ControlNode) {
         let address = node.internal_addr;
         self.addresses.insert(id, address);
@@ -130,16 +130,16 @@
         }
         let peer = self.get_or_add(address);
         peer.node = Some(node);
-        peer.has_lapsed = false;
+        peer.is_expired = false;
         peer.connected.notify_waiters();
     }
 
-    /// A peer has said something.
+    /// Records that a message of a peer was received, and decides whether to handle it.
     pub(crate) fn on_message(&mut self, from: SocketAddr, now: Instant) -> MessageAdmission {
         let Some(peer) = self.peers.get_mut(&from) else {
             return MessageAdmission::Accepted;
         };
-        if peer.has_lapsed {
+        if peer.is_expired {
             return MessageAdmission::Refused;
         }
         let was_live = peer.is_live(now);
@@ -151,30 +151,31 @@
         }
     }
 
-    /// Forgets the sessions of peers that have been silent for too long. Returns whether there were any.
+    /// Drops the sessions of peers that have been silent for too long. Returns whether there were any.
     pub(crate) fn expire_silent(&mut self, now: Instant) -> bool {
         let mut has_changed = false;
-        for peer in self.peers.values_mut().filter(|peer| !peer.has_lapsed) {
+        for peer in self.peers.values_mut().filter(|peer| !peer.is_expired) {
             if peer.last_heard.is_some_and(|at| now >= at + PEER_TIMEOUT) {
-                // Its connection may stand: this process may have stood still itself. The next message ends it.
-                peer.has_lapsed = true;
+                // The connection may still be open, for example if this process was suspended. The next message on it
+                // is rejected.
+                peer.is_expired = true;
                 has_changed |= !std::mem::take(&mut peer.sessions).is_empty();
             }
         }
         has_changed
     }
 
-    /// The address from which this member of the log has connected.
+    /// Returns the address from which this member of the log has connected.
     pub(crate) fn address_of(&self, id: NodeId) -> Option<SocketAddr> {
         self.addresses.get(&id).copied()
     }
 
-    /// The sessions that balancers keep with peers.
+    /// Returns the balancers' sessions with peers.
     pub(crate) fn sessions(&self) -> impl Iterator<Item = &Session> {
         self.peers.values().flat_map(|peer| peer.sessions.values())
     }
 
-    /// The peers that are there.
+    /// Returns the peers that are reachable.
     pub(crate) fn live_nodes(&self) -> Vec<ControlNode> {
         let now = Instant::now();
         self.peers
@@ -184,7 +185,7 @@
             .collect()
     }
 
-    /// The peers that are there, where they are others than at the last call.
+    /// Returns the peers that are reachable, if they have changed since the last call.
     pub(crate) fn take_changed_live_nodes(&mut self) -> Option<Vec<ControlNode>> {
         let live = self.live_nodes();
         if live == self.announced_nodes {
@@ -194,7 +195,7 @@
         Some(live)
     }
 
-    /// A peer says whom it takes for the leader.
+    /// Records which process a peer considers the leader.
     pub(crate) fn record_leader_hint(&mut self, from: SocketAddr, leader: Option<SocketAddr>) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.leader_hint = leader.map(|leader| LeaderHint {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// The leader that was named last, if that was lately and the leader was heard lately itself.
+    /// Returns the leader that was reported last, if both the report and the leader's last message are recent.
     pub(crate) fn hinted_leader(&self) -> Option<SocketAddr> {
         let now = Instant::now();
         let is_recent = |at: Instant| now < at + LEADER_HINT_TIMEOUT;
@@ -217,7 +218,7 @@
         (is_recent(hint.received_at) && is_recent(last_heard)).then_some(hint.leader)
     }
 
-    /// All sessions that a peer has. Returns whether they differ from those known.
+    /// Replaces all sessions of a peer. Returns whether they have changed.
     pub(crate) fn replace_sessions(&mut self, from: SocketAddr, sessions: Vec<Session>) -> bool {
         let Some(peer) = self.peers.get_mut(&from) else {
             return false;
@@ -229,7 +230,7 @@
         has_changed
     }
 
-    /// Sessions of a peer that have opened, changed or ended. Returns whether that was not known.
+    /// Applies changes to the sessions of a peer. Returns whether anything has changed.
     pub(crate) fn update_sessions(
         &mut self,
         from: SocketAddr,
@@ -251,28 +252,28 @@
         has_changed
     }
 
-    /// Sends to one peer, if it is known; dropped where its queue is full.
+    /// Sends a message to a peer, if it is known. The message is dropped if the queue is full.
     pub(crate) fn send(&self, to: SocketAddr, message: PeerMessage) {
         if let Some(peer) = self.peers.get(&to) {
             peer.send(message);
         }
     }
 
-    /// Sends to all peers; dropped where a queue is full.
+    /// Sends a message to all peers. It is dropped for peers whose queue is full.
     pub(crate) fn broadcast(&self, message: &PeerMessage) {
         for peer in self.peers.values() {
             peer.send(message.clone());
         }
     }
 
-    /// Sends changes of sessions to all peers. One that misses them is sent all sessions with the next heartbeat.
+    /// Sends changes of sessions to all peers. A peer that misses them gets all sessions with the next heartbeat.
     pub(crate) fn broadcast_session_changes(&mut self, changes: &PeerMessage) {
         for peer in self.peers.values_mut() {
             peer.missed_session_changes |= peer.queue.try_send(changes.clone()).is_err();
         }
     }
 
-    /// Sends a heartbeat to all peers, and all sessions to those that missed some.
+    /// Sends a heartbeat to all peers, and all sessions to those that missed changes.
     pub(crate) fn broadcast_heartbeat(
         &mut self,
         leader: Option<SocketAddr>,
--- a/crates/control-plane/src/server/state/read_requests.rs
+++ b/crates/control-plane/src/server/state/read_requests.rs
@@ -5,62 +5,62 @@
 use rustc_hash::FxHashMap;
 use tokio::sync::oneshot;
 
-/// Names one read of this process.
+/// Identifies a read of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ReadToken(u64);
 
 impl ReadToken {
-    /// As it comes back from the member of the log, or from a peer that was asked.
+    /// Wraps a token that the Raft node or a peer has returned.
     pub(crate) fn from_raw(token: u64) -> Self {
         Self(token)
     }
 
-    /// As it is given to the member of the log, or sent to a peer.
+    /// Returns the number to pass to the Raft node or to send to a peer.
     pub(crate) fn get(self) -> u64 {
         self.0
     }
 }
 
-/// Names one read of a peer. Never looked up here, only sent back.
+/// Identifies a read of a peer. It is only sent back, never looked up here.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerReadToken(u64);
 
 impl PeerReadToken {
-    /// As it came from the peer.
+    /// Wraps a token received from the peer.
     pub(crate) fn from_raw(token: u64) -> Self {
         Self(token)
     }
 
-    /// As it goes back to the peer.
+    /// Returns the number to send back to the peer.
     pub(crate) fn get(self) -> u64 {
         self.0
     }
 }
 
-/// Who waits for a read.
+/// The party that waits for a read.
 pub(crate) enum Reader {
-    /// A caller in this process; gets the index to apply first, `None` where the read failed.
+    /// A caller in this process. It gets the index to wait for, or `None` if the read failed.
     Local(oneshot::Sender<Option<u64>>),
-    /// Another control process, which is no member of the log.
+    /// Another control process, which is not a member of the log.
     Peer {
-        /// Where it listens for peers.
+        /// The address on which it listens for peers.
         address: SocketAddr,
-        /// Its own name for the read.
+        /// The peer's own token for the read.
         token: PeerReadToken,
     },
 }
 
-/// Readers by token.
+/// Waiting readers, by token.
 ///
-/// Invariant: a token is used once. The first one is drawn at random when the process starts, so that an answer to an
-/// earlier life of the process finds no reader here. When the process dies, its readers go with it.
+/// Invariant: a token is used only once. Tokens start at a random number when the process starts, so a late answer to
+/// an earlier run of the process finds no reader here. Readers are lost with the process.
 pub(crate) struct ReadRequests {
     readers: FxHashMap<ReadToken, Reader>,
     last_token: ReadToken,
 }
 
 impl ReadRequests {
-    /// Without readers; tokens follow this one.
+    /// Creates an empty set of readers. Tokens are numbered from the successor of `first_token`.
     pub(crate) fn new(first_token: u64) -> Self {
         Self {
             readers: FxHashMap::default(),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A token that was never used before.
+    /// Returns an unused token.
     pub(crate) fn next_token(&mut self) -> ReadToken {
         self.last_token = ReadToken(self.last_token.0.wrapping_add(1));
         self.last_token
@@ -81,7 +81,7 @@
         token
     }
 
-    /// Takes out the reader of this token: its read has ended, or it waits no longer.
+    /// Removes and returns the reader with this token, because its read has completed or it has timed out.
     pub(crate) fn remove(&mut self, token: ReadToken) -> Option<Reader> {
         self.readers.remove(&token)
     }
--- a/crates/control-plane/src/server/state/replicated_log.rs
+++ b/crates/control-plane/src/server/state/replicated_log.rs
@@ -1,4 +1,4 @@
-//! This process's member of the log, and the state that follows from the entries it has applied.
+//! This process's Raft node, and the state that results from the entries that it has applied.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,28 +11,28 @@
 use crate::configuration::{Command, CommandOutcome, ReplicatedState};
 use crate::server::{COMPACT_AFTER_BYTES, COMPACT_AFTER_ENTRIES, FatalError};
 
-/// The member of the log and the state of its entries up to the applied one.
+/// The Raft node and the replicated state as of the applied index.
 ///
-/// Invariant: the state is what the commands up to `applied_index` make of an empty one, in their order; nothing else
-/// changes it. Only `server::log_driver` applies entries and reaches the member, so that each step of the member is
-/// followed by carrying out what it asks for. What the disk has synced survives the process; the state is read from the
-/// last snapshot and the entries after it are applied once they are known to be committed.
+/// Invariant: the state is the result of applying the commands up to `applied_index` to an empty state, in order;
+/// nothing else changes it. Only `server::log_driver` applies entries and steps the node, so the work that the node
+/// requests is carried out after each step. Data that is synced to disk survives the process: on restart the state is
+/// read from the last snapshot, and the entries after it are applied once they are known to be committed.
 pub(crate) struct ReplicatedLog {
     node: RaftNode,
     state: ReplicatedState,
     applied_index: u64,
     /// Bytes of the commands applied since the last compaction.
     uncompacted_bytes: usize,
-    /// Made once for all sessions, when the first asks for it.
+    /// Built once for all sessions, on first use.
     compact_config: Option<Indexed<Arc<CompactConfig>>>,
-    /// Who led when that was last reported.
+    /// The leader at the time of the last log message about leadership.
     reported_leader: Option<NodeId>,
-    /// It has begun to lead, and has not announced it to the others yet.
+    /// This process has become leader and has not yet announced it to its peers.
     has_won_election: bool,
 }
 
 impl ReplicatedLog {
-    /// With nothing applied.
+    /// Creates a log of which nothing is applied.
     pub(crate) fn new(node: RaftNode) -> Self {
         Self {
             node,
@@ -45,28 +45,28 @@
         }
     }
 
-    /// The member of the log.
+    /// Returns the Raft node.
     pub(crate) fn node(&self) -> &RaftNode {
         &self.node
     }
 
-    /// The member of the log, for `ControlServer::with_state` and what runs inside it: what the member wants done
+    /// Returns the Raft node for `ControlServer::with_state` and the code it calls: the work that the node requests
     /// after a step must be carried out before anything else happens.
     pub(crate) fn node_mut(&mut self) -> &mut RaftNode {
         &mut self.node
     }
 
-    /// What is agreed on, as of the applied index.
+    /// Returns the replicated state, as of the applied index.
     pub(crate) fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// The last entry that is applied.
+    /// Returns the index of the last applied entry.
     pub(crate) fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
-    /// The address of a member, where the log names one that can be read.
+    /// Returns the address of a member, if the log contains a valid one.
     pub(crate) fn member_address(&self, id: NodeId) -> Option<SocketAddr> {
         let (_, address) = self
             .node
@@ -76,7 +76,7 @@
         address.parse().ok()
     }
 
-    /// The addresses of all members.
+    /// Returns the valid addresses of all members.
     pub(crate) fn member_addresses(&self) -> Vec<SocketAddr> {
         let members = self.node.members().all();
         members
@@ -84,7 +84,7 @@
             .collect()
     }
 
-    /// Logs who leads, if that is another than at the last call.
+    /// Logs the leader if it has changed since the last call.
     pub(crate) fn report_leader_change(&mut self, own_id: NodeId) {
         let status = self.node.status();
         if status.leader == self.reported_leader {
@@ -104,12 +104,12 @@
         );
     }
 
-    /// Whether this process has begun to lead since the last call: it tells the others at once.
+    /// Whether this process has become leader since the last call. The caller announces it to the peers immediately.
     pub(crate) fn take_won_election(&mut self) -> bool {
         std::mem::take(&mut self.has_won_election)
     }
 
-    /// Replaces the state by a snapshot's. An initial snapshot carries none: the state stays as it is.
+    /// Replaces the state by that of a snapshot. An initial snapshot contains no data and leaves the state unchanged.
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) -> Result<(), FatalError> {
         (self.applied_index, self.uncompacted_bytes) = (snapshot.index, 0);
         if !snapshot.data.is_empty() {
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// The entry at this index, with so many bytes of a command, is being applied.
+    /// Records that the entry at this index, with a command of this size, is being applied.
     pub(crate) fn advance_applied(&mut self, index: u64, command_bytes: usize) {
         self.applied_index = index;
         self.uncompacted_bytes += command_bytes;
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Compacts the log where it is long. Returns the snapshot that the disk has to keep in place of the entries.
+    /// Compacts the log if it is too long. Returns the snapshot with which the disk replaces the entries.
     pub(crate) fn compact_if_due(&mut self) -> Option<Snapshot> {
         let is_due = self.node.log_len() > COMPACT_AFTER_ENTRIES
             || self.uncompacted_bytes > COMPACT_AFTER_BYTES;
@@ -157,14 +157,15 @@
             return None;
         }
         let data = crate::snapshot::encode(&self.state)
-            .inspect_err(|error| tracing::error!(%error, "the log can't be compacted"))
+            .inspect_err(|error| tracing::error!(%error, "failed to encode a snapshot, the log is not compacted"))
             .ok()?;
         let snapshot = self.node.compact(self.applied_index, data)?;
         self.uncompacted_bytes = 0;
         Some(snapshot)
     }
 
-    /// The configuration in the form that balancers are sent, with its index. Only valid ones are ever applied.
+    /// Returns the configuration, with its index, in the form that is sent to balancers. Applied configurations are
+    /// always valid.
     fn compact_config(&mut self) -> Option<Indexed<Arc<CompactConfig>>> {
         let index = self.state.config_index;
         if self
@@ -173,7 +174,7 @@
             .is_none_or(|known| known.index != index)
         {
             let config = serde_json::from_str(&self.state.config).inspect_err(|error| {
-                tracing::error!(%error, index, "the configuration in force can't be read");
+                tracing::error!(%error, index, "failed to parse the current configuration");
             });
             self.compact_config = Some(Indexed {
                 index,
@@ -183,15 +184,16 @@
         self.compact_config.clone()
     }
 
-    /// Adds to `update` what is agreed on and the balancer lacks; `has` counts it as had from then on.
-    pub(crate) fn add_changes_since(&mut self, has: &mut WatchRequest, update: &mut WatchUpdate) {
-        if self.state.config_index > has.config_index {
+    /// Adds the replicated state that the balancer lacks to `update`, and updates `known` as if the balancer had
+    /// received it.
+    pub(crate) fn add_changes_since(&mut self, known: &mut WatchRequest, update: &mut WatchUpdate) {
+        if self.state.config_index > known.config_index {
             update.config = self.compact_config();
-            has.config_index = self.state.config_index;
+            known.config_index = self.state.config_index;
         }
         let state = &self.state;
-        if state.evacuations_index > has.evacuations_index {
-            has.evacuations_index = state.evacuations_index;
+        if state.evacuations_index > known.evacuations_index {
+            known.evacuations_index = state.evacuations_index;
             let zones = state
                 .evacuated_zones()
                 .map(|(zone, _)| zone.clone())
@@ -201,13 +203,13 @@
                 value: zones,
             });
         }
-        if state.keys_index > has.key_ranges_index {
+        if state.keys_index > known.key_ranges_index {
             let changed_ranges = |(service, ranges): (&String, &KeyRangeMap)| {
-                let changed = ranges.changed_since(has.key_ranges_index);
+                let changed = ranges.changed_since(known.key_ranges_index);
                 (!changed.is_empty()).then(|| (service.clone(), changed))
             };
             let changes = state.keys.iter().filter_map(changed_ranges).collect();
-            has.key_ranges_index = state.keys_index;
+            known.key_ranges_index = state.keys_index;
             update.key_ranges = Some(Indexed {
                 index: state.keys_index,
                 value: changes,
--- a/crates/control-plane/src/server/state/session_registry.rs
+++ b/crates/control-plane/src/server/state/session_registry.rs
@@ -1,11 +1,11 @@
-//! The sessions that balancers of the data plane keep with this process.
+//! The balancers' sessions with this process.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 use protocol::wire::Session;
 
-/// Names one session with this process. A balancer that connects again has another one.
+/// Identifies a session with this process. A balancer that reconnects gets a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionId(u64);
 
@@ -14,21 +14,21 @@
     session: Session,
 }
 
-/// Sessions whose changes have to be sent to peers.
+/// Changes of sessions to send to peers.
 pub(crate) struct SessionChanges {
-    /// Opened or changed.
+    /// Sessions that were opened or changed.
     pub(crate) changed: Vec<Session>,
-    /// Nodes without a session by now.
+    /// Nodes that no longer have a session.
     pub(crate) removed: Vec<String>,
 }
 
 /// Sessions with this process by node, and the merged list of all sessions.
 ///
-/// Invariants: a node has one session here, its latest; the end of an earlier one leaves it alone. `changed` names every
-/// node whose session differs from what peers were sent last. `all` is empty whenever a session here or with a peer may
-/// differ from it: whoever changes peers' sessions calls [`SessionRegistry::invalidate_all`]. Changed by
-/// `server::sessions` (this process's) and `server::peers` (the merged list). Balancers open their sessions anew after
-/// the process has died.
+/// Invariants: a node has one session here, the latest; the end of an earlier session does not affect it. `changed`
+/// contains every node whose session differs from what was last sent to peers. `all` is empty whenever a session here
+/// or with a peer may differ from it: whoever changes peers' sessions calls [`SessionRegistry::invalidate_all`].
+/// Changed by `server::sessions` (this process's sessions) and `server::peers` (the merged list). After the process has
+/// failed, balancers open new sessions.
 #[derive(Default)]
 pub(crate) struct SessionRegistry {
     local: BTreeMap<String, LocalSession>,
@@ -38,13 +38,13 @@
 }
 
 impl SessionRegistry {
-    /// A new session's name.
+    /// Returns an unused session id.
     pub(crate) fn next_id(&mut self) -> SessionId {
         self.last_id += 1;
         SessionId(self.last_id)
     }
 
-    /// A session opens, or its balancer says something of itself. Returns whether that is new.
+    /// Opens a session, or records what its balancer reports of itself. Returns whether anything has changed.
     pub(crate) fn update(&mut self, id: SessionId, session: Session) -> bool {
         let node = session.balancer.node.clone();
         let before = self.local.get(&node);
@@ -57,7 +57,7 @@
         is_new
     }
 
-    /// A session has ended. Returns whether the node has none any more: a later one may stand already.
+    /// Ends a session. Returns whether the node has no session now; a later session of the node is kept.
     pub(crate) fn end(&mut self, id: SessionId, node: &str) -> bool {
         let is_latest = self.local.get(node).is_some_and(|known| known.id == id);
         if is_latest {
@@ -77,17 +77,17 @@
         self.local.contains_key(node)
     }
 
-    /// The sessions with this process, ordered by node.
+    /// Returns the sessions with this process, ordered by node.
     pub(crate) fn local(&self) -> impl Iterator<Item = &Session> {
         self.local.values().map(|known| &known.session)
     }
 
-    /// Whether changes have to be sent to peers.
+    /// Whether there are changes to send to peers.
     pub(crate) fn has_changes(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// The changes for peers; they count as sent from then on.
+    /// Returns the changes to send to peers, and regards them as sent.
     pub(crate) fn take_changes(&mut self) -> SessionChanges {
         let (mut changed, mut removed) = (Vec::new(), Vec::new());
         for node in std::mem::take(&mut self.changed) {
@@ -99,13 +99,13 @@
         SessionChanges { changed, removed }
     }
 
-    /// The sessions with peers have changed, or which of them count.
+    /// Discards the merged list, because the peers' sessions have changed or different ones count.
     pub(crate) fn invalidate_all(&mut self) {
         self.all = None;
     }
 
-    /// All sessions, with this process and those that peers have, one a node, ordered by node. A balancer is ready or
-    /// draining where any of its sessions says so.
+    /// Returns all sessions with this process or a peer, one for each node, ordered by node. A balancer is ready or
+    /// draining if any of its sessions says so.
     pub(crate) fn all<'a>(
         &'a mut self,
         with_peers: impl Iterator<Item = &'a Session>,
--- a/crates/control-plane/src/server/state/zone_commands.rs
+++ b/crates/control-plane/src/server/state/zone_commands.rs
@@ -1,4 +1,5 @@
-//! Evacuations and returns that are under way at this process: what tells one sent again from a new one.
+//! Evacuations and returns in progress at this process, and the times by which resent calls are distinguished from new
+//! ones.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,27 +11,27 @@
 use crate::configuration::ReplicatedState;
 use crate::evacuations::{AcknowledgementAttempt, CommandId, Decision, EvacuationStep};
 
-/// What this process knows of commands to zones beside the replicated state.
+/// What this process knows of zone commands in addition to the replicated state.
 ///
-/// Invariants: `last_relevant_at` holds, for every command in the replicated state that was ever decided on here, a
-/// moment not before the one at which its caller could last have begun to wait; a command that it doesn't know counts as
-/// relevant from the moment of its first look. `open_acknowledgements` counts exactly the `Acknowledgement`s that stand.
-/// Changed by `server::commands`, and by applied entries. After the process has died another one decides, and takes every
-/// command for a recent one: on the safe side.
+/// Invariants: for every command in the replicated state that was part of a decision here, `resend_window_starts`
+/// contains a time not before the last one at which its caller can have started to wait for an answer. For a command of
+/// which this process knows no such time, the window starts when it is first considered. `open_acknowledgements` is
+/// exactly the number of existing `Acknowledgement`s. Changed by `server::commands` and by applied entries. If the
+/// process fails, another one decides and regards every command as recent, which is the safe assumption.
 #[derive(Default)]
 pub(crate) struct ZoneCommands {
-    /// When an evacuation was applied, or a return was applied or acknowledged last.
-    last_relevant_at: FxHashMap<CommandId, Instant>,
-    /// Numbers the attempts of this process to acknowledge a command.
+    /// When an evacuation was applied, or when a return was last applied or acknowledged.
+    resend_window_starts: FxHashMap<CommandId, Instant>,
+    /// The number of this process's last attempt to acknowledge a command.
     last_attempt: u64,
-    /// Acknowledgements that are under way, or written and not known yet to be read or lost, by zone.
+    /// The number of acknowledgements by zone that are in progress, or written but not yet known to be read or lost.
     open_acknowledgements: BTreeMap<String, usize>,
-    /// The last step about each zone that this process put into the log.
-    last_steps: FxHashMap<String, LogPosition>,
+    /// The last step of each zone that this process has proposed.
+    last_proposed_steps: FxHashMap<String, LogPosition>,
 }
 
 impl ZoneCommands {
-    /// An acknowledgement for the zone begins.
+    /// Records that an acknowledgement for the zone begins.
     pub(crate) fn open_acknowledgement(&mut self, zone: &str) {
         *self
             .open_acknowledgements
@@ -38,7 +39,7 @@
             .or_default() += 1;
     }
 
-    /// An acknowledgement for the zone has ended, written or not.
+    /// Records that an acknowledgement for the zone has ended, whether or not it was written.
     pub(crate) fn close_acknowledgement(&mut self, zone: &str) {
         if let Some(count) = self.open_acknowledgements.get_mut(zone) {
             *count -= 1;
@@ -46,12 +47,12 @@
         self.open_acknowledgements.retain(|_, count| *count > 0);
     }
 
-    /// Whether an acknowledgement for the zone is under way.
+    /// Whether an acknowledgement for the zone is in progress.
     pub(crate) fn has_open_acknowledgement(&self, zone: &str) -> bool {
         self.open_acknowledgements.contains_key(zone)
     }
 
-    /// A new attempt to acknowledge, in this term.
+    /// Returns a new attempt to acknowledge a command in this term.
     pub(crate) fn next_attempt(&mut self, term: u64) -> AcknowledgementAttempt {
         self.last_attempt += 1;
         AcknowledgementAttempt {
@@ -60,24 +61,24 @@
         }
     }
 
-    /// A step about the zone is in the log.
+    /// Records that a step of the zone was appended to the log.
     pub(crate) fn record_proposed_step(&mut self, zone: &str, position: LogPosition) {
-        self.last_steps.insert(zone.to_string(), position);
+        self.last_proposed_steps.insert(zone.to_string(), position);
     }
 
-    /// Whether a step about the zone, proposed in the present term, is not applied yet.
+    /// Whether a step of the zone that was proposed in the current term is not applied yet.
     pub(crate) fn has_unapplied_step(&self, zone: &str, term: u64, applied_index: u64) -> bool {
-        let last = self.last_steps.get(zone);
+        let last = self.last_proposed_steps.get(zone);
         last.is_some_and(|last| last.term == term && last.index > applied_index)
     }
 
-    /// What a command is that arrived then: a new one, or one sent again. One is taken for sent again for
-    /// `resend_window` after it was last relevant.
+    /// Decides whether a command that arrived at this time is new or a resent copy. A command may be resent within
+    /// `resend_window` of its entry in `resend_window_starts`.
     pub(crate) fn decide(
         &mut self,
         zone: &str,
-        begin: bool,
-        arrived: Instant,
+        is_evacuation: bool,
+        arrived_at: Instant,
         resend_window: Duration,
         state: &ReplicatedState,
     ) -> Decision {
@@ -87,22 +88,23 @@
             .get(zone)
             .cloned()
             .unwrap_or_default();
-        // This process doesn't know when others of them were applied: they count from now.
+        // This process doesn't know when the other commands were applied, so their windows start now.
         for id in evacuations
             .evacuations
             .keys()
             .chain(evacuations.returns.keys())
         {
-            self.last_relevant_at.entry(*id).or_insert(now);
+            self.resend_window_starts.entry(*id).or_insert(now);
         }
-        evacuations.decide(begin, |id| {
-            let at = self.last_relevant_at.get(&id);
-            at.is_some_and(|at| arrived < *at + resend_window)
+        evacuations.decide(is_evacuation, |id| {
+            let at = self.resend_window_starts.get(&id);
+            at.is_some_and(|at| arrived_at < *at + resend_window)
         })
     }
 
-    /// A step was applied at this index. Notes when an evacuation was applied, and when a return was applied or
-    /// acknowledged last: its caller may send it again for `ack_ms`, counted from before it is applied.
+    /// Records the time at which a step was applied, if the step starts a resend window: when an evacuation is applied,
+    /// and when a return is applied or acknowledged. The caller may resend the command for `ack_ms`, counted from
+    /// before it is applied.
     pub(crate) fn record_applied_step(
         &mut self,
         index: u64,
@@ -112,7 +114,7 @@
     ) {
         let zones = state.zone_evacuations.values();
         let is_return = |id: &CommandId| zones.clone().any(|zone| zone.returns.contains_key(id));
-        let relevant = match step {
+        let command_id = match step {
             EvacuationStep::Begin | EvacuationStep::Finish { .. } => index,
             EvacuationStep::Acknowledge { command, .. } if is_return(command) => *command,
             EvacuationStep::Acknowledge { .. }
@@ -122,8 +124,8 @@
         };
         let is_evacuation =
             |id: &CommandId| zones.clone().any(|zone| zone.evacuations.contains_key(id));
-        self.last_relevant_at
+        self.resend_window_starts
             .retain(|id, _| is_evacuation(id) || is_return(id));
-        self.last_relevant_at.insert(relevant, now);
+        self.resend_window_starts.insert(command_id, now);
     }
 }
--- a/crates/control-plane/src/server/state/zone_registry.rs
+++ b/crates/control-plane/src/server/state/zone_registry.rs
@@ -1,33 +1,33 @@
-//! Each zone's upstreams, as this process lists them or has received them.
+//! Each zone's upstreams, as listed by this process or received from peers.
 
 use std::collections::BTreeMap;
 
 use protocol::upstream_list::{UpdateOutcome, Upstream, UpstreamList, UpstreamUpdate};
 use protocol::wire::{WatchRequest, WatchUpdate};
 
-/// A zone's list has changed.
+/// A change of a zone's list.
 pub(crate) struct ZoneChange {
-    /// The update to be sent to others, if any.
+    /// The update to send to peers, if any.
     pub(crate) update: Option<UpstreamUpdate>,
 }
 
 /// The upstream lists by zone.
 ///
-/// Invariant: a list's version only rises, and each change of a list raises it. A zone's list is written by the process
-/// that manages the zone (`server::zones`) and copied by the others. All is lost with the process: the lists come back
-/// from peers and from the platform, at versions above those that balancers have.
+/// Invariant: a list's version never decreases, and each change of a list increases it. A zone's list is written by the
+/// process that manages the zone (`server::zones`) and copied by the others. All lists are lost with the process; they
+/// are obtained again from peers and from the platform, with versions above those that balancers have.
 #[derive(Default)]
 pub(crate) struct ZoneRegistry {
     lists: BTreeMap<String, UpstreamList>,
 }
 
 impl ZoneRegistry {
-    /// The version of a zone's list; `None` where nothing was ever heard of the zone.
+    /// Returns the version of a zone's list, or `None` if nothing was ever received about the zone.
     pub(crate) fn version(&self, zone: &str) -> Option<u64> {
         self.lists.get(zone).map(UpstreamList::version)
     }
 
-    /// Changes a zone's list. `None` where `change` returns that it changed nothing.
+    /// Changes a zone's list. Returns `None` if `change` reports that it changed nothing.
     pub(crate) fn change(
         &mut self,
         zone: &str,
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Takes in what a peer says of a zone.
+    /// Applies a peer's update of a zone.
     pub(crate) fn apply_update(
         &mut self,
         zone: &str,
@@ -52,12 +52,12 @@
         list.apply_update(update, uptime_ms)
     }
 
-    /// A zone's whole list, if one is known.
+    /// Returns a zone's full list, if one is known.
     pub(crate) fn snapshot(&self, zone: &str, uptime_ms: u64) -> Option<UpstreamUpdate> {
         self.lists.get(zone)?.snapshot(uptime_ms)
     }
 
-    /// The whole lists of all zones that are known.
+    /// Returns the full lists of all known zones.
     pub(crate) fn snapshots(
         &self,
         uptime_ms: u64,
@@ -67,23 +67,24 @@
             .filter_map(move |(zone, list)| Some((zone.clone(), list.snapshot(uptime_ms)?)))
     }
 
-    /// Adds to `update` what the balancer lacks of the zones; `has` counts it as had from then on.
+    /// Adds the changes of zones that the balancer lacks to `update`, and updates `known` as if the balancer had
+    /// received them.
     pub(crate) fn add_changes_since(
         &self,
-        has: &mut WatchRequest,
+        known: &mut WatchRequest,
         update: &mut WatchUpdate,
         uptime_ms: u64,
     ) {
         for (zone, list) in &self.lists {
-            let version = has.zone_versions.get(zone).copied().unwrap_or(0);
+            let version = known.zone_versions.get(zone).copied().unwrap_or(0);
             if let Some(changes) = list.update_since(version, uptime_ms) {
-                has.zone_versions.insert(zone.clone(), list.version());
+                known.zone_versions.insert(zone.clone(), list.version());
                 update.zone_updates.insert(zone.clone(), changes);
             }
         }
     }
 
-    /// A zone's upstreams; `None` until its list is known.
+    /// Returns a zone's upstreams, or `None` until its list is known.
     pub(crate) fn upstreams(
         &self,
         zone: &str,
@@ -93,7 +94,7 @@
         Some(list.upstreams(uptime_ms))
     }
 
-    /// How many upstreams of a zone are known.
+    /// Returns the number of known upstreams of a zone.
     pub(crate) fn upstream_count(&self, zone: &str, uptime_ms: u64) -> usize {
         let list = self.lists.get(zone);
         list.map_or(0, |list| list.upstreams(uptime_ms).count())
--- a/crates/control-plane/src/server/zones.rs
+++ b/crates/control-plane/src/server/zones.rs
@@ -1,7 +1,8 @@
-//! The zones' upstreams: listed by the process that manages a zone, copied by the others.
+//! The zones' upstreams: listed by the process that manages a zone, and copied by the others.
 //!
-//! A zone whose own control processes are gone is managed by the next one; two that manage a zone for a moment write the
-//! same list of the platform. All lists may be lost with the process: see [`super::state::ZoneRegistry`].
+//! A zone whose own control processes are all unreachable is managed by the next closest one. Two processes that
+//! briefly manage the same zone both write the platform's list, so they agree. All lists may be lost with the process:
+//! see [`super::state::ZoneRegistry`].
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,15 +15,16 @@
 /// An upstream of any zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownUpstream {
-    /// As its zone's list gives it.
+    /// The upstream, as in its zone's list.
     pub upstream: Upstream,
-    /// Its zone is evacuated.
+    /// Whether its zone is evacuated.
     pub is_evacuated: bool,
 }
 
 impl ControlServer {
-    /// The zones that this process manages: its own, and those whose own control processes are gone and to which it is
-    /// next, if of several at a place it has the lowest address.
+    /// Returns the zones that this process manages: those to which it is the closest reachable control process.
+    /// Processes in the zone come first, then those in its region, then the others; among equals the lowest address
+    /// wins.
     pub fn managed_zones(&self) -> Vec<String> {
         let nodes = self.control_nodes();
         let zone_map = &self.settings.zone_map;
@@ -41,7 +43,7 @@
         self.managed_zones().iter().any(|managed| managed == zone)
     }
 
-    /// The platform has listed a zone's upstreams.
+    /// Sets a zone's upstreams, as listed by the platform.
     pub fn set_platform_list(&self, zone: &str, upstreams: Vec<Upstream>) {
         let (uptime_ms, unix_ms) = (self.clock.uptime_ms(), self.clock.unix_ms());
         self.change_zone(zone, |list| {
@@ -49,7 +51,7 @@
         });
     }
 
-    /// Changes a zone's list, and tells peers and watchers if it is another then.
+    /// Changes a zone's list, and sends the change to peers and watchers if there is one.
     fn change_zone(&self, zone: &str, change: impl FnOnce(&mut UpstreamList) -> bool) {
         let uptime_ms = self.uptime_ms();
         let changed = self
@@ -68,7 +70,7 @@
         self.notify_changed();
     }
 
-    /// A peer tells a zone's upstreams.
+    /// Handles a peer's update of a zone's upstreams.
     pub(super) fn handle_zone_update(&self, from: SocketAddr, zone: &str, update: &UpstreamUpdate) {
         let (uptime_ms, unix_ms) = (self.clock.uptime_ms(), self.clock.unix_ms());
         let outcome = self
@@ -83,7 +85,8 @@
                 let request = PeerMessage::ZoneSnapshotRequest { zone };
                 self.state.borrow().peers.send(from, request);
             }
-            // Told by one that knew more, maybe this process in an earlier life: who manages the zone tells it on.
+            // The update is stale, but names upstreams that were not known to drain. Its sender knew more, maybe as an
+            // earlier run of this process. The process that manages the zone sends its list again with this knowledge.
             UpdateOutcome::Stale(ids) if !ids.is_empty() && self.is_zone_managed(zone) => {
                 self.change_zone(zone, |list| {
                     list.refresh_platform_list(uptime_ms, unix_ms, self.id)
@@ -93,7 +96,7 @@
         }
     }
 
-    /// A peer asks for a zone's whole list.
+    /// Handles a peer's request for a zone's full list.
     pub(super) fn handle_zone_snapshot_request(&self, from: SocketAddr, zone: String) {
         let state = self.state.borrow();
         if let Some(update) = state.zones.snapshot(&zone, self.uptime_ms()) {
@@ -102,8 +105,9 @@
         }
     }
 
-    /// A balancer has these versions of the zones. What this process manages and tells in future is above them: it may
-    /// have told them itself, before its clock went back or its memory was lost.
+    /// Records the zone versions that a balancer has. For the zones that it manages, this process uses higher versions
+    /// from now on: it may have sent the balancer's versions itself, before its clock was set back or its memory was
+    /// lost.
     pub fn observe_zone_versions(&self, zones: &BTreeMap<String, u64>) {
         let unix_ms = self.clock.unix_ms();
         for (zone, version) in zones {
@@ -117,7 +121,7 @@
         }
     }
 
-    /// The upstreams of all zones; `None` while some zone's are not known.
+    /// Returns the upstreams of all zones, or `None` while the list of any zone is unknown.
     pub fn all_upstreams(&self) -> Option<Vec<KnownUpstream>> {
         let (state, uptime_ms) = (self.state.borrow(), self.uptime_ms());
         let mut all = Vec::new();
@@ -132,7 +136,7 @@
         Some(all)
     }
 
-    /// How many upstreams are known of each zone.
+    /// Returns the number of known upstreams of each zone.
     pub fn upstream_counts_by_zone(&self) -> Vec<(String, usize)> {
         let (state, uptime_ms) = (self.state.borrow(), self.uptime_ms());
         let zones = self.settings.zone_map.keys();
