--- a/crates/raft/tests/consensus/catch_up.rs
+++ b/crates/raft/tests/consensus/catch_up.rs
@@ -1,6 +1,6 @@
-//! A member that comes back after many changes, over links of given bandwidth, while changes go on:
-//! it catches up in a stated time, the leader stays, heartbeats and reads go on beside the
-//! transfer, and whoever is elected has all that is committed.
+//! Tests how a member that missed changes catches up over links of limited bandwidth while changes
+//! continue. It must catch up within the documented time, the leader must not change, the transfer
+//! must not delay heartbeats or reads, and every elected leader must have all committed entries.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,30 +12,30 @@
 
 use crate::support::{self, TIMING};
 
-/// The host ticks its node this often.
+/// How often the host ticks its node.
 const TICK_MS: u64 = 50;
-/// A step of the clock.
+/// The simulation's time step.
 const STEP_MS: u64 = 5;
 const LATENCY_MS: u64 = 30;
 const SYNC_MS: u64 = 10;
-/// The host compacts after so many entries.
+/// The host compacts its log after this many entries.
 const COMPACT_AFTER_ENTRIES: usize = 256;
-/// The host compacts after so many bytes in entries.
+/// The host compacts its log after this many bytes of entries.
 const COMPACT_AFTER_BYTES: usize = 2 << 20;
-/// An amendment of the configuration.
+/// The size of a typical configuration amendment.
 const CHANGE_BYTES: usize = 600;
-/// The state with 10 routes.
+/// The size of the state with 10 routes.
 const SMALL_STATE_BYTES: usize = 3_200;
-/// The state with 1,500 routes.
+/// The size of the state with 1,500 routes.
 const LARGE_STATE_BYTES: usize = 480_000;
 const MEMBERS: NodeId = 3;
 const FAST_BITS_PER_S: u64 = 100_000_000;
 
-/// One direction of a link, which carries one message after the other.
+/// One direction of a link, which transmits messages one at a time.
 struct Link {
     bits_per_s: u64,
     free_at_us: u64,
-    /// The messages by the time at which they arrive.
+    /// Messages with their arrival times, in order of arrival.
     in_flight: VecDeque<(u64, Message)>,
 }
 
@@ -48,14 +48,14 @@
     /// `None` while it is down.
     node: Option<RaftNode>,
     stored: PersistentState,
-    /// What is on its way to the disk, by the time at which it is synced.
+    /// Pending writes with the time at which each is synced.
     unsynced: VecDeque<(u64, Write)>,
     applied_index: u64,
     /// Bytes in entries since the last snapshot.
     log_bytes: usize,
-    /// When the leader's last append came.
+    /// When the last append from the leader arrived.
     last_append_at: Option<u64>,
-    /// The longest time between two appends of the leader.
+    /// The longest time between two appends from the leader.
     max_heartbeat_gap_ms: u64,
 }
 
@@ -66,22 +66,23 @@
     change_bytes: usize,
     machines: BTreeMap<NodeId, Machine>,
     links: BTreeMap<(NodeId, NodeId), Link>,
-    /// The term of each committed entry.
+    /// The term of each committed entry, by index.
     committed: BTreeMap<u64, u64>,
-    /// The last entry that a leader has seen committed.
+    /// The highest index that any leader has committed.
     acknowledged: u64,
+    /// The number of node starts so far; seeds each started node.
     starts: u64,
-    /// The members whose disks write nothing at present.
+    /// Members whose disks currently complete no writes.
     stalled_disks: Vec<NodeId>,
-    /// Each message takes up to so much longer, so that later ones overtake it.
+    /// The maximum random extra delay of a message, which lets later messages overtake it.
     jitter_ms: u64,
     rng: Rand64,
-    /// Bytes that were sent to each member.
+    /// Bytes sent to each member.
     sent_bytes: BTreeMap<NodeId, u64>,
     sent_messages: u64,
 }
 
-/// About how many bytes a message takes on the wire.
+/// Returns the approximate size of a message on the wire.
 fn message_bytes(message: &Message) -> u64 {
     let payload_bytes = |payload: &Payload| match payload {
         Payload::Data(data) => data.len(),
@@ -128,7 +129,7 @@
         self.unsynced.push_back((synced_at, write));
     }
 
-    /// Handles a message, and notes the time between appends.
+    /// Passes a message to the node and records the time between appends.
     fn step(&mut self, now: u64, message: Message) {
         let Some(node) = &mut self.node else {
             return;
@@ -190,7 +191,8 @@
         (machine.last_append_at, machine.max_heartbeat_gap_ms) = (None, 0);
     }
 
-    /// Power is lost: what is not synced is gone, and what is in flight on its connections.
+    /// Simulates a power loss: unsynced writes and messages in flight on the machine's connections
+    /// are lost.
     fn stop(&mut self, id: NodeId) {
         let machine = self.machine(id);
         machine.node = None;
@@ -225,7 +227,7 @@
         leader.map(|(id, _)| *id)
     }
 
-    /// The leader proposes a command of that size.
+    /// Proposes a command of the given size at the leader, if there is one.
     fn propose(&mut self, bytes: usize) {
         if let Some(leader) = self.leader()
             && let Some(node) = &mut self.machine(leader).node
@@ -267,7 +269,7 @@
         self.check_leaders();
     }
 
-    /// Carries out what a node asks for.
+    /// Processes a node's output: queues writes, applies commits, compacts and sends messages.
     fn handle_ready(&mut self, id: NodeId) {
         let synced_at = self.now + SYNC_MS;
         let Some(node) = &mut self.machine(id).node else {
@@ -292,7 +294,7 @@
             let known = self.committed.entry(entry.index).or_insert(entry.term);
             assert_eq!(
                 *known, entry.term,
-                "two entries committed at {}",
+                "different entries committed at index {}",
                 entry.index
             );
             machine.applied_index = entry.index;
@@ -309,7 +311,7 @@
         }
     }
 
-    /// Compacts the log of a member as the host does it.
+    /// Compacts the log of a member under the conditions that the host uses.
     fn compact(&mut self, id: NodeId, synced_at: u64) {
         let state_bytes = self.state_bytes;
         let machine = self.machine(id);
@@ -335,11 +337,11 @@
         link.free_at_us = link.free_at_us.max(self.now * 1000) + transmission_us;
         let jitter_ms = self.rng.rand_range(0..self.jitter_ms + 1);
         let arrives_at = link.free_at_us / 1000 + LATENCY_MS + jitter_ms;
-        let place = link.in_flight.partition_point(|(at, _)| *at <= arrives_at);
-        link.in_flight.insert(place, (arrives_at, message));
+        let position = link.in_flight.partition_point(|(at, _)| *at <= arrives_at);
+        link.in_flight.insert(position, (arrives_at, message));
     }
 
-    /// The leader of the latest term has all that is acknowledged.
+    /// Checks that the leader of the latest term has all acknowledged entries.
     fn check_leaders(&self) {
         let nodes = || self.machines.values().filter_map(|m| m.node.as_ref());
         let latest_term = nodes().map(|n| n.status().term).max().unwrap_or(0);
@@ -347,14 +349,14 @@
             if status.role == Role::Leader && status.term == latest_term {
                 assert!(
                     status.last_log_index >= self.acknowledged,
-                    "{status:?} leads, {}",
+                    "the leader lacks acknowledged entries up to {}: {status:?}",
                     self.acknowledged
                 );
             }
         }
     }
 
-    /// Lets time pass, with a change every so many milliseconds.
+    /// Advances time by `duration_ms` and proposes a change every `change_interval_ms`.
     fn run(&mut self, duration_ms: u64, change_interval_ms: u64) {
         let end = self.now + duration_ms;
         while self.now < end {
@@ -366,20 +368,24 @@
     }
 
     fn status(&self, id: NodeId) -> Status {
-        self.machines[&id].node.as_ref().expect("it runs").status()
+        self.machines[&id]
+            .node
+            .as_ref()
+            .expect("the machine is up")
+            .status()
     }
 
     fn applied_index(&self, id: NodeId) -> u64 {
         self.machines[&id].applied_index
     }
 
-    /// The last entry that all members have applied.
+    /// Returns the highest index that all members have applied.
     fn min_applied_index(&self) -> u64 {
         let applied = self.machines.values().map(|m| m.applied_index);
         applied.min().expect("members")
     }
 
-    /// When the leader is known to have led.
+    /// Returns the latest time at which the leader is confirmed to have led.
     fn leadership_confirmed_at(&self, leader: NodeId) -> Option<u64> {
         let node = self.machines[&leader].node.as_ref()?;
         node.leadership_confirmed_at()
@@ -393,7 +399,7 @@
         );
     }
 
-    /// The leader has proven within an election timeout that it leads.
+    /// Asserts that the leadership was confirmed within the last election timeout.
     fn assert_leadership_confirmed(&self, leader: NodeId, case: &str) {
         let confirmed_at = self.leadership_confirmed_at(leader);
         assert!(
@@ -402,8 +408,8 @@
         );
     }
 
-    /// How long a member takes until it has applied all but what is in flight; changes go on
-    /// meanwhile.
+    /// Returns how long a member takes to apply all but the last two committed entries, which may
+    /// be in flight, while changes continue. Panics if it takes longer than `max_ms`.
     fn time_to_catch_up(&mut self, id: NodeId, max_ms: u64) -> u64 {
         let begin = self.now;
         loop {
@@ -414,14 +420,14 @@
             }
             assert!(
                 self.now < begin + max_ms,
-                "not there after {max_ms} ms: {:?}",
+                "not caught up after {max_ms} ms: {:?}",
                 self.status(id)
             );
         }
     }
 }
 
-/// Three members, of which one is down and lacks changes.
+/// A cluster of three members, one of which is down and has missed changes.
 struct OneBehind {
     cluster: Cluster,
     leader: NodeId,
@@ -445,16 +451,16 @@
     }
 }
 
-/// What the design note states: two seconds, and one and a half times what the snapshot, a log of
-/// the length at which it is compacted, and the entries that are retained beside a snapshot take on
-/// the link.
-fn stated_time_ms(state_bytes: usize, bits_per_s: u64) -> u64 {
+/// Returns the documented upper bound on the catch-up time: two seconds plus 1.5 times the
+/// transmission time of the snapshot, a log of the length at which it is compacted, and the entries
+/// that are retained along with a snapshot.
+fn documented_max_ms(state_bytes: usize, bits_per_s: u64) -> u64 {
     let entries_bytes = COMPACT_AFTER_ENTRIES * (CHANGE_BYTES + 40) + (64 << 10);
     2000 + (state_bytes + entries_bytes) as u64 * 8 * 1500 / bits_per_s
 }
 
 #[test]
-fn catch_up_within_the_stated_time() {
+fn catch_up_within_the_documented_time() {
     for state_bytes in [SMALL_STATE_BYTES, LARGE_STATE_BYTES] {
         for changes in [5, 500, 5000] {
             let OneBehind {
@@ -470,8 +476,8 @@
                 let stored = cluster.machines[&behind].stored.clone();
                 cluster.limit_bandwidth(behind, bits_per_s);
                 cluster.start(behind);
-                let stated_ms = stated_time_ms(state_bytes, bits_per_s);
-                let took_ms = cluster.time_to_catch_up(behind, stated_ms);
+                let max_ms = documented_max_ms(state_bytes, bits_per_s);
+                let took_ms = cluster.time_to_catch_up(behind, max_ms);
                 cluster.run(3000, 200);
                 cluster.assert_leader_unchanged(leader, term, &case);
                 let gap_ms = cluster.machines[&behind].max_heartbeat_gap_ms;
@@ -479,9 +485,9 @@
                     gap_ms < TIMING.election_timeout_ms,
                     "{case}: no heartbeat for {gap_ms} ms"
                 );
-                println!("{case}: {took_ms} ms, the longest time between heartbeats {gap_ms} ms");
+                println!("{case}: {took_ms} ms, longest heartbeat gap {gap_ms} ms");
                 cluster.assert_leadership_confirmed(leader, &case);
-                // Over the next link it begins with the same disk.
+                // The next link speed starts from the same disk state.
                 cluster.stop(behind);
                 cluster.machine(behind).stored = stored;
             }
@@ -501,16 +507,19 @@
     cluster.start(behind);
     cluster.sent_bytes.clear();
     let begin = cluster.now;
-    // The transfer takes about four seconds: no connection lasts so long.
+    // The transfer takes about four seconds, longer than any connection lasts.
     while cluster.applied_index(behind) + 2 < cluster.status(leader).commit_index {
         cluster.run(2500, 200);
         cluster.reset_connections(behind);
-        assert!(cluster.now < begin + 30_000, "it never gets there");
+        assert!(
+            cluster.now < begin + 30_000,
+            "the transfer does not complete"
+        );
     }
     let sent_bytes = cluster.sent_bytes[&behind];
     assert!(
         sent_bytes < 2 * LARGE_STATE_BYTES as u64,
-        "{sent_bytes} bytes for {LARGE_STATE_BYTES}"
+        "{sent_bytes} bytes sent for a state of {LARGE_STATE_BYTES}"
     );
 }
 
@@ -532,13 +541,16 @@
     }
     cluster.run(2000, 200);
     cluster.assert_leader_unchanged(leader, term, "after a large entry");
-    println!("reads are confirmed as of {max_age_ms} ms ago at the most");
+    println!("leadership was last confirmed at most {max_age_ms} ms earlier");
     assert!(
         max_age_ms < TIMING.election_timeout_ms,
-        "reads are confirmed as of {max_age_ms} ms ago"
+        "leadership was last confirmed {max_age_ms} ms earlier"
     );
     let min_applied = cluster.min_applied_index();
-    assert!(min_applied >= index, "all have applied it: {min_applied}");
+    assert!(
+        min_applied >= index,
+        "a member has applied only {min_applied} of {index}"
+    );
 }
 
 #[test]
@@ -550,7 +562,7 @@
         let leader = cluster.leader().expect("a leader");
         let late = (1..=MEMBERS).find(|id| *id != leader).expect("another");
         cluster.limit_bandwidth(late, 1_000_000);
-        // All of it is in flight before the others have it.
+        // The entry for the slow member is already in flight when the other members commit it.
         cluster.propose(50_000);
         let index = cluster.status(leader).last_log_index;
         let run_until = |cluster: &mut Cluster, is_reached: fn(&Cluster, NodeId, u64) -> bool| {
@@ -563,13 +575,16 @@
         let received_at = run_until(&mut cluster, |cluster, late, index| {
             cluster.status(late).last_log_index >= index
         });
-        assert!(cluster.acknowledged >= index, "others had it before");
+        assert!(
+            cluster.acknowledged >= index,
+            "the other members committed the entry first"
+        );
         let applied_at = run_until(&mut cluster, |cluster, late, index| {
             cluster.applied_index(late) >= index
         });
         waits.push(applied_at - received_at);
     }
-    // A sync and a round trip.
+    // One sync and one round trip, plus rounding to time steps.
     let max_ms = SYNC_MS + 2 * LATENCY_MS + 4 * STEP_MS;
     assert!(waits.iter().all(|wait| *wait <= max_ms), "{waits:?} ms");
 }
@@ -577,7 +592,7 @@
 #[test]
 fn leader_elected_during_catch_up_has_all_committed() {
     for seed in 0..12 {
-        // By entries, or by a snapshot.
+        // With 300 missed changes the member catches up by entries, with 1200 by a snapshot.
         let OneBehind {
             mut cluster,
             behind,
@@ -588,8 +603,8 @@
         cluster.start(behind);
         for crash in 0..6 {
             cluster.run(400 + 170 * seed + 90 * crash, 50);
-            // The member itself in the middle of a transfer or of a write, or the leader for longer
-            // than an election takes, or both at once.
+            // Stops the member in the middle of a transfer or write, the leader for longer than an
+            // election takes, or both at once.
             let leader = cluster.leader().filter(|_| crash % 3 != 0);
             let member = (crash % 2 == 0).then_some(behind);
             let stopped: Vec<NodeId> = leader.into_iter().chain(member).collect();
@@ -618,14 +633,14 @@
     let mut cluster = Cluster::new(SMALL_STATE_BYTES);
     cluster.run(3000, 200);
     let old_leader = cluster.leader().expect("a leader");
-    // It goes on alone: nothing of that is committed.
+    // The old leader appends entries that it cannot commit without the other members.
     let others: Vec<NodeId> = (1..=MEMBERS).filter(|id| *id != old_leader).collect();
     others.iter().for_each(|id| cluster.stop(*id));
     (0..200).for_each(|_| cluster.propose(CHANGE_BYTES));
     cluster.run(1500, 5000);
     let isolated = cluster.machine(old_leader).node.take();
     others.iter().for_each(|id| cluster.start(*id));
-    // Leaders that crash give the entries that follow several terms.
+    // Leader crashes spread the entries that follow over several terms.
     for _ in 0..4 {
         cluster.run(3000, 100);
         let leader = cluster.leader().expect("another leader");
@@ -639,15 +654,15 @@
     assert!(
         cluster.status(old_leader).last_log_index > 200
             && cluster.acknowledged < COMPACT_AFTER_ENTRIES as u64,
-        "no snapshot"
+        "the diverged log must be repaired by entries, not by a snapshot"
     );
-    // A few round trips of 60 ms after the next heartbeat.
+    // Allows for the next heartbeat and a few round trips of 60 ms.
     let took_ms = cluster.time_to_catch_up(old_leader, 1000);
     println!("{took_ms} ms");
 }
 
 #[test]
-fn stalled_disk_costs_no_leader_and_acknowledges_nothing() {
+fn stalled_disks_keep_the_leader_and_acknowledge_nothing() {
     let mut cluster = Cluster::new(SMALL_STATE_BYTES);
     cluster.run(3000, 200);
     let leader = cluster.leader().expect("a leader");
@@ -656,15 +671,16 @@
     cluster.run(4000, 200);
     assert!(
         cluster.acknowledged <= before + 1,
-        "{before}, and {} on no disk",
+        "acknowledged index rose from {before} to {} without a synced majority",
         cluster.acknowledged
     );
     cluster.assert_leader_unchanged(leader, term, "with stalled disks");
     cluster.assert_leadership_confirmed(leader, "with stalled disks");
     cluster.stalled_disks.clear();
     cluster.run(1000, 200);
-    assert!(cluster.acknowledged > before + 15, "they go on");
-    // The leader's disk stalls: the others commit, and what waits for it is bounded.
+    assert!(cluster.acknowledged > before + 15, "commits do not resume");
+    // While the leader's disk stalls, the other members commit, and the entries that wait for the
+    // disk are bounded.
     let (before, index) = (cluster.acknowledged, cluster.status(leader).last_log_index);
     cluster.stalled_disks.push(leader);
     for _ in 0..100 {
@@ -675,13 +691,14 @@
     assert_eq!(cluster.leader(), Some(leader));
     assert!(
         cluster.acknowledged >= before + 10 && accepted < 30,
-        "{accepted} of 100 were accepted"
+        "{accepted} of 100 proposals were accepted"
     );
 }
 
 #[test]
 fn member_that_lost_synced_entries_catches_up() {
-    // The leader once never went back below what the member had acknowledged.
+    // The leader used to resend nothing below the index that a member had acknowledged, even if the
+    // member had lost those entries since.
     for kept_entries in [0, 20] {
         let OneBehind {
             mut cluster,
@@ -704,7 +721,7 @@
 }
 
 #[test]
-fn snapshot_during_a_transfer_starts_no_other() {
+fn new_snapshot_does_not_restart_a_running_transfer() {
     let OneBehind {
         mut cluster,
         behind,
@@ -713,8 +730,8 @@
     cluster.limit_bandwidth(behind, 2_000_000);
     cluster.start(behind);
     cluster.sent_bytes.clear();
-    // 200 changes a second: a snapshot is made every 1.3 seconds, and the transfer of one takes
-    // twice that.
+    // At 200 changes per second a snapshot is made every 1.3 seconds, and the transfer of one takes
+    // twice as long.
     cluster.change_bytes = 60;
     let begin = cluster.now;
     while cluster.applied_index(behind) + 40 < cluster.acknowledged {
@@ -729,7 +746,7 @@
     let sent_bytes = cluster.sent_bytes[&behind];
     assert!(
         sent_bytes < 2 * LARGE_STATE_BYTES as u64,
-        "{sent_bytes} bytes: the snapshot went twice"
+        "{sent_bytes} bytes sent: the snapshot was transferred twice"
     );
     println!(
         "{} ms, {} bytes",
@@ -738,8 +755,8 @@
     );
 }
 
-/// Bytes between regions are paid for. Without changes, a request and a response for each member
-/// and heartbeat; a change takes twice that.
+/// Traffic between regions is billed, so the number of messages is bounded: one request and one
+/// response per follower and heartbeat when idle, and twice that for each change.
 #[test]
 fn message_count_when_idle_and_per_change() {
     for (change_interval_ms, changes) in [(u64::MAX, 0), (1000, 30)] {
@@ -752,7 +769,7 @@
         let max = 2 * (MEMBERS - 1) * (heartbeats + 2 * changes);
         assert!(
             cluster.sent_messages <= max,
-            "{} messages, {max} expected",
+            "{} messages sent, at most {max} expected",
             cluster.sent_messages
         );
         println!("{} messages", cluster.sent_messages);
@@ -761,8 +778,8 @@
 
 #[test]
 fn reordered_chunks_neither_stall_nor_multiply() {
-    // A chunk that came before the one ahead of it was once dropped, and each response that had
-    // been overtaken called for all in flight once more.
+    // Chunks that arrived out of order used to be dropped, and each overtaken response made the
+    // leader resend everything in flight.
     for seed in 0..20 {
         let OneBehind {
             mut cluster,
@@ -775,21 +792,21 @@
         cluster.start(behind);
         let (before, begin) = (cluster.sent_bytes[&behind], cluster.now);
         let took_ms = cluster.time_to_catch_up(behind, 10_000);
-        // An entry that is sent in chunks, beside it.
+        // An entry that is large enough to be sent in chunks.
         let index = cluster.status(leader).last_log_index + 1;
         cluster.propose(LARGE_STATE_BYTES);
         while cluster.status(leader).commit_index < index {
             cluster.run(STEP_MS, 200);
             assert!(
                 cluster.now < begin + 15_000,
-                "seed {seed}: an entry is not committed"
+                "seed {seed}: the entry is not committed"
             );
         }
         let sent_bytes = cluster.sent_bytes[&behind] - before;
-        assert!(took_ms < 8_000, "seed {seed}: {took_ms} ms");
+        assert!(took_ms < 8_000, "seed {seed}: caught up after {took_ms} ms");
         assert!(
             sent_bytes < 4 * LARGE_STATE_BYTES as u64,
-            "seed {seed}: {sent_bytes} bytes"
+            "seed {seed}: {sent_bytes} bytes sent"
         );
         assert_eq!(cluster.leader(), Some(leader), "seed {seed}");
     }
--- a/crates/raft/tests/consensus/cluster.rs
+++ b/crates/raft/tests/consensus/cluster.rs
@@ -1,10 +1,15 @@
-//! Clusters of nodes on one seeded clock, network and disk: messages are lost, duplicated, delayed
-//! and partitioned; processes crash and lose what was not synced; disks are wiped and their
-//! machines come back as new members.
+//! Simulates a cluster of nodes with a seeded clock, network and disks. Messages are lost,
+//! duplicated, delayed and blocked by partitions; processes crash and lose unsynced writes; disks
+//! are wiped and their machines rejoin as new members.
 //!
-//! Checked all along: one leader a term; committed logs agree; no read is older than what was
-//! acknowledged before it; no member acknowledges what its disk has not synced; a member in quorum
-//! contact up to some moment has applied all that was acknowledged before it.
+//! These invariants are checked throughout:
+//!
+//! - There is at most one leader per term.
+//! - Committed logs agree.
+//! - A read reflects every entry that was acknowledged before the read was requested.
+//! - A member acknowledges only entries that its disk has synced.
+//! - A member in quorum contact as of some time has committed every entry that was acknowledged
+//!   before that time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +21,7 @@
 
 use crate::support;
 
-/// A disk: what is synced, and what is on its way.
+/// A simulated disk with its synced state and the writes that are not synced yet.
 #[derive(Default)]
 pub(crate) struct Disk {
     stored: PersistentState,
@@ -24,7 +29,7 @@
     running_sync: Option<RunningSync>,
 }
 
-/// A sync that covers the first writes.
+/// A sync in progress, which covers the first `writes` unsynced writes.
 struct RunningSync {
     ends_at: u64,
     writes: usize,
@@ -43,7 +48,7 @@
         }
     }
 
-    /// The last entry that is synced, in a snapshot or by itself.
+    /// Returns the index of the last synced entry, whether in the log or covered by a snapshot.
     fn last_synced_index(&self) -> u64 {
         let snapshot = self.stored.snapshot.as_ref().map_or(0, |s| s.index);
         let last = self.stored.entries.last();
@@ -51,16 +56,16 @@
     }
 }
 
-/// A machine of the control plane.
+/// A machine that runs one node.
 pub(crate) struct Machine {
     pub(crate) id: NodeId,
     pub(crate) address: String,
     /// `None` while it is down.
     pub(crate) node: Option<RaftNode>,
     disk: Disk,
-    /// Neither computes nor loses what is sent to it, until it is thawed.
+    /// While set, the machine processes nothing; messages sent to it wait.
     pub(crate) frozen: bool,
-    /// The same, until then.
+    /// The machine is also frozen until this time.
     pub(crate) frozen_until: u64,
 }
 
@@ -70,40 +75,42 @@
     }
 }
 
-/// How messages travel.
+/// Delay and loss of messages.
 #[derive(Clone, Copy)]
 pub(crate) struct Network {
     pub(crate) max_delay_ms: u64,
-    /// One in so many is lost, and as many are duplicated.
+    /// One in this many messages is lost, and one in this many is duplicated.
     pub(crate) loss_one_in: Option<u64>,
 }
 
-/// Machines with a network between them.
+/// Machines connected by a simulated network.
 pub(crate) struct Cluster {
     pub(crate) rng: Rand64,
     timing: Timing,
     network: Network,
-    /// Losses that the cluster is built to tolerate.
+    /// The number of machine losses that the cluster is configured to tolerate.
     pub(crate) tolerated_losses: usize,
     pub(crate) now: u64,
     pub(crate) machines: Vec<Machine>,
-    /// Messages by the time at which they arrive.
+    /// Messages with their arrival times.
     in_flight: Vec<(u64, Message)>,
-    /// Pairs of machines of which the first does not reach the second.
+    /// Pairs `(from, to)` of machines between which messages are dropped.
     pub(crate) partitions: BTreeSet<(usize, usize)>,
+    /// The leader of each term.
     leaders: BTreeMap<u64, NodeId>,
+    /// The payload of each committed entry, by index.
     committed: BTreeMap<u64, Vec<u8>>,
-    /// The last entry that a leader has seen committed.
+    /// The highest index that any leader has committed.
     pub(crate) acknowledged: u64,
-    /// When `acknowledged` changed, and to what.
+    /// The time and the new value of each change of `acknowledged`.
     acknowledged_history: Vec<(u64, u64)>,
-    /// How often a member was seen in quorum contact.
+    /// The number of checks that found a member in quorum contact.
     pub(crate) contact_observations: u64,
-    /// What was acknowledged when each read was requested, by token.
+    /// The value of `acknowledged` when each pending read was requested, by token.
     pub(crate) reads: BTreeMap<u64, u64>,
     next_id: NodeId,
     pub(crate) served_reads: u64,
-    /// Last chunks of transfers that were received.
+    /// The number of chunked transfers whose last chunk was delivered.
     pub(crate) transfers: u64,
 }
 
@@ -156,7 +163,7 @@
         i
     }
 
-    /// An empty machine starts at an address of its own.
+    /// Starts an empty machine at a new address.
     pub(crate) fn add_machine(&mut self) -> usize {
         self.next_id += 1;
         self.add(self.next_id, Disk::default())
@@ -166,14 +173,14 @@
         self.rng.rand_range(0..n as u64) as usize
     }
 
-    /// The node of a machine that is up.
+    /// Returns the node of a machine that is up.
     pub(crate) fn node(&self, i: usize) -> &RaftNode {
-        self.machines[i].node.as_ref().expect("it is up")
+        self.machines[i].node.as_ref().expect("the machine is up")
     }
 
-    /// The node of a machine that is up.
+    /// Returns the node of a machine that is up.
     pub(crate) fn node_mut(&mut self, i: usize) -> &mut RaftNode {
-        self.machines[i].node.as_mut().expect("it is up")
+        self.machines[i].node.as_mut().expect("the machine is up")
     }
 
     pub(crate) fn start(&mut self, i: usize) {
@@ -188,7 +195,7 @@
     }
 
     pub(crate) fn crash(&mut self, i: usize) {
-        // Any of the writes that were not synced may have reached the disk, in order.
+        // Writes reach the disk in order, so any prefix of the unsynced ones may survive.
         let writes = self.machines[i].disk.unsynced.len();
         let kept = self.random_below(writes + 1);
         let machine = &mut self.machines[i];
@@ -200,7 +207,7 @@
         }
     }
 
-    /// A machine loses its disk: it comes back at the same address under another id.
+    /// Wipes a machine's disk and restarts it at the same address with a new id.
     pub(crate) fn wipe(&mut self, i: usize) {
         self.next_id += 1;
         let machine = &mut self.machines[i];
@@ -210,7 +217,7 @@
         self.start(i);
     }
 
-    /// The disk syncs all that was written.
+    /// Syncs all pending writes of a machine's disk.
     pub(crate) fn sync(&mut self, i: usize) {
         let writes = self.machines[i].disk.unsynced.len();
         self.sync_first(i, writes);
@@ -236,7 +243,8 @@
         }
     }
 
-    /// A disk on which each sync takes `sync_ms`. A sync covers what was written before it began.
+    /// Advances a disk whose syncs take `sync_ms` each. A sync covers the writes that were pending
+    /// when it began.
     pub(crate) fn advance_sync(&mut self, i: usize, sync_ms: u64) {
         let disk = &mut self.machines[i].disk;
         match disk.running_sync.take_if(|sync| sync.ends_at <= self.now) {
@@ -251,8 +259,8 @@
         }
     }
 
-    /// A member with more than `max_entries` entries replaces those that are committed by a
-    /// snapshot of that size.
+    /// Replaces the committed entries of a member by a snapshot of `state_bytes` once its log is
+    /// longer than `max_entries`.
     pub(crate) fn compact(&mut self, i: usize, max_entries: usize, state_bytes: usize) {
         let Some(node) = &self.machines[i].node else {
             return;
@@ -261,7 +269,7 @@
             return;
         }
         let commit_index = node.status().commit_index;
-        // What came of the last call is written first, as a host does it.
+        // A host writes the output of the previous call first, so this does too.
         self.handle_ready(i);
         let Some(node) = &mut self.machines[i].node else {
             return;
@@ -273,7 +281,7 @@
         }
     }
 
-    /// The leader of the latest term.
+    /// Returns the running leader with the highest term.
     pub(crate) fn leader(&self) -> Option<usize> {
         let term = |machine: &Machine| {
             let node = machine.node.as_ref().filter(|_| !machine.frozen)?;
@@ -285,7 +293,7 @@
         leaders.max().map(|(_, i)| i)
     }
 
-    /// Delivers the messages that arrive by now.
+    /// Delivers the messages that are due. Messages to a frozen machine stay queued.
     pub(crate) fn deliver_messages(&mut self) {
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
@@ -311,7 +319,7 @@
         }
     }
 
-    /// Carries out what a node asks for.
+    /// Processes a node's output: queues writes, sends messages, and checks commits and reads.
     pub(crate) fn handle_ready(&mut self, i: usize) {
         let Some(node) = &mut self.machines[i].node else {
             return;
@@ -333,7 +341,7 @@
             };
             assert!(
                 index >= acknowledged,
-                "a read saw {index}, {acknowledged} was acknowledged before it"
+                "a read returned index {index}, but {acknowledged} was acknowledged before the request"
             );
             self.served_reads += 1;
         }
@@ -349,7 +357,7 @@
             let synced_index = self.machines[from].disk.last_synced_index();
             assert!(
                 match_index <= synced_index,
-                "it acknowledges {match_index}, and its disk has {synced_index}"
+                "acknowledged index {match_index}, but only {synced_index} is synced"
             );
         }
         let delay = self.rng.rand_range(0..self.network.max_delay_ms);
@@ -373,7 +381,11 @@
             .committed
             .entry(entry.index)
             .or_insert_with(|| data.clone());
-        assert_eq!(*known, data, "two entries committed at {}", entry.index);
+        assert_eq!(
+            *known, data,
+            "different entries committed at index {}",
+            entry.index
+        );
         if by_leader && entry.index > self.acknowledged {
             self.acknowledged = entry.index;
             self.acknowledged_history.push((self.now, entry.index));
@@ -397,7 +409,8 @@
             let covered = before.checked_sub(1).map_or(0, |last| history[last].1);
             assert!(
                 status.commit_index >= covered,
-                "in contact up to {contact} with {}, {covered} was acknowledged before it",
+                "in quorum contact as of {contact} with commit index {}, but {covered} was acknowledged \
+                 before",
                 status.commit_index
             );
             let in_contact = contact + self.timing.election_timeout_ms >= self.now;
--- a/crates/raft/tests/consensus/election.rs
+++ b/crates/raft/tests/consensus/election.rs
@@ -1,4 +1,5 @@
-//! How soon there is a leader: at a cold start, after a crash, after a planned end of the leader.
+//! Tests how quickly a leader is elected at a cold start, after a crash of the leader, and after
+//! its planned shutdown.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,17 +15,18 @@
 const STEP_MS: u64 = 10;
 const MESSAGE_DELAY_MS: u64 = 30;
 
-/// The first election of a cluster.
+/// The outcome of a cluster's first election.
 struct FirstElection {
-    /// From the last start to the first leader.
+    /// The time from the last member's start to the first leader.
     wait_ms: u64,
     /// The term of the first leader.
     term: u64,
-    /// The latest term ten seconds later.
+    /// The highest term ten seconds after that.
     latest_term: u64,
 }
 
-/// Members start at these times. Messages are lost where the receiver is not up yet.
+/// Runs the first election of members that start at the given times. Messages to a member that has
+/// not started yet are lost.
 fn first_election(starts: &[u64], seed: u64) -> FirstElection {
     let ids: Vec<NodeId> = (1..=starts.len() as u64).collect();
     let stored = support::initial_state(support::voters(ids.iter().copied()));
@@ -69,25 +71,22 @@
 
 #[test]
 fn cold_start_elects_a_leader_quickly() {
-    // After a power loss of all machines nothing was served for up to two seconds more than
-    // necessary.
+    // After a power loss of all machines, the first election used to take up to two seconds longer
+    // than necessary, during which nothing was served.
     let wait_ms = |seed| first_election(&[0, 40, 250, 410], seed).wait_ms;
     let mut waits: Vec<u64> = (0..200).map(wait_ms).collect();
     waits.sort_unstable();
     let (median, max) = (waits[100], waits[199]);
-    assert!(
-        median <= TIMING.heartbeat_interval_ms,
-        "{median} ms in the median"
-    );
+    assert!(median <= TIMING.heartbeat_interval_ms, "median {median} ms");
     assert!(
         max <= 2 * TIMING.election_timeout_ms,
-        "{max} ms at the most: a split vote or two"
+        "longest {max} ms: more than one or two split votes"
     );
 }
 
 #[test]
-fn starting_member_does_not_unseat_the_leader() {
-    // It asks for pre-votes at once; those who hear the leader do not answer.
+fn starting_member_does_not_replace_the_leader() {
+    // The new member requests pre-votes at once. Members that hear the leader ignore the requests.
     for seed in 0..50 {
         let election = first_election(&[0, 0, 5000], seed);
         assert_eq!(
@@ -98,7 +97,7 @@
     }
 }
 
-/// Five milliseconds in which the leader is given a command now and then.
+/// Advances the cluster by 5 ms and proposes a command to every node once per 20 ms.
 fn step(cluster: &mut Cluster) {
     cluster.now += 5;
     for i in 0..cluster.machines.len() {
@@ -107,7 +106,7 @@
         if let Some(node) = &mut cluster.machines[i].node {
             node.tick(cluster.now);
             if cluster.now.is_multiple_of(20) {
-                // Only the leader accepts it.
+                // Only a leader accepts the command.
                 let _ = node.propose(vec![7]);
             }
         }
@@ -119,7 +118,8 @@
 
 #[test]
 fn split_votes_do_not_repeat() {
-    // With two left of three, six elections in a row once had no winner, for over three seconds.
+    // With two of three members left, six elections in a row once had no winner, which took over
+    // three seconds.
     let terms_to_next_leader = |seed| {
         let mut cluster = Cluster::new(seed, 3, TIMING, NETWORK);
         (0..300).for_each(|_| step(&mut cluster));
@@ -155,7 +155,7 @@
             (status.role, status.last_log_index >= cluster.acknowledged),
             (Role::Leader, true)
         );
-        // The one that shuts down does not lead again.
+        // A node that is shutting down must not become leader again.
         (0..600).for_each(|_| step(&mut cluster));
         assert_ne!(cluster.leader(), Some(first), "seed {seed}");
     }
@@ -163,7 +163,7 @@
     println!("median {} ms, longest {} ms", waits[25], waits[49]);
     assert!(
         waits[49] < TIMING.election_timeout_ms,
-        "longest {} ms: sooner than by an election timeout",
+        "longest {} ms: no shorter than an election timeout",
         waits[49]
     );
 }
--- a/crates/raft/tests/consensus/follower.rs
+++ b/crates/raft/tests/consensus/follower.rs
@@ -1,4 +1,4 @@
-//! What one member responds to a leader's messages, one by one.
+//! Tests a follower's responses to individual messages from a leader.
 
 use raft::{
     AppendEntries, AppendResponse, Chunk, ChunkResponse, Entry, LogPosition, Message, MessageBody,
@@ -14,7 +14,7 @@
     support::start_node(1, 7, support::initial_state(support::voters(1..=3)))
 }
 
-/// The follower handles a message of the leader.
+/// Delivers a message from the leader to the follower and returns the follower's output.
 fn receive(node: &mut RaftNode, term: u64, body: MessageBody) -> Ready {
     node.step(Message {
         from: LEADER,
@@ -43,7 +43,7 @@
     ready.messages.iter().map(|m| m.body.clone()).collect()
 }
 
-/// What the follower sends once its disk has synced what `ready` asks for.
+/// Syncs the persist requests in `ready` and returns the messages that the follower sends then.
 fn sync(node: &mut RaftNode, ready: &Ready) -> Vec<MessageBody> {
     support::sync(node, ready);
     bodies(&node.take_ready())
@@ -67,19 +67,19 @@
     receive(&mut node, 1, append(position(0, 0), first, 2));
     assert_eq!(node.members(), &voters(5));
     assert_eq!(node.members_at(2), &voters(4));
-    // Another leader has another third entry.
+    // Another leader replaces the third entry.
     let second = vec![entry(2, 3, Payload::Empty)];
     receive(&mut node, 2, append(position(2, 1), second, 2));
     assert_eq!(
         node.members(),
         &voters(4),
-        "an overwritten change does not count"
+        "an overwritten membership change is undone"
     );
     node.compact(2, vec![1]).expect("a snapshot");
     assert_eq!(
         node.members(),
         &voters(4),
-        "a compacted change still counts"
+        "a compacted membership change stays in effect"
     );
     let third = vec![change(2, 4, 6)];
     receive(&mut node, 2, append(position(3, 2), third, 3));
@@ -89,7 +89,7 @@
     );
 }
 
-/// The chunks of a snapshot up to entry 9.
+/// Returns the chunks of a snapshot that covers entries up to index 9.
 fn chunks(data: &[u8], checksum: u32) -> Vec<Chunk> {
     let transfer = TransferId {
         index: 9,
@@ -114,7 +114,7 @@
     parts.iter().enumerate().map(chunk).collect()
 }
 
-/// How much the follower reports to have after a chunk.
+/// Returns the number of received bytes that the follower reports after a chunk.
 fn received_bytes(node: &mut RaftNode, chunk: &Chunk) -> Option<u64> {
     let ready = receive(node, 1, MessageBody::Chunk(chunk.clone()));
     ready.messages.iter().find_map(|m| match m.body {
@@ -135,11 +135,11 @@
     assert_eq!(
         responses,
         [Some(3), Some(6), Some(9), Some(0)],
-        "from the beginning"
+        "a transfer with a wrong checksum starts over"
     );
     assert_eq!(node.status().commit_index, 0);
     let valid = chunks(data, crc32fast::hash(data));
-    // One overtakes another, two come twice, and another leader goes on in the middle.
+    // Chunks arrive out of order and twice, and another leader continues the transfer.
     let responses = [0, 2, 1, 1, 2].map(|i| received_bytes(&mut node, &valid[i]));
     assert_eq!(responses, [Some(3), Some(3), Some(9), Some(9), Some(9)]);
     let ready = receive(&mut node, 2, MessageBody::Chunk(valid[3].clone()));
@@ -160,7 +160,10 @@
             )
         })
     };
-    assert!(!acknowledges(&bodies(&ready)), "before it is synced");
+    assert!(
+        !acknowledges(&bodies(&ready)),
+        "the snapshot is acknowledged before it is synced"
+    );
     let heartbeat = append(position(9, 1), Vec::new(), 9);
     let sent = bodies(&receive(&mut node, 2, heartbeat));
     assert!(!acknowledges(&sent) && !sent.is_empty(), "{sent:?}");
@@ -188,7 +191,7 @@
     };
     assert!(
         !bodies(&ready).iter().any(grants),
-        "a power loss would take the vote back"
+        "the vote is sent before its sync, so a power loss could undo it"
     );
     assert!(sync(&mut node, &ready).iter().any(grants));
 }
--- a/crates/raft/tests/consensus/leader.rs
+++ b/crates/raft/tests/consensus/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader may conclude from the responses of others, message by message.
+//! Tests what a leader concludes from individual responses of other members.
 
 use raft::{
     AppendEntries, AppendResponse, Entry, Members, Message, MessageBody, NodeId, Payload,
@@ -7,20 +7,20 @@
 
 use crate::support::{self, TIMING};
 
-/// When the election is, on the host's clock.
+/// The time of the election on the host's clock.
 const ELECTION_AT_MS: u64 = 10_000;
 const OWN: NodeId = 1;
 const OTHER: NodeId = 2;
-/// The entry that the leader of the first term has left in the log, committed or not.
+/// The index of an entry from term 1 that may or may not have been committed.
 const EARLIER_INDEX: u64 = 1;
 
-/// The leader of the second term of three members, of which one other answers.
+/// A leader in term 2 of a cluster of three, of which only one other member responds.
 struct Elected {
     node: RaftNode,
 }
 
 impl Elected {
-    /// The leader right after its election, before another member has its first entry.
+    /// Returns the leader right after its election, before any other member has its first entry.
     fn new() -> Self {
         let members = Members {
             voters: (1..=3).map(|id| (id, address(id))).collect(),
@@ -45,11 +45,15 @@
         }
         let status = elected.node.status();
         assert_eq!(status.role, Role::Leader);
-        assert_eq!(status.last_log_index, EARLIER_INDEX + 1, "its first entry");
+        assert_eq!(
+            status.last_log_index,
+            EARLIER_INDEX + 1,
+            "a new leader appends an entry"
+        );
         elected
     }
 
-    /// The leader handles a message of the other member.
+    /// Delivers a message from the other member to the leader.
     fn receive(&mut self, body: MessageBody) {
         self.node.step(Message {
             from: OTHER,
@@ -64,7 +68,7 @@
         support::sync(&mut self.node, &ready);
     }
 
-    /// The other member has synced the log up to an entry.
+    /// Delivers the other member's acknowledgement of the log up to `match_index`.
     fn receive_acknowledgement(&mut self, match_index: u64) {
         self.receive(acknowledgement(match_index, 1));
         self.sync();
@@ -97,8 +101,8 @@
 #[test]
 fn earlier_term_entry_commits_only_with_own_entry() {
     let mut elected = Elected::new();
-    // A majority has it, and still a third member with a newer term in its log could be elected and
-    // overwrite it.
+    // A majority has the entry, but a third member whose log ends in a newer term could still be
+    // elected and overwrite it.
     elected.receive_acknowledgement(EARLIER_INDEX);
     assert_eq!(elected.commit_index(), 0);
     elected.receive_acknowledgement(EARLIER_INDEX + 1);
@@ -107,8 +111,8 @@
 
 #[test]
 fn no_membership_change_before_own_commit() {
-    // Two leaders in a row could else each add a member of its own, and their majorities need not
-    // overlap.
+    // Otherwise two consecutive leaders could each add a different member, and their majorities
+    // might not overlap.
     let mut elected = Elected::new();
     elected.receive_acknowledgement(EARLIER_INDEX);
     elected.node.handle_join_request(9, address(9));
@@ -116,12 +120,15 @@
     assert_eq!(elected.node.status().last_log_index, EARLIER_INDEX + 1);
     assert!(!elected.node.members().contains(9));
     elected.receive_acknowledgement(EARLIER_INDEX + 1);
-    assert!(elected.node.members().contains(9), "a learner from then on");
+    assert!(
+        elected.node.members().contains(9),
+        "the applicant becomes a learner"
+    );
 }
 
 #[test]
 fn leader_without_quorum_steps_down() {
-    // Where it is cut off, its callers would else wait for what it can't do.
+    // Otherwise callers of a leader without a quorum would wait for requests that cannot complete.
     let mut elected = Elected::new();
     elected.receive_acknowledgement(EARLIER_INDEX + 1);
     let deadline = ELECTION_AT_MS + TIMING.election_timeout_ms;
@@ -129,7 +136,7 @@
     assert_eq!(
         elected.node.status().role,
         Role::Leader,
-        "it was answered within the timeout"
+        "a response arrived within the timeout"
     );
     elected.node.tick(deadline + 1);
     assert_eq!(elected.node.status().role, Role::Follower);
@@ -138,8 +145,8 @@
 
 #[test]
 fn read_waits_for_a_later_broadcast() {
-    // A member that answers a broadcast that was under way may have elected another leader since,
-    // before the read.
+    // A member that responded to a broadcast from before the read may have elected another leader
+    // by the time the read was requested.
     let mut elected = Elected::new();
     elected.node.request_read(5);
     elected.receive(acknowledgement(EARLIER_INDEX + 1, 1));
@@ -152,7 +159,7 @@
     assert_eq!(elected.node.take_ready().read_states, [confirmed]);
 }
 
-/// The broadcasts that a node has sent by `now`.
+/// Ticks a node and returns the sequence numbers of the broadcasts that it sends.
 fn broadcasts_by(node: &mut RaftNode, now: u64) -> Vec<u64> {
     node.tick(now);
     let ready = node.take_ready();
@@ -187,7 +194,7 @@
     assert_eq!(
         (node.status().role, node.leadership_confirmed_at()),
         (Role::Leader, None),
-        "nobody has answered"
+        "no member has responded yet"
     );
     let first = *broadcasts_by(&mut node, 900).last().expect("a heartbeat");
     let second = *broadcasts_by(&mut node, 1250).last().expect("another");
@@ -197,13 +204,13 @@
     assert_eq!(
         node.leadership_confirmed_at(),
         None,
-        "two of five are no majority"
+        "two of five members are not a majority"
     );
     receive(&mut node, 3, term, acknowledgement(0, first));
     assert_eq!(
         node.leadership_confirmed_at(),
         Some(900),
-        "answered late, it was sent then"
+        "confirmed as of the time at which the broadcast was sent"
     );
     receive(&mut node, 4, term, acknowledgement(0, second));
     receive(&mut node, 2, term, acknowledgement(0, second));
--- a/crates/raft/tests/consensus/machine_loss.rs
+++ b/crates/raft/tests/consensus/machine_loss.rs
@@ -1,7 +1,6 @@
-//! Machines are lost, replaced at other addresses and lost again: while no more are lost at once
-//! than is to be tolerated, there is a leader that commits, and nothing acknowledged is lost. A
-//! machine counts as lost while it is away and for `SETTLE_TIME_MS` after it, or its successor, has
-//! started.
+//! Tests repeated losses and replacements of machines. As long as no more machines are lost at once
+//! than the cluster tolerates, a leader keeps committing, and no acknowledged entry is lost. A
+//! machine counts as lost until `SETTLE_TIME_MS` after it, or its replacement, has started.
 
 use std::collections::BTreeMap;
 
@@ -14,40 +13,40 @@
     max_delay_ms: 25,
     loss_one_in: None,
 };
-/// A step of the clock.
+/// The simulation's time step.
 const STEP_MS: u64 = 20;
-/// A machine that has no place among the members asks for one this often.
+/// How often a machine that is not a voter requests to join.
 const JOIN_INTERVAL_MS: u64 = 250;
-/// A sync takes so long.
+/// The duration of a sync.
 const SYNC_MS: u64 = 2;
-/// A sync on a slow disk takes so long.
+/// The duration of a sync on a slow disk.
 const SLOW_SYNC_MS: u64 = 700;
-/// The successor of a machine starts so long after its loss.
-const SUCCESSOR_DELAY_MS: u64 = 1000;
-/// A machine counts as lost for so long after it, or its successor, has started.
+/// How long after the loss of a machine its replacement starts.
+const REPLACEMENT_DELAY_MS: u64 = 1000;
+/// How long a machine still counts as lost after it, or its replacement, has started.
 const SETTLE_TIME_MS: u64 = 4000;
-/// A loss lasts for so long.
+/// The duration of a temporary loss.
 const LOSS_DURATION_MS: u64 = 16_000;
-/// The longest time without a commit: an election takes up to two timeouts, split votes some more,
-/// and what the lost machine had just begun is begun again.
+/// The maximum time without a commit. It covers an election of up to two timeouts, split votes, and
+/// the repetition of what the lost machine had just begun.
 const MAX_COMMIT_GAP_MS: u64 = 5000;
 
 /// How a machine is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Loss {
-    /// Without power for a while.
+    /// The machine loses power for a while.
     Power,
-    /// It comes back soon, without its disk.
+    /// The machine restarts soon with an empty disk.
     Wiped,
-    /// Its process stands still for a while.
+    /// The process is frozen for a while.
     Frozen,
-    /// Its disk is slow for a while.
+    /// The disk is slow for a while.
     SlowDisk,
-    /// It reaches no other for a while.
+    /// The machine is disconnected from all others for a while.
     Partitioned,
-    /// For good: an empty machine starts at another address.
+    /// The machine is lost permanently; then an empty machine starts at another address.
     Replaced,
-    /// For good, as planned: the empty machine starts first.
+    /// The machine is retired as planned: the empty machine starts before it shuts down.
     Planned,
 }
 
@@ -61,29 +60,29 @@
     Loss::Planned,
 ];
 
-/// What is to happen to a machine later on.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Start(usize),
-    /// A frozen, slow or partitioned machine is as it was.
+    /// Ends the freeze, slow disk or partition of a machine.
     Heal(usize),
-    /// An empty machine starts.
+    /// Starts an empty machine at a new address.
     AddMachine,
-    /// A process is told to end.
+    /// Requests an orderly shutdown of a process.
     BeginShutdown(usize),
     Crash(usize),
 }
 
-/// A cluster that loses machines.
-struct Rehearsal {
+/// A cluster with scheduled machine losses.
+struct Scenario {
     cluster: Cluster,
-    /// What is to happen, by time and in the order in which it was scheduled.
+    /// Scheduled events, by time and then by the order of scheduling.
     events: BTreeMap<(u64, usize), Event>,
     scheduled_events: usize,
     slow_disks: Vec<usize>,
-    /// Requests to join, on their way to all: when they arrive, and from which machine.
+    /// Join requests in flight to all machines: the arrival time and the requesting machine.
     join_requests: Vec<(u64, usize)>,
-    /// When something was committed last that was proposed after the commit before it.
+    /// The time of the last commit of an entry that was proposed after the previous such commit.
     last_commit_at: u64,
     last_proposal: Option<Proposal>,
     max_commit_gap_ms: u64,
@@ -94,14 +93,14 @@
     proposed_at: u64,
 }
 
-impl Rehearsal {
+impl Scenario {
     fn new(seed: u64, size: u64, tolerated_losses: usize) -> Self {
         let mut cluster = Cluster::new(seed, size, TIMING, NETWORK);
         cluster.tolerated_losses = tolerated_losses;
         for i in 0..cluster.machines.len() {
             cluster.start(i);
         }
-        let mut rehearsal = Self {
+        let mut scenario = Self {
             cluster,
             events: BTreeMap::new(),
             scheduled_events: 0,
@@ -111,9 +110,9 @@
             last_proposal: None,
             max_commit_gap_ms: 0,
         };
-        rehearsal.run_for(5000);
-        rehearsal.max_commit_gap_ms = 0;
-        rehearsal
+        scenario.run_for(5000);
+        scenario.max_commit_gap_ms = 0;
+        scenario
     }
 
     fn schedule(&mut self, at: u64, event: Event) {
@@ -121,7 +120,7 @@
         self.events.insert((at, self.scheduled_events), event);
     }
 
-    /// Lets so much time pass.
+    /// Advances time by `duration_ms`.
     fn run_for(&mut self, duration_ms: u64) {
         let until = self.cluster.now + duration_ms;
         while self.cluster.now < until {
@@ -180,7 +179,7 @@
         }
     }
 
-    /// Machines that are no voters ask all others, now and then.
+    /// Sends periodic join requests from machines that are not voters, and delivers due requests.
     fn deliver_join_requests(&mut self) {
         let now = self.cluster.now;
         let is_due =
@@ -207,7 +206,7 @@
         }
     }
 
-    /// Each member that takes itself for the leader is given a command twice a second.
+    /// Proposes a command to every node twice a second. Only leaders accept it, even stale ones.
     fn propose(&mut self) {
         if !self.cluster.now.is_multiple_of(500) {
             return;
@@ -239,7 +238,7 @@
         self.max_commit_gap_ms = self.max_commit_gap_ms.max(gap_ms);
     }
 
-    /// The leader, once there is one.
+    /// Waits for a leader and returns it.
     fn leader(&mut self) -> usize {
         for _ in 0..MAX_COMMIT_GAP_MS / STEP_MS {
             match self.cluster.leader() {
@@ -250,8 +249,8 @@
         panic!("no leader for {MAX_COMMIT_GAP_MS} ms")
     }
 
-    /// The machine to lose: the leader, or another voter that is up.
-    fn victim(&mut self, leader: bool) -> usize {
+    /// Picks a machine to lose: the leader, or another voter that is up.
+    fn pick_machine(&mut self, leader: bool) -> usize {
         let leading = self.leader();
         let node = self.cluster.node(leading);
         let voters: Vec<NodeId> = node.members().voters.keys().copied().collect();
@@ -265,7 +264,7 @@
         others[self.cluster.random_below(others.len())]
     }
 
-    /// Loses a machine. The time in milliseconds until it no longer counts as lost.
+    /// Makes a machine fail. Returns the time in milliseconds until it no longer counts as lost.
     fn lose(&mut self, i: usize, loss: Loss) -> u64 {
         let now = self.cluster.now;
         let away_ms = match loss {
@@ -277,8 +276,8 @@
             Loss::Wiped => {
                 self.cluster.wipe(i);
                 self.cluster.machines[i].node = None;
-                self.schedule(now + SUCCESSOR_DELAY_MS, Event::Start(i));
-                SUCCESSOR_DELAY_MS
+                self.schedule(now + REPLACEMENT_DELAY_MS, Event::Start(i));
+                REPLACEMENT_DELAY_MS
             }
             Loss::Frozen | Loss::SlowDisk | Loss::Partitioned => {
                 match loss {
@@ -296,33 +295,34 @@
             }
             Loss::Replaced => {
                 self.cluster.crash(i);
-                self.schedule(now + SUCCESSOR_DELAY_MS, Event::AddMachine);
-                SUCCESSOR_DELAY_MS
+                self.schedule(now + REPLACEMENT_DELAY_MS, Event::AddMachine);
+                REPLACEMENT_DELAY_MS
             }
             Loss::Planned => {
                 self.schedule(now, Event::AddMachine);
-                self.schedule(now + SUCCESSOR_DELAY_MS, Event::BeginShutdown(i));
-                self.schedule(now + SUCCESSOR_DELAY_MS + 500, Event::Crash(i));
-                SUCCESSOR_DELAY_MS + 500
+                self.schedule(now + REPLACEMENT_DELAY_MS, Event::BeginShutdown(i));
+                self.schedule(now + REPLACEMENT_DELAY_MS + 500, Event::Crash(i));
+                REPLACEMENT_DELAY_MS + 500
             }
         };
         away_ms + SETTLE_TIME_MS
     }
 
-    /// Nothing counts as lost any more: as many losses can be tolerated as the system is built for.
+    /// Asserts that the cluster tolerates the configured number of losses again. Called when no
+    /// machine counts as lost any more.
     fn assert_loss_tolerance(&mut self) {
         let leader = self.leader();
         let node = self.cluster.node(leader);
-        let report = node.membership_report().expect("it leads");
+        let report = node.membership_report().expect("it is the leader");
         let tolerated_losses = self.cluster.tolerated_losses;
         assert!(
             report.tolerable_losses >= tolerated_losses,
-            "{tolerated_losses} losses can't be tolerated: {report:?}"
+            "cannot tolerate {tolerated_losses} losses: {report:?}"
         );
     }
 
-    /// Right after an acknowledgement so many disks are lost, the leader's among them, and all
-    /// other machines lose power at the same time.
+    /// Asserts that acknowledged entries survive the loss of `wiped` disks, including the leader's,
+    /// right after an acknowledgement, while all other machines lose power.
     fn assert_survives_disk_losses(&mut self, wiped: usize) {
         let acknowledged = self.cluster.acknowledged;
         for _ in 0..MAX_COMMIT_GAP_MS / STEP_MS {
@@ -333,15 +333,15 @@
         }
         assert!(
             self.cluster.acknowledged > acknowledged,
-            "nothing is acknowledged"
+            "no new entry was acknowledged"
         );
         let is_up = |m: &Machine| m.node.is_some();
         let running: Vec<usize> = (0..self.cluster.machines.len())
             .filter(|i| is_up(&self.cluster.machines[*i]))
             .collect();
-        let mut lost = vec![self.victim(true)];
+        let mut lost = vec![self.pick_machine(true)];
         while lost.len() < wiped {
-            let next = self.victim(false);
+            let next = self.pick_machine(false);
             if !lost.contains(&next) {
                 lost.push(next);
             }
@@ -360,22 +360,23 @@
         assert_eq!(status.role, Role::Leader);
         assert!(
             status.commit_index >= self.cluster.acknowledged,
-            "something acknowledged is lost"
+            "an acknowledged entry is lost"
         );
     }
 }
 
-/// Runs schedules by number; a failure names its number. Prints the longest time without a commit.
-fn rehearse(numbers: std::ops::Range<u64>, schedule: impl Fn(u64) -> Rehearsal) {
+/// Runs the schedules with the given numbers and prints the median and longest time without a
+/// commit. A failure prints the number of its schedule.
+fn run_schedules(numbers: std::ops::Range<u64>, schedule: impl Fn(u64) -> Scenario) {
     let gap = |number| {
         let run = || {
-            let rehearsal = schedule(number);
+            let scenario = schedule(number);
             assert!(
-                rehearsal.max_commit_gap_ms <= MAX_COMMIT_GAP_MS,
+                scenario.max_commit_gap_ms <= MAX_COMMIT_GAP_MS,
                 "{} ms without a commit",
-                rehearsal.max_commit_gap_ms
+                scenario.max_commit_gap_ms
             );
-            rehearsal.max_commit_gap_ms
+            scenario.max_commit_gap_ms
         };
         std::panic::catch_unwind(std::panic::AssertUnwindSafe(run)).unwrap_or_else(|cause| {
             eprintln!("schedule {number}");
@@ -393,12 +394,12 @@
 
 #[test]
 fn repeated_replacements_keep_tolerable_losses() {
-    // Each replaced machine once stayed a voter for ever, and after two the next loss left no
+    // Replaced machines used to remain voters, so that after two replacements the next loss left no
     // majority.
-    rehearse(0..140, |number| {
+    run_schedules(0..140, |number| {
         let (size, tolerated_losses) =
             [(4, 1), (6, 2), (8, 2), (10, 2), (3, 1)][number as usize % 5];
-        let mut rehearsal = Rehearsal::new(number, size, tolerated_losses);
+        let mut scenario = Scenario::new(number, size, tolerated_losses);
         for replacement in 0..1 + number % 5 {
             let planned = number / 5 % 3 == replacement % 3;
             let leader = (number / 7 + replacement).is_multiple_of(2);
@@ -407,66 +408,66 @@
             } else {
                 Loss::Replaced
             };
-            let victim = rehearsal.victim(leader);
-            let lost_ms = rehearsal.lose(victim, loss);
-            rehearsal.run_for(lost_ms);
-            rehearsal.assert_loss_tolerance();
+            let machine = scenario.pick_machine(leader);
+            let lost_ms = scenario.lose(machine, loss);
+            scenario.run_for(lost_ms);
+            scenario.assert_loss_tolerance();
         }
         let loss = LOSSES[number as usize % LOSSES.len()];
         let mut lost_ms = 0;
         for n in 0..tolerated_losses as u64 {
-            let victim = rehearsal.victim((number / 35 + n).is_multiple_of(2));
-            lost_ms = rehearsal.lose(victim, loss).max(lost_ms);
+            let machine = scenario.pick_machine((number / 35 + n).is_multiple_of(2));
+            lost_ms = scenario.lose(machine, loss).max(lost_ms);
         }
-        rehearsal.run_for(lost_ms);
-        rehearsal.assert_loss_tolerance();
-        rehearsal.assert_survives_disk_losses(tolerated_losses);
-        rehearsal
+        scenario.run_for(lost_ms);
+        scenario.assert_loss_tolerance();
+        scenario.assert_survives_disk_losses(tolerated_losses);
+        scenario
     });
 }
 
 #[test]
-fn two_losses_are_tolerated_at_any_distance() {
-    rehearse(0..196, |number| {
+fn two_losses_are_tolerated_at_any_interval() {
+    run_schedules(0..196, |number| {
         let (first, second) = (number as usize % 7, number as usize / 7 % 7);
         let size = [6, 8, 10, 6][number as usize / 49];
-        let mut rehearsal = Rehearsal::new(1000 + number, size, 2);
-        let victim = rehearsal.victim(number.is_multiple_of(2));
-        let lost_ms = rehearsal.lose(victim, LOSSES[first]);
-        rehearsal.run_for((number * 97 % 80) * 100);
-        let victim = rehearsal.victim(number % 3 != 0);
-        let second_lost_ms = rehearsal.lose(victim, LOSSES[second]);
-        rehearsal.run_for(lost_ms.max(second_lost_ms));
-        rehearsal.assert_loss_tolerance();
-        rehearsal.assert_survives_disk_losses(2);
-        rehearsal
+        let mut scenario = Scenario::new(1000 + number, size, 2);
+        let machine = scenario.pick_machine(number.is_multiple_of(2));
+        let lost_ms = scenario.lose(machine, LOSSES[first]);
+        scenario.run_for((number * 97 % 80) * 100);
+        let machine = scenario.pick_machine(number % 3 != 0);
+        let second_lost_ms = scenario.lose(machine, LOSSES[second]);
+        scenario.run_for(lost_ms.max(second_lost_ms));
+        scenario.assert_loss_tolerance();
+        scenario.assert_survives_disk_losses(2);
+        scenario
     });
 }
 
 #[test]
 fn early_second_loss_stops_commits_until_return() {
-    // Four machines tolerate one loss: a second one within four seconds may stop everything, but
-    // loses nothing.
+    // Three or four machines tolerate one loss. A second loss within four seconds may stop commits
+    // for a while but must not lose anything.
     for number in 0..64u64 {
-        let mut rehearsal = Rehearsal::new(2000 + number, 3 + number % 2, 1);
+        let mut scenario = Scenario::new(2000 + number, 3 + number % 2, 1);
         let first = [Loss::Wiped, Loss::Replaced, Loss::Planned, Loss::Power][number as usize % 4];
-        let victim = rehearsal.victim(number % 3 == 0);
-        rehearsal.lose(victim, first);
-        rehearsal.run_for((number * 37 % 60) * 100);
+        let machine = scenario.pick_machine(number % 3 == 0);
+        scenario.lose(machine, first);
+        scenario.run_for((number * 37 % 60) * 100);
         let second =
             [Loss::Power, Loss::Frozen, Loss::Partitioned, Loss::SlowDisk][number as usize / 16];
-        let victim = rehearsal.victim(number % 5 != 0);
-        let lost_ms = rehearsal.lose(victim, second);
-        rehearsal.run_for(lost_ms);
-        rehearsal.max_commit_gap_ms = 0;
-        rehearsal.last_commit_at = rehearsal.cluster.now;
-        rehearsal.run_for(MAX_COMMIT_GAP_MS);
-        rehearsal.assert_loss_tolerance();
-        rehearsal.assert_survives_disk_losses(1);
+        let machine = scenario.pick_machine(number % 5 != 0);
+        let lost_ms = scenario.lose(machine, second);
+        scenario.run_for(lost_ms);
+        scenario.max_commit_gap_ms = 0;
+        scenario.last_commit_at = scenario.cluster.now;
+        scenario.run_for(MAX_COMMIT_GAP_MS);
+        scenario.assert_loss_tolerance();
+        scenario.assert_survives_disk_losses(1);
         assert!(
-            rehearsal.max_commit_gap_ms <= MAX_COMMIT_GAP_MS,
+            scenario.max_commit_gap_ms <= MAX_COMMIT_GAP_MS,
             "schedule {number}: {} ms",
-            rehearsal.max_commit_gap_ms
+            scenario.max_commit_gap_ms
         );
     }
 }
--- a/crates/raft/tests/consensus/main.rs
+++ b/crates/raft/tests/consensus/main.rs
@@ -1,4 +1,5 @@
-//! Members of the log, alone and in clusters, on a seeded clock, network and disk.
+//! Tests of the Raft implementation: single nodes and whole clusters with a simulated clock,
+//! network and disk, all driven by a seed.
 
 mod catch_up;
 mod cluster;
--- a/crates/raft/tests/consensus/membership_policy.rs
+++ b/crates/raft/tests/consensus/membership_policy.rs
@@ -1,4 +1,4 @@
-//! Which single change of the members comes next, by what the leader has observed.
+//! Tests which membership change the policy chooses next from the leader's observations.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,8 @@
 
 use crate::support::TIMING;
 
-/// The leader's view: who is silent for how long, who is behind, who asks to take part.
+/// A leader's observations: how long each member has been silent, which members are behind or have
+/// not responded yet, and which machines request to join.
 #[derive(Default)]
 struct Case {
     voters: u64,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The members after the next change.
+    /// Returns the members after the next change, or `None` if no change is due.
     fn next_members(&self, members: &Members, tolerated_losses: usize) -> Option<Members> {
         let observe = |id| Observation {
             silence_ms: self.silence_ms.get(&id).copied().unwrap_or(0),
@@ -52,7 +53,7 @@
         view.next_change()
     }
 
-    /// The members after all changes that are due now.
+    /// Returns the members after all changes that are due now.
     fn settled_members(&self, tolerated_losses: usize) -> Members {
         let mut members = self.members();
         for _ in 0..20 {
@@ -76,24 +77,31 @@
     assert_eq!(
         case.next_members(&case.members(), 1),
         None,
-        "the old one still answers"
+        "the old machine still responds"
     );
     case.silence_ms.insert(3, 1001);
     let without = case
         .next_members(&case.members(), 1)
-        .expect("the old one leaves");
+        .expect("the old machine is removed");
     assert!(!without.contains(3) && !without.contains(9));
-    let learning = case.next_members(&without, 1).expect("the new one learns");
+    let learning = case
+        .next_members(&without, 1)
+        .expect("the new machine becomes a learner");
     assert!(learning.learners.contains_key(&9));
-    assert_eq!(case.next_members(&learning, 1), None, "it is behind");
+    assert_eq!(
+        case.next_members(&learning, 1),
+        None,
+        "the learner is still behind"
+    );
     case.behind.clear();
-    let voting = case.next_members(&learning, 1).expect("it votes");
+    let voting = case
+        .next_members(&learning, 1)
+        .expect("the learner becomes a voter");
     assert!(voting.voters.contains_key(&9) && voting.learners.is_empty());
     assert_eq!(case.next_members(&voting, 1), None);
 }
 
-/// The voters once all changes are made that are due after so many milliseconds of silence of each
-/// member.
+/// Returns the voters after all changes that are due, given each member's silence in milliseconds.
 fn settled_voters(
     voters: u64,
     tolerated_losses: usize,
@@ -110,46 +118,46 @@
 }
 
 #[test]
-fn silent_voters_are_removed_only_where_that_helps() {
+fn silent_voters_are_removed_only_if_that_helps() {
     assert_eq!(
         settled_voters(4, 1, &[(4, 1999)], &[]),
         [1, 2, 3, 4],
-        "it may be restarting"
+        "the silent voter may be restarting"
     );
     assert_eq!(
         settled_voters(4, 1, &[(4, 2000)], &[]),
         [1, 2, 3],
-        "the majority becomes two"
+        "removal lowers the majority to two"
     );
     assert_eq!(
         settled_voters(4, 1, &[(3, 2000), (4, 2000)], &[]),
         [1, 2, 3, 4],
-        "a minority decides nothing"
+        "the responding voters are not a majority"
     );
     assert_eq!(
         settled_voters(3, 1, &[(3, 29_999)], &[]),
         [1, 2, 3],
-        "it may come back and help"
+        "the voter may return and restore the tolerance"
     );
     assert_eq!(
         settled_voters(3, 1, &[(3, 99_999)], &[]),
         [1, 2, 3],
-        "two tolerate no loss"
+        "two voters tolerate no loss"
     );
     assert_eq!(
         settled_voters(5, 1, &[(5, 29_999)], &[]),
         [1, 2, 3, 4, 5],
-        "nothing is gained"
+        "removal does not lower the majority"
     );
     assert_eq!(
         settled_voters(5, 1, &[(5, 30_000)], &[]),
         [1, 2, 3, 4],
-        "it does not come back"
+        "the voter counts as lost for good"
     );
     assert_eq!(
         settled_voters(5, 1, &[(4, 2000), (5, 2000)], &[]),
         [1, 2, 3],
-        "two at once do"
+        "removing both lowers the majority"
     );
     assert_eq!(
         settled_voters(6, 2, &[(5, 2000), (6, 2500)], &[]),
@@ -162,29 +170,29 @@
     assert_eq!(
         settled_voters(3, 1, &[(3, 2000)], &[7]),
         [1, 2, 7],
-        "replaced"
+        "the learner replaces the silent voter"
     );
     assert_eq!(
         settled_voters(4, 1, &[(4, 1500)], &[7]),
         [1, 2, 3, 4, 7],
-        "one more does not raise the majority"
+        "a fifth voter does not raise the majority"
     );
     assert_eq!(
         settled_voters(3, 1, &[(3, 1500)], &[7]),
         [1, 2, 3],
-        "not before 3 is removed"
+        "no promotion before voter 3 is removed"
     );
     assert_eq!(
         settled_voters(3, 1, &[(7, 1500)], &[7]),
         [1, 2, 3],
-        "it is not in contact itself"
+        "the learner itself is silent"
     );
 }
 
 #[test]
 fn unanswered_members_are_not_in_contact() {
-    // Beside seven voters, three of them just lost, two learners were once made voters in the first
-    // second.
+    // With seven voters, three of which had just been lost, two learners were once promoted within
+    // the first second.
     let mut case = Case {
         voters: 3,
         learners: vec![7],
@@ -194,7 +202,7 @@
     assert_eq!(
         case.next_members(&case.members(), 1),
         None,
-        "3 may be lost as well"
+        "voter 3 may be lost as well"
     );
     case.unanswered.clear();
     assert_eq!(ids(&case.settled_members(1).voters), [1, 2, 3, 7]);
--- a/crates/raft/tests/consensus/quorum_contact.rs
+++ b/crates/raft/tests/consensus/quorum_contact.rs
@@ -1,5 +1,5 @@
-//! What a member may take for known of what was acknowledged elsewhere while it, or its leader, was
-//! frozen.
+//! Tests that quorum contact and reads stay correct while a member or its leader is frozen: a
+//! member must not claim to know entries that were acknowledged elsewhere in the meantime.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,25 +13,25 @@
 const MESSAGE_DELAY_MS: u64 = 20;
 const PROPOSE_INTERVAL_MS: u64 = 100;
 
-/// Members whose disks sync at once and whose processes can be frozen.
+/// A cluster whose disks sync at once and whose processes can be frozen.
 struct Cluster {
     rng: Rand64,
     now: u64,
     nodes: Vec<RaftNode>,
-    /// Messages by the time at which they arrive.
+    /// Messages with their arrival times.
     in_flight: Vec<(u64, Message)>,
     frozen: BTreeSet<usize>,
-    /// Pairs that do not reach each other, the smaller first.
+    /// Pairs of members that cannot reach each other, the smaller index first.
     partitions: BTreeSet<(usize, usize)>,
-    /// Whether the leader is given an entry every now and then.
+    /// Whether an entry is proposed every `PROPOSE_INTERVAL_MS`.
     has_proposals: bool,
-    /// When the last acknowledged index rose, and to what.
+    /// The time and the new value of each rise of the acknowledged index.
     acknowledged_history: Vec<(u64, u64)>,
-    /// What was acknowledged when each read was requested, by token.
+    /// The acknowledged index when each pending read was requested, by token.
     reads: BTreeMap<u64, u64>,
-    /// The quorum contact of each member.
+    /// The time as of which each member was last in quorum contact.
     contacts: Vec<Option<u64>>,
-    /// How often the contact of a member moved on.
+    /// The number of times that a member's contact time advanced.
     contact_advances: usize,
 }
 
@@ -73,14 +73,14 @@
         last.map_or(0, |(_, index)| *index)
     }
 
-    /// Neither `i` nor the members other than `kept` reach each other.
+    /// Cuts the links between `i` and all members other than `kept`.
     fn partition(&mut self, i: usize, kept: [usize; 2]) {
         let others = (0..CLUSTER_SIZE).filter(|other| !kept.contains(other));
         let pairs = others.map(|other| (other.min(i), other.max(i)));
         self.partitions.extend(pairs);
     }
 
-    /// Requests contact and a read at a member.
+    /// Requests quorum contact and a read at a member.
     fn request_contact_and_read(&mut self, i: usize) {
         let token = self.rng.rand_u64();
         let acknowledged = self.acknowledged();
@@ -102,7 +102,8 @@
             .into_iter()
             .partition(|(at, m)| *at <= now && !frozen.contains(&index_of(m.to)));
         self.in_flight = later;
-        // What waited at a frozen process is read in any order: it came on several connections.
+        // Messages that waited at a frozen process are read in any order, since they arrived on
+        // several connections.
         due.sort_by_cached_key(|_| self.rng.rand_u64());
         for (_, message) in due {
             let to = index_of(message.to);
@@ -139,7 +140,7 @@
                 let before = self.reads.remove(&token).expect("requested once");
                 assert!(
                     index.is_none_or(|index| index >= before),
-                    "read {index:?} of {before}"
+                    "a read returned index {index:?}, but {before} was acknowledged before the request"
                 );
             }
             if ready.persist_requests.is_empty() {
@@ -149,8 +150,7 @@
         self.check_contact(i);
     }
 
-    /// A member has applied all that was acknowledged before the moment up to which it is in
-    /// contact.
+    /// Checks that a member has committed all entries acknowledged before its contact time.
     fn check_contact(&mut self, i: usize) {
         let contact = self.nodes[i].quorum_contact_at();
         let history = &self.acknowledged_history;
@@ -159,28 +159,29 @@
         let commit_index = self.nodes[i].status().commit_index;
         assert!(
             commit_index >= covered,
-            "{commit_index} passes for {covered}, up to {contact:?}"
+            "in quorum contact as of {contact:?} with commit index {commit_index}, but {covered} was \
+             acknowledged before"
         );
         self.contact_advances += usize::from(contact > self.contacts[i]);
         self.contacts[i] = contact;
     }
 }
 
-/// The leader is frozen while the others elect another one; a follower that is cut off from them
-/// goes on asking it. What it responds when it thaws must not pass for what is acknowledged by
-/// then.
+/// The leader is frozen while the other members elect another one, and a follower that is cut off
+/// from them keeps sending requests to the old leader. The responses that the old leader sends once
+/// it thaws must not count as contact as of then, since others have acknowledged more entries.
 #[test]
 fn frozen_leader_proves_no_later_contact() {
     let mut advances = 0;
     for seed in 0..60 {
         let mut cluster = Cluster::new(seed);
-        let old_leader = cluster.leader().expect("one leads");
+        let old_leader = cluster.leader().expect("a leader");
         let follower = (old_leader + 1) % CLUSTER_SIZE;
         let kept = [old_leader, follower];
         cluster.partition(follower, kept);
         let thaws_at = cluster.now + 1200 + cluster.rng.rand_range(0..1200);
         cluster.frozen.insert(old_leader);
-        // The responses to its last broadcast arrive; nobody tells it of the new leader.
+        // Responses to its last broadcast still arrive, but no message about the new leader.
         cluster.steps(2 * MESSAGE_DELAY_MS / STEP_MS);
         cluster.partition(old_leader, kept);
         while cluster.now < thaws_at {
@@ -194,19 +195,20 @@
         cluster.steps(300);
         advances += cluster.contact_advances - before;
     }
-    assert!(advances > 0, "nobody was in contact again");
+    assert!(advances > 0, "no member regained quorum contact");
 }
 
-/// A follower is frozen with the leader's responses in its queue, while more is acknowledged.
+/// A follower is frozen with the leader's responses in its queue while more entries are
+/// acknowledged. Its contact must be dated by its request, not by the time it reads the response.
 #[test]
 fn frozen_follower_dates_contact_by_its_request() {
     let mut advances = 0;
     for seed in 0..20 {
         let mut cluster = Cluster::new(seed);
-        let follower = (cluster.leader().expect("one leads") + 1) % CLUSTER_SIZE;
+        let follower = (cluster.leader().expect("a leader") + 1) % CLUSTER_SIZE;
         for _ in 0..4 {
             cluster.request_contact_and_read(follower);
-            // The leader's response is on its way, or comes while the follower is frozen.
+            // The leader's response is in flight or arrives while the follower is frozen.
             let steps = cluster.rng.rand_range(0..4);
             cluster.steps(steps);
             cluster.frozen.insert(follower);
@@ -217,21 +219,21 @@
             advances += usize::from(cluster.contacts[follower] > before);
         }
     }
-    assert!(advances > 0, "no response was taken");
+    assert!(advances > 0, "no response advanced the contact time");
 }
 
-/// However many reads are requested at once, at however many members: a broadcast or two confirms
-/// them all.
+/// One or two broadcasts confirm all reads that are requested at once, regardless of their number
+/// and of the members that request them.
 #[test]
 fn many_reads_share_two_broadcasts() {
     let mut cluster = Cluster::new(7);
-    let leader = cluster.leader().expect("one leads");
+    let leader = cluster.leader().expect("a leader");
     cluster.has_proposals = false;
     cluster.steps(20);
     let before = cluster.in_flight.len();
     (0..40).for_each(|n| cluster.request_contact_and_read(n % CLUSTER_SIZE));
     let sent = cluster.in_flight.len() - before;
-    // Each follower has one read request under way and eight for contact; the leader begins one
+    // Each follower sends one read request and eight contact requests, and the leader starts one
     // broadcast.
     assert!(
         sent <= (CLUSTER_SIZE - 1) * 10 + 2 * CLUSTER_SIZE,
@@ -246,8 +248,8 @@
             MessageBody::AppendEntries(AppendEntries { sequence, .. }) => Some(sequence),
             _ => None,
         }));
-        assert!(cluster.now < 10_000, "not all were served");
+        assert!(cluster.now < 10_000, "not all reads were served");
     }
-    // One broadcast may be under way already, and a heartbeat may fall due.
-    assert!(sequences.len() <= 4, "{sequences:?}");
+    // One broadcast may already be in progress, and a heartbeat may fall due.
+    assert!(sequences.len() <= 4, "broadcasts {sequences:?}");
 }
--- a/crates/raft/tests/consensus/simulation.rs
+++ b/crates/raft/tests/consensus/simulation.rs
@@ -1,6 +1,5 @@
-//! Random schedules: whatever the network, the processes and the disks do, nothing that was
-//! acknowledged is lost, one leader leads a term, no read is older than what was acknowledged
-//! before it, and a member in quorum contact has applied what was acknowledged by then.
+//! Runs random schedules of network, process and disk faults. The invariants of [`Cluster`] must
+//! hold throughout, and no acknowledged entry may be lost.
 
 use std::panic::{AssertUnwindSafe, catch_unwind, resume_unwind};
 
@@ -17,11 +16,11 @@
     max_delay_ms: 60,
     loss_one_in: Some(20),
 };
-/// The size of a snapshot: it is sent in several chunks.
+/// The size of a snapshot, large enough to be sent in several chunks.
 const STATE_BYTES: usize = 20 << 10;
 
 impl Cluster {
-    /// Something happens to a random machine, and time passes.
+    /// Advances time and applies a random event to a random machine.
     fn step(&mut self, with_wipes: bool) {
         self.now += self.rng.rand_range(0..20);
         let machines = self.machines.len();
@@ -34,7 +33,7 @@
         }
         self.sync(i);
         let joining = self.joining_machines();
-        // A process that thaws may read what has arrived before it looks at its clock.
+        // A process that thaws may read queued messages before it reads its clock.
         let deliver_first = self.random_below(2) == 0;
         if deliver_first {
             self.deliver_messages();
@@ -47,7 +46,7 @@
         self.check_invariants();
     }
 
-    /// What happens to machine `i`, by a random number.
+    /// Applies the event with the given random number to machine `i`.
     fn apply_event(&mut self, event: usize, i: usize, with_wipes: bool) {
         match event {
             0..=3 => {
@@ -81,7 +80,7 @@
                 self.machines[i].frozen_until = self.now + self.rng.rand_range(0..600);
             }
             239..=240 => {
-                // All lose power at once: what is acknowledged is on the disks of a majority.
+                // All machines lose power at once; acknowledged entries are on a majority of disks.
                 (0..self.machines.len()).for_each(|i| self.crash(i));
             }
             _ => {}
@@ -89,7 +88,7 @@
     }
 
     fn propose(&mut self, i: usize) {
-        // Some entries are sent in an append, some in chunks.
+        // Small entries are sent in an append, large ones in chunks.
         let is_large = self.random_below(20) == 0;
         let repeats = if is_large { STATE_BYTES / 8 } else { 1 };
         let data = self.rng.rand_u64().to_be_bytes().repeat(repeats);
@@ -98,7 +97,7 @@
         }
     }
 
-    /// The machines that ask to become members.
+    /// Returns the machines that request to join.
     fn joining_machines(&self) -> Vec<(NodeId, String)> {
         let wants_to_join = |machine: &&Machine| {
             let node = machine.node.as_ref();
@@ -123,7 +122,7 @@
         }
     }
 
-    /// A process is told to end, and ends at once.
+    /// Requests an orderly shutdown of a process and ends it right after.
     fn shut_down(&mut self, i: usize) {
         if let Some(node) = &mut self.machines[i].node {
             node.begin_shutdown();
@@ -132,8 +131,8 @@
         }
     }
 
-    /// Whether all machines are voters, as the leader has committed it: then the loss of one disk
-    /// is tolerated.
+    /// Returns whether all machines are voters in a committed membership. Only then is the loss of
+    /// one disk tolerated.
     fn all_are_voters(&self) -> bool {
         let mut nodes = self.machines.iter().filter_map(|m| m.node.as_ref());
         let Some(leader) = nodes.find(|node| support::is_leader(node)) else {
@@ -147,7 +146,7 @@
             && self.machines.iter().all(is_voter)
     }
 
-    /// With all machines up and connected, a leader has all that was acknowledged, committed.
+    /// Starts and connects all machines, and asserts that a leader commits what was acknowledged.
     fn assert_recovery(&mut self) {
         self.partitions.clear();
         for i in 0..self.machines.len() {
@@ -177,11 +176,11 @@
                 return;
             }
         }
-        panic!("no leader has what was acknowledged up to {wanted}");
+        panic!("no leader committed the acknowledged entries up to {wanted}");
     }
 }
 
-/// Runs one schedule for each seed; a failure names its seed.
+/// Runs one schedule per seed. A failure prints its seed.
 fn run(seeds: std::ops::Range<u64>, steps: usize, with_wipes: bool) {
     let (mut acknowledged, mut reads, mut contacts, mut transfers) = (0, 0, 0, 0);
     for seed in seeds {
@@ -201,13 +200,15 @@
         contacts += cluster.contact_observations;
         transfers += cluster.transfers;
     }
-    // The clusters do make progress: else they would show nothing.
+    // Schedules without progress would prove nothing.
     assert!(
         acknowledged > 0 && reads > 0 && contacts > 0,
-        "{acknowledged} acknowledged, {reads} reads, {contacts} in contact"
+        "{acknowledged} entries acknowledged, {reads} reads served, {contacts} contacts observed"
+    );
+    assert!(transfers > 0, "no transfer in chunks was completed");
+    println!(
+        "{acknowledged} entries acknowledged, {reads} reads served, {contacts} contacts observed"
     );
-    assert!(transfers > 0, "nothing was sent in chunks");
-    println!("{acknowledged} acknowledged, {reads} reads, {contacts} in contact");
 }
 
 #[test]
--- a/crates/raft/tests/consensus/status.rs
+++ b/crates/raft/tests/consensus/status.rs
@@ -1,8 +1,8 @@
-//! What a member reports of itself.
+//! Tests the status that a member reports.
 
 use raft::Role;
 
-/// The control plane's status page shows it, and operators' tools read it.
+/// The control plane's status page shows the role, and operators' tools parse it.
 #[test]
 fn role_text_is_stable() {
     let texts = [
--- a/crates/raft/tests/consensus/support.rs
+++ b/crates/raft/tests/consensus/support.rs
@@ -1,15 +1,15 @@
-//! What the tests share: the timing of the control plane, initial members, and the host's part for
-//! one node.
+//! Helpers shared by the tests: the control plane's timing, initial members, and the host's duties
+//! towards a single node.
 
 use raft::{Members, Message, NodeId, PersistentState, RaftNode, Ready, Role, Snapshot, Timing};
 
-/// As the control process sets it.
+/// The timing that the control process uses.
 pub(crate) const TIMING: Timing = Timing {
     heartbeat_interval_ms: 300,
     election_timeout_ms: 1000,
 };
 
-/// Voters with these ids.
+/// Returns a membership of voters with the given ids.
 pub(crate) fn voters(ids: impl IntoIterator<Item = NodeId>) -> Members {
     Members {
         voters: ids.into_iter().map(|id| (id, id.to_string())).collect(),
@@ -17,7 +17,7 @@
     }
 }
 
-/// What the disk of an initial member holds at its first start.
+/// Returns what the disk of an initial member holds at its first start.
 pub(crate) fn initial_state(members: Members) -> PersistentState {
     PersistentState {
         snapshot: Some(Snapshot::initial(members)),
@@ -25,20 +25,20 @@
     }
 }
 
-/// A node that starts with the state of its disk.
+/// Starts a node from the state on its disk.
 pub(crate) fn start_node(id: NodeId, seed: u64, stored: PersistentState) -> RaftNode {
     RaftNode::new(id, TIMING, seed, stored, Members::default())
 }
 
-/// The disk of a node syncs all that `ready` asks for.
+/// Reports every persist request in `ready` as synced.
 pub(crate) fn sync(node: &mut RaftNode, ready: &Ready) {
     for request in &ready.persist_requests {
         node.on_persisted(request.sequence);
     }
 }
 
-/// Carries out what a node asks for until it asks for no sync, with a disk that syncs at once. All
-/// its messages.
+/// Processes a node's output until it requests no further sync, with a disk that syncs at once.
+/// Returns all messages that the node sent.
 pub(crate) fn sync_all(node: &mut RaftNode) -> Vec<Message> {
     let mut messages = Vec::new();
     loop {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Whether a node leads.
+/// Returns whether a node is the leader.
 pub(crate) fn is_leader(node: &RaftNode) -> bool {
     node.status().role == Role::Leader
 }
--- a/crates/raft/tests/model.rs
+++ b/crates/raft/tests/model.rs
@@ -1,23 +1,23 @@
-//! The rules of the log with changes of the members, explored exhaustively: three members, a spare
-//! machine and two changes, with any order of elections, replications and commits, up to two terms
-//! and four entries.
+//! Explores a model of log replication with membership changes exhaustively: three members, a spare
+//! node and two membership changes, with every order of elections, replications and commits, up to
+//! two terms and four entries.
 //!
-//! It is a model of the rules, not of the code: a request and its response are one step, and
-//! pre-votes, timeouts and snapshots are left out, since they decide when something happens, not
-//! whether it may. The code itself runs in `consensus`.
+//! It models the protocol's rules, not the implementation: a request and its response are one step,
+//! and pre-votes, timeouts and snapshots are omitted because they affect when a step happens, not
+//! whether it is allowed. The tests in `consensus` run the implementation.
 
 use stateright::{Checker, Model, Property};
 
 const MAX_TERMS: u8 = 2;
 const MAX_ENTRIES: usize = 4;
 const MAX_CHANGES: usize = 2;
-/// One bit for each node.
+/// The initial voters, one bit per node.
 const INITIAL_VOTERS: u8 = 0b0111;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Payload {
     Empty,
-    /// The voters from here on, one bit each.
+    /// Sets the voters, one bit per node.
     Voters(u8),
 }
 
@@ -34,7 +34,7 @@
     is_leader: bool,
     log: Vec<Entry>,
     commit_index: usize,
-    /// While it leads, how many entries each node has.
+    /// On a leader, the number of its entries that each node has.
     match_index: Vec<usize>,
 }
 
@@ -55,7 +55,7 @@
         (nodes & self.voters()).count_ones() * 2 > self.voters().count_ones()
     }
 
-    /// Term and index of the last entry.
+    /// Returns the term and index of the last entry.
     fn last_position(&self) -> (u8, usize) {
         (self.log.last().map_or(0, |e| e.term), self.log.len())
     }
@@ -64,8 +64,7 @@
         if term > self.term {
             (self.term, self.voted_for) = (term, None);
         }
-        // A node that does not lead needs no commit here: what was committed is kept beside the
-        // nodes.
+        // Only a leader's commit index matters, since `Cluster` records the committed entries.
         (self.is_leader, self.match_index, self.commit_index) = (false, Vec::new(), 0);
     }
 }
@@ -73,24 +72,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Cluster {
     nodes: Vec<Node>,
-    /// All that was committed by any leader.
+    /// The entries committed by any leader.
     committed: Vec<Entry>,
-    /// Two leaders have committed different entries at one index.
+    /// Whether two leaders have committed different entries at one index.
     diverged: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    /// A node is elected by these.
+    /// A node is elected with the votes of a set of nodes, one bit each.
     Elect(usize, u8),
-    /// A leader adds or removes one voter.
+    /// A leader (first) adds or removes one voter.
     Change(usize, usize),
-    /// A leader replicates its log to another node.
+    /// A leader (first) replicates its log to another node.
     Replicate(usize, usize),
+    /// A leader commits the entries that a majority has.
     Commit(usize),
 }
 
-/// The rules; each can be left out, to see that the exploration finds what that breaks.
+/// The rules of the model. Each can be disabled to check that the exploration finds a violation.
 #[derive(Clone)]
 struct Rules {
     nodes: usize,
@@ -125,7 +125,7 @@
         changes < MAX_CHANGES && (!self.single_pending_change || (has_own_commit && !has_pending))
     }
 
-    /// The elections that node `id` may win, each by as few votes as needed.
+    /// Adds the elections that node `id` can win, each with the smallest possible majority.
     fn elections(&self, cluster: &Cluster, id: usize, actions: &mut Vec<Action>) {
         let candidate = &cluster.nodes[id];
         let votes = |nodes: u8| (0..self.nodes).filter(move |n| nodes & (1 << n) != 0);
@@ -150,7 +150,7 @@
         }
     }
 
-    /// The leader of the latest term.
+    /// Returns the leader of the latest term.
     fn leader(&self) -> Option<&Node> {
         self.nodes
             .iter()
@@ -248,7 +248,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one leader a term", |_, cluster: &Cluster| {
+            Property::always("at most one leader per term", |_, cluster: &Cluster| {
                 let mut terms: Vec<u8> = cluster
                     .nodes
                     .iter()
@@ -261,11 +261,11 @@
                 terms.len() == leaders
             }),
             Property::always(
-                "one entry is committed at an index",
+                "at most one entry is committed at each index",
                 |_, cluster: &Cluster| !cluster.diverged,
             ),
             Property::always(
-                "the latest leader has what was committed",
+                "the latest leader has all committed entries",
                 |_, cluster: &Cluster| {
                     cluster.leader().is_none_or(|leader| {
                         let latest = cluster
@@ -284,44 +284,50 @@
     }
 }
 
-/// The properties that are violated, and the number of states explored.
+/// Explores the model. Returns the violated properties and the number of states explored.
 fn explore(rules: Rules) -> (Vec<&'static str>, usize) {
     let checker = rules.checker().threads(2).spawn_bfs().join();
     let expected = "both changes are committed";
-    let broken = checker
+    let violated = checker
         .discoveries()
         .into_keys()
         .filter(|name| *name != expected)
         .collect();
     assert!(
         checker.discovery(expected).is_some(),
-        "nothing was explored"
+        "the exploration never committed both changes"
     );
     println!(
         "{} states, depth {}",
         checker.unique_state_count(),
         checker.max_depth()
     );
-    (broken, checker.unique_state_count())
+    (violated, checker.unique_state_count())
 }
 
 #[test]
 fn rules_hold_in_every_order() {
-    let (broken, states) = explore(RULES);
-    assert!(broken.is_empty(), "{broken:?}");
+    let (violated, states) = explore(RULES);
+    assert!(violated.is_empty(), "{violated:?}");
     assert!(states > 10_000, "{states} states");
 }
 
 #[test]
 fn exploration_finds_missing_rules() {
-    let (broken, _) = explore(Rules {
+    let (violated, _) = explore(Rules {
         single_pending_change: false,
         ..RULES
     });
-    assert!(!broken.is_empty(), "two changes at a time");
-    let (broken, _) = explore(Rules {
+    assert!(
+        !violated.is_empty(),
+        "the exploration missed the effect of two pending changes"
+    );
+    let (violated, _) = explore(Rules {
         vote_only_for_up_to_date_logs: false,
         ..RULES
     });
-    assert!(!broken.is_empty(), "votes for older logs");
+    assert!(
+        !violated.is_empty(),
+        "the exploration missed the effect of votes for outdated logs"
+    );
 }
