--- a/crates/control-plane/tests/common/balancers.rs
+++ b/crates/control-plane/tests/common/balancers.rs
@@ -1,6 +1,7 @@
-//! Data-plane balancers that keep sessions with the control servers of a [`Cluster`]: what they were sent, and when.
+//! Simulated data-plane balancers that keep sessions with the control servers of a [`Cluster`] and record the
+//! configurations they receive.
 
-use std::cell::{Cell as Plain, RefCell};
+use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,29 +18,29 @@
 
 use super::{Cluster, DISKLESS, VOTERS, settings, spawn};
 
-/// Until a connection is up.
+/// How long it takes to establish a connection.
 const CONNECT_TIME: Duration = Duration::from_millis(30);
 
-/// A configuration that a balancer was sent.
+/// A configuration that a balancer has received.
 pub(crate) struct ReceivedConfig {
-    /// Where it stands in the log.
+    /// Its index in the log.
     pub(crate) index: u64,
-    /// What tells it apart.
+    /// The text fragment by which the tests identify it.
     pub(crate) text: String,
 }
 
-/// What a balancer has, and the configurations that it was sent.
+/// The state of a simulated balancer.
 pub(crate) struct SimulatedBalancer {
     pub(crate) node: String,
     pub(crate) received: RefCell<Vec<ReceivedConfig>>,
-    pub(crate) fleet_size: Plain<u32>,
+    pub(crate) fleet_size: Cell<u32>,
     /// The servers that it dialled, in order.
     pub(crate) dialled: RefCell<Vec<usize>>,
     changes: ChangeNotifier,
 }
 
 impl SimulatedBalancer {
-    /// The index of the configuration that it has; 0 for none: it is not ready.
+    /// Returns the index of the current configuration, or 0 if there is none and the balancer is not ready.
     pub(crate) fn config(&self) -> u64 {
         self.received
             .borrow()
@@ -47,7 +48,7 @@
             .map_or(0, |received| received.index)
     }
 
-    /// Whether the configuration that it has contains this.
+    /// Returns whether the current configuration contains the text.
     pub(crate) fn has(&self, text: &str) -> bool {
         self.received
             .borrow()
@@ -58,26 +59,29 @@
 
 impl UpdateHandler for SimulatedBalancer {
     fn watch_request(&self) -> WatchRequest {
-        let bank = Some(FleetView {
+        let fleet = Some(FleetView {
             balancers: self.fleet_size.get(),
             position: 0,
         });
-        let bank = bank.filter(|bank| bank.balancers > 0);
+        let fleet = fleet.filter(|fleet| fleet.balancers > 0);
         WatchRequest {
             config_index: self.config(),
             ready: self.config() > 0,
-            fleet: bank,
+            fleet,
             ..WatchRequest::default()
         }
     }
 
-    fn handle_update(&self, news: &WatchUpdate) -> bool {
+    fn handle_update(&self, update: &WatchUpdate) -> bool {
         if let Some(Indexed {
             index,
             value: config,
-        }) = &news.config
+        }) = &update.config
         {
-            assert!(!news.out_of_contact, "told without contact");
+            assert!(
+                !update.out_of_contact,
+                "a server out of contact sent a configuration"
+            );
             if *index > self.config() {
                 let config = config.to_config();
                 let target = config.routes.first().map_or(0, |route| route.target_ms);
@@ -95,8 +99,8 @@
         KeyLoadReport::new()
     }
 
-    fn handle_fleet_view(&self, bank: FleetView) {
-        self.fleet_size.set(bank.balancers);
+    fn handle_fleet_view(&self, fleet: FleetView) {
+        self.fleet_size.set(fleet.balancers);
     }
 
     fn watch_changes(&self) -> ChangeWatcher {
@@ -108,17 +112,17 @@
     }
 }
 
-/// The servers that a balancer may dial.
+/// Returns the servers that a balancer may dial.
 fn dialable_servers() -> impl Iterator<Item = usize> {
     (0..VOTERS).chain([DISKLESS])
 }
 
-/// The network as one balancer sees it.
+/// The network as seen by one balancer.
 struct BalancerNetwork {
     cluster: Rc<Cluster>,
     balancer: Rc<SimulatedBalancer>,
-    /// The servers that it reaches.
-    reaches: Vec<usize>,
+    /// The servers that the balancer can reach.
+    reachable: Vec<usize>,
 }
 
 impl Network for BalancerNetwork {
@@ -129,7 +133,11 @@
             .find(|i| settings(*i).internal_addr() == at)
             .ok_or(io::ErrorKind::NotFound)?;
         self.balancer.dialled.borrow_mut().push(i);
-        let Some(server) = self.cluster.server(i).filter(|_| self.reaches.contains(&i)) else {
+        let Some(server) = self
+            .cluster
+            .server(i)
+            .filter(|_| self.reachable.contains(&i))
+        else {
             sleep(CONNECT_TIMEOUT).await;
             return Err(io::ErrorKind::TimedOut.into());
         };
@@ -142,33 +150,37 @@
     }
 }
 
-/// Starts a balancer that dials `first`, in that order, before any other server, and reaches `reaches`.
+/// Starts a balancer that can reach the servers in `reachable` and dials those in `first` before any other, in that
+/// order.
 pub(crate) fn balancer(
     cluster: &Rc<Cluster>,
     name: &str,
     first: &[usize],
-    reaches: &[usize],
+    reachable: &[usize],
 ) -> (Rc<SimulatedBalancer>, AbortOnDrop) {
-    // Servers are dialled in an order of each balancer's own, by its name: one is looked for that has the wanted order.
+    // Each balancer dials the servers in an order derived from its name, so a name with the wanted order is searched.
     let at = |i: usize| settings(i).internal_addr();
-    let place =
+    let rank =
         |node: &str, i: usize| load_balancing::settings::stable_hash(&format!("{}{node}", at(i)));
-    let chosen = |node: &String| {
+    let has_wanted_order = |node: &String| {
         let mut order: Vec<usize> = (0..VOTERS).collect();
-        order.sort_by_key(|i| place(node, *i));
+        order.sort_by_key(|i| rank(node, *i));
         order.starts_with(first)
     };
     let named = |n: u32| format!("{name}-{n}");
-    let node = (0..).map(named).find(chosen).expect("some name");
+    let node = (0..)
+        .map(named)
+        .find(has_wanted_order)
+        .expect("a name with the wanted order");
     let balancer = Rc::new(SimulatedBalancer {
         node: node.clone(),
         received: RefCell::default(),
-        fleet_size: Plain::new(0),
+        fleet_size: Cell::new(0),
         dialled: RefCell::default(),
         changes: ChangeNotifier::default(),
     });
     let (zone, region, http) = ("a".into(), "r".into(), at(first[0]));
-    let me = Balancer {
+    let identity = Balancer {
         node,
         zone,
         region,
@@ -177,25 +189,25 @@
     let network = BalancerNetwork {
         cluster: cluster.clone(),
         balancer: balancer.clone(),
-        reaches: reaches.to_vec(),
+        reachable: reachable.to_vec(),
     };
-    let client = ControlClient::with_network(network, me, balancer.clone());
+    let client = ControlClient::with_network(network, identity, balancer.clone());
     client.add_seeds(
         dialable_servers()
-            .filter(|i| *i < VOTERS || reaches.contains(i))
+            .filter(|i| *i < VOTERS || reachable.contains(i))
             .map(at),
     );
     (balancer, spawn(client.run()))
 }
 
-/// Waits until `holds`, for `within` at most. Returns whether it came to that.
-pub(crate) async fn wait_until(within: Duration, holds: impl Fn() -> bool) -> bool {
+/// Waits until the condition holds, but no longer than `within`. Returns whether it holds.
+pub(crate) async fn wait_until(within: Duration, condition: impl Fn() -> bool) -> bool {
     let end = Instant::now() + within;
     while Instant::now() < end {
-        if holds() {
+        if condition() {
             return true;
         }
         sleep(Duration::from_millis(10)).await;
     }
-    holds()
+    condition()
 }
--- a/crates/control-plane/tests/common/freezer.rs
+++ b/crates/control-plane/tests/common/freezer.rs
@@ -1,6 +1,6 @@
-//! Processes that stand still while time goes on: their tasks are kept and not polled.
+//! Simulates processes that freeze while time goes on: their tasks are kept but not polled.
 
-use std::cell::Cell as Plain;
+use std::cell::Cell;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
@@ -10,10 +10,10 @@
 
 type Task = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Holds a process's tasks, and stops them.
+/// Spawns the tasks of a process and can freeze them.
 #[derive(Clone)]
 pub(crate) struct Freezer {
-    frozen: Rc<Plain<bool>>,
+    frozen: Rc<Cell<bool>>,
     changed: Rc<Notify>,
     tasks: mpsc::UnboundedSender<Task>,
 }
@@ -25,10 +25,10 @@
 }
 
 impl Freezer {
-    /// A freezer, and the future that runs its tasks; dropped, it ends them.
+    /// Returns a freezer and the future that runs its tasks. Dropping the future ends the tasks.
     pub(crate) fn new() -> (Self, impl Future<Output = ()>) {
         let (tasks, mut spawned) = mpsc::unbounded_channel::<Task>();
-        let (frozen, changed) = (Rc::new(Plain::new(false)), Rc::new(Notify::new()));
+        let (frozen, changed) = (Rc::new(Cell::new(false)), Rc::new(Notify::new()));
         let set = LocalSet::new();
         set.spawn_local(async move {
             while let Some(task) = spawned.recv().await {
@@ -43,7 +43,7 @@
         let run = async move {
             tokio::pin!(running);
             loop {
-                // A change has it looked at again; what is frozen is not run.
+                // A change of `frozen` polls the tasks again, which run unless they are frozen.
                 tokio::select! {
                     () = &mut running => return,
                     () = wakes.notified() => {}
@@ -69,8 +69,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Waits while it is frozen.
-    pub(crate) async fn running(&self) {
+    /// Waits until the process is not frozen.
+    pub(crate) async fn wait_until_running(&self) {
         while self.frozen.get() {
             self.changed.notified().await;
         }
@@ -79,7 +79,7 @@
 
 struct RunningTasks {
     set: LocalSet,
-    frozen: Rc<Plain<bool>>,
+    frozen: Rc<Cell<bool>>,
 }
 
 impl Future for RunningTasks {
--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! A simulated cluster: real control servers over a seeded network and disks that sync, on paused time. Shared by the
-//! tests of several control processes.
-#![allow(dead_code, reason = "no test program uses all of it")]
+//! A simulated cluster of real control servers with a simulated network and disks, on paused time. Shared by the tests
+//! that run several control servers.
+#![allow(dead_code, reason = "no test program uses all helpers")]
 
 pub(crate) mod balancers;
 mod freezer;
 
-use std::cell::{Cell as Plain, RefCell};
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -25,21 +25,21 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Voters of a cluster made by [`Cluster::new`].
+/// The number of voters in a cluster made by [`Cluster::new`].
 pub(crate) const VOTERS: usize = 5;
-/// A further control server, without a disk; not started at first.
+/// The index of a control server without a disk, which is not started initially.
 pub(crate) const DISKLESS: usize = 20;
 const MAX_SERVERS: usize = DISKLESS + 1;
-/// How long a server may take over a command.
+/// How long a server may take to answer a command.
 pub(crate) const COMMAND_TIMEOUT: Duration = Duration::from_millis(950);
-/// How long a write takes to be synced.
+/// The interval at which a disk syncs what was written.
 const SYNC_TIME: Duration = Duration::from_millis(2);
-/// A link without a message for so long looks whether the connection has to come up anew.
+/// After this time without a message, a link checks whether its connection must be re-established.
 const LINK_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A caller pauses for so long between two tries.
-const CALLER_PAUSE: Duration = Duration::from_millis(40);
+/// How long a caller waits between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// Runs a test on a thread of its own time, which passes at once where everything waits.
+/// Runs a test on a runtime with paused time, which advances at once when all tasks are waiting.
 pub(crate) fn run_on_paused_time<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -49,7 +49,7 @@
     LocalSet::new().block_on(&runtime, test)
 }
 
-/// The settings of server `i`.
+/// Returns the settings of server `i`.
 pub(crate) fn settings(i: usize) -> Settings {
     let ip = format!("10.0.0.{}", i + 1);
     let disk = if i == DISKLESS {
@@ -62,13 +62,13 @@
             "seeds": ["10.0.0.1:70"], "listen": {{"ctl": "{ip}:70"}},
             "port_range": [7000, 7010]{disk}}}"#
     );
-    Settings::parse(Path::new("boot.json"), text.as_bytes()).expect("good")
+    Settings::parse(Path::new("boot.json"), text.as_bytes()).expect("valid settings")
 }
 
-/// How long a message takes from one server to another.
+/// Returns the delay of a message from one server to another.
 type Delay = Box<dyn Fn(usize, usize) -> Duration>;
 
-/// The cluster, its disks and what connects it.
+/// Control servers with their disks and the network between them.
 pub(crate) struct Cluster {
     pub(crate) size: usize,
     first_id: NodeId,
@@ -77,13 +77,13 @@
     stored: RefCell<Vec<PersistentState>>,
     tasks: RefCell<Vec<Vec<AbortOnDrop>>>,
     freezers: RefCell<Vec<Freezer>>,
-    /// Ordered pairs that do not reach each other.
+    /// Pairs `(from, to)` of servers between which messages are dropped.
     pub(crate) blocked_links: RefCell<BTreeSet<(usize, usize)>>,
-    /// Changes with every healed cut and restart: connections come up anew.
-    pub(crate) connection_epoch: Plain<u64>,
+    /// Incremented whenever a partition heals or a server starts, so that connections are re-established.
+    pub(crate) connection_epoch: Cell<u64>,
 }
 
-/// A message on its way, or nothing but a look at the connection.
+/// A message in flight, or only a check of the connection if there is no message.
 struct InFlight {
     arrives_at: Instant,
     message: Option<PeerMessage>,
@@ -101,12 +101,12 @@
 }
 
 impl Cluster {
-    /// A cluster of the usual size in one place.
+    /// Starts a cluster of the default size in one location.
     pub(crate) fn new() -> Rc<Self> {
         Self::with_delays(VOTERS, 1, Box::new(|_, _| Duration::from_millis(3)))
     }
 
-    /// A cluster of so many voters, with ids from `first_id` on, and these delays between them.
+    /// Starts a cluster of `size` voters with ids from `first_id` on and the given message delays.
     pub(crate) fn with_delays(size: usize, first_id: NodeId, delay: Delay) -> Rc<Self> {
         let address = |i: usize| settings(i).internal_addr().to_string();
         let voters = (0..size)
@@ -129,13 +129,13 @@
             tasks: RefCell::new((0..MAX_SERVERS).map(|_| Vec::new()).collect()),
             freezers: RefCell::new((0..MAX_SERVERS).map(|_| Freezer::default()).collect()),
             blocked_links: RefCell::default(),
-            connection_epoch: Plain::new(0),
+            connection_epoch: Cell::new(0),
         });
         (0..size).for_each(|i| cluster.start(i));
         cluster
     }
 
-    /// Starts a server on its disk.
+    /// Starts a server from the state on its disk.
     pub(crate) fn start(self: &Rc<Self>, i: usize) {
         let (to_disk, disk_requests) = disk::channel();
         let (dial, mut dial_requests) = mpsc::unbounded_channel::<DialRequest>();
@@ -167,7 +167,7 @@
         self.tasks.borrow_mut()[i] = vec![spawn(running), dials];
     }
 
-    /// The disk of server `i`.
+    /// Runs the disk of server `i`.
     async fn run_disk(
         self: Rc<Self>,
         i: usize,
@@ -189,21 +189,21 @@
         }
     }
 
-    /// A server's process stands still, or goes on; what arrives meanwhile waits.
+    /// Freezes or resumes a server's process. Messages that arrive while it is frozen wait.
     pub(crate) fn freeze(&self, i: usize, frozen: bool) {
         self.freezers.borrow()[i].freeze(frozen);
     }
 
-    /// Cuts a server off from all others, or joins it again.
-    pub(crate) fn isolate(&self, i: usize, cut: bool) {
-        self.split(&[i], cut);
+    /// Disconnects a server from all others, or reconnects it.
+    pub(crate) fn isolate(&self, i: usize, disconnect: bool) {
+        self.split(&[i], disconnect);
     }
 
-    /// Cuts these servers off from the others, or joins them again.
-    pub(crate) fn split(&self, side: &[usize], cut: bool) {
+    /// Disconnects the given servers from the others, or reconnects them.
+    pub(crate) fn split(&self, side: &[usize], disconnect: bool) {
         for other in (0..MAX_SERVERS).filter(|i| !side.contains(i)) {
             for pair in side.iter().flat_map(|i| [(*i, other), (other, *i)]) {
-                if cut {
+                if disconnect {
                     self.blocked_links.borrow_mut().insert(pair);
                 } else {
                     self.blocked_links.borrow_mut().remove(&pair);
@@ -213,22 +213,22 @@
         self.connection_epoch.set(self.connection_epoch.get() + 1);
     }
 
-    /// Ends a server; its disk keeps what was synced.
+    /// Kills a server. Its disk keeps the synced state.
     pub(crate) fn kill(&self, i: usize) {
         self.servers.borrow_mut()[i] = None;
         self.tasks.borrow_mut()[i].clear();
     }
 
-    /// Server `i`, if it is up.
+    /// Returns server `i` if it is up.
     pub(crate) fn server(&self, i: usize) -> Option<Rc<ControlServer>> {
         self.servers.borrow()[i].clone()
     }
 
-    /// Carries what one server sends to another.
+    /// Carries the messages from one server to another.
     async fn send_over_link(self: Rc<Self>, from: usize, mut request: DialRequest) {
         let to = (0..MAX_SERVERS)
             .find(|i| settings(*i).internal_addr() == request.address)
-            .expect("one of them");
+            .expect("the address of a server");
         let (sent, arrivals) = mpsc::unbounded_channel();
         let _deliveries = spawn(self.clone().deliver(from, to, arrivals));
         loop {
@@ -246,7 +246,7 @@
         to: usize,
         mut arrivals: mpsc::UnboundedReceiver<InFlight>,
     ) {
-        // When the connection came up; none while it is down.
+        // The epoch in which the connection was established; none while it is down.
         let mut connected_epoch = None;
         while let Some(InFlight {
             arrives_at,
@@ -255,7 +255,7 @@
         {
             sleep_until(arrives_at).await;
             let freezer = self.freezers.borrow()[to].clone();
-            freezer.running().await;
+            freezer.wait_until_running().await;
             let (Some(sender), Some(receiver)) = (self.server(from), self.server(to)) else {
                 continue;
             };
@@ -277,7 +277,9 @@
         }
     }
 
-    /// Sends an operator's command until there is a definite answer: whether it was acknowledged.
+    /// Sends an operator's command until there is a definite answer or `until` has passed. Returns whether the command
+    /// was acknowledged, or `None` without a definite answer. While links are blocked, only servers in `side` are
+    /// asked.
     pub(crate) async fn submit(
         &self,
         side: &[usize],
@@ -308,7 +310,7 @@
                     next = self.position_of(leader, side).unwrap_or(next);
                 }
             }
-            sleep(CALLER_PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
         None
     }
@@ -318,13 +320,13 @@
             .position(|i| Some(settings(*i).internal_addr()) == leader)
     }
 
-    /// Who believes that it leads.
+    /// Returns a server that believes it is the leader.
     pub(crate) fn leader(&self) -> Option<usize> {
         (0..self.size).find(|i| self.server(*i).is_some_and(|server| server.is_leader()))
     }
 }
 
-/// A configuration of one route, told apart by its target.
+/// Returns a command that replaces the configuration by one with a single route, identified by its `target_ms`.
 pub(crate) fn change(base: u64, revision: u64, target_ms: u64) -> Command {
     let body = format!(
         r#"{{"rev": {revision}, "services": [{{"name": "s"}}], "routes": [{{"name": "r", "host": "h",
--- a/crates/control-plane/tests/concurrent_changes.rs
+++ b/crates/control-plane/tests/concurrent_changes.rs
@@ -1,6 +1,6 @@
-//! Two operators who change the configuration on top of the same revision, one at each side of a partition, while
-//! leaders die: at most one of them is acknowledged, and what was acknowledged is in force in the end. Real control
-//! servers over a seeded network and disks, on paused time.
+//! Tests two operators who change the configuration on top of the same revision from different sides of a partition
+//! while leaders are killed. At most one change may be acknowledged, and an acknowledged change must be in effect at
+//! the end. Runs real control servers with a simulated network and disks, on paused time.
 
 mod common;
 
@@ -14,26 +14,26 @@
 
 const SEEDS: u64 = 15;
 const RACES_PER_SEED: usize = 6;
-/// The targets of the two changes tell their configurations apart.
+/// The `target_ms` values that identify the configurations of the two changes.
 const FIRST_TARGET_MS: u64 = 10;
 const SECOND_TARGET_MS: u64 = 20;
 
-/// How races ended.
+/// Counts of how the races ended.
 #[derive(Default)]
 struct Tally {
-    /// One of the changes was acknowledged.
+    /// Races in which one of the changes was acknowledged.
     acknowledged: usize,
-    /// Both operators got a definite answer.
-    contested: usize,
+    /// Races in which both operators got a definite answer.
+    decided: usize,
 }
 
-/// The servers at each side of a cut.
+/// The servers on each side of a partition.
 struct Sides {
     left: Vec<usize>,
     right: Vec<usize>,
 }
 
-/// Cuts the cluster in two, with the leader on either side; some cuts are one way only.
+/// Partitions the cluster at random. One in three partitions blocks only one direction.
 fn partition(cluster: &Cluster, rng: &mut Rand64) -> Sides {
     let (mut left, mut right): (Vec<usize>, Vec<usize>) =
         (0..VOTERS).partition(|_| rng.rand_range(0..2) == 0);
@@ -52,9 +52,9 @@
     Sides { left, right }
 }
 
-/// Kills the leader after a while, if it is to die, and heals the cut.
-async fn run_faults(cluster: &Rc<Cluster>, leader_dies_after: Option<Duration>) {
-    if let Some(after) = leader_dies_after {
+/// Kills and restarts the leader after the given delay, if any, and then heals the partition.
+async fn run_faults(cluster: &Rc<Cluster>, kill_leader_after: Option<Duration>) {
+    if let Some(after) = kill_leader_after {
         sleep(after).await;
         if let Some(leader) = cluster.leader() {
             cluster.kill(leader);
@@ -69,7 +69,7 @@
         .set(cluster.connection_epoch.get() + 1);
 }
 
-/// The state that a majority confirms: what was acknowledged is in force in it.
+/// Returns the state that a majority confirms as current, which includes all acknowledged changes.
 async fn read_confirmed_state(cluster: &Cluster) -> ReplicatedState {
     loop {
         sleep(Duration::from_millis(50)).await;
@@ -91,11 +91,11 @@
             sleep(Duration::from_millis(50)).await;
         }
         let Sides { left, right } = partition(&cluster, &mut rng);
-        let leader_dies_after =
+        let kill_leader_after =
             (rng.rand_range(0..2) == 0).then(|| Duration::from_millis(rng.rand_range(0..1500)));
         let wait = Duration::from_millis(rng.rand_range(0..400));
         let until = Instant::now() + Duration::from_secs(10);
-        // The same revision with two contents, or two revisions.
+        // Both changes have the same revision with different contents, or different revisions.
         let (one, other) = (
             change(revision, revision + 2, FIRST_TARGET_MS),
             change(
@@ -111,24 +111,24 @@
         let (first, second, ()) = tokio::join!(
             cluster.submit(&left, &one, until),
             second,
-            run_faults(&cluster, leader_dies_after)
+            run_faults(&cluster, kill_leader_after)
         );
         assert!(
             first != Some(true) || second != Some(true),
             "seed {seed}: both changes on top of revision {revision} were acknowledged"
         );
-        tally.contested += usize::from(first.is_some() && second.is_some());
+        tally.decided += usize::from(first.is_some() && second.is_some());
         tally.acknowledged += usize::from(first == Some(true) || second == Some(true));
         let state = read_confirmed_state(&cluster).await;
         for (acknowledged, target_ms) in [(first, FIRST_TARGET_MS), (second, SECOND_TARGET_MS)] {
-            let is_in_force = state.config.contains(&format!("\"target_ms\":{target_ms}"));
+            let is_in_effect = state.config.contains(&format!("\"target_ms\":{target_ms}"));
             assert!(
-                acknowledged != Some(true) || is_in_force,
-                "seed {seed}: what was acknowledged is gone"
+                acknowledged != Some(true) || is_in_effect,
+                "seed {seed}: an acknowledged change is not in effect"
             );
             assert!(
-                acknowledged != Some(false) || !is_in_force,
-                "seed {seed}: what lost its race is in force"
+                acknowledged != Some(false) || !is_in_effect,
+                "seed {seed}: a rejected change is in effect"
             );
         }
         revision = state.revision;
@@ -142,18 +142,18 @@
     for seed in 0..SEEDS {
         let tally = run_on_paused_time(race(seed));
         all.acknowledged += tally.acknowledged;
-        all.contested += tally.contested;
+        all.decided += tally.decided;
     }
     let Tally {
         acknowledged,
-        contested,
+        decided,
     } = all;
     assert!(
         acknowledged >= 75,
-        "of 90 races only {acknowledged} had a winner"
+        "only {acknowledged} of 90 races had an acknowledged change"
     );
     assert!(
-        contested >= 60,
-        "only {contested} of 90 were decided for both"
+        decided >= 60,
+        "only {decided} of 90 races were decided for both operators"
     );
 }
--- a/crates/control-plane/tests/configuration_messages.rs
+++ b/crates/control-plane/tests/configuration_messages.rs
@@ -1,8 +1,8 @@
-//! Why a configuration is refused, word for word: operators read these texts, and every control balancer has to come
-//! to the same verdict. One case for each rule.
+//! Tests the exact messages for rejected configurations, with one case per rule. Operators read these messages, and
+//! every control server must reach the same result.
 //!
-//! `SHOREFRONT_WRITE_FIXTURES=1 cargo test -p control-plane --test configuration_messages` writes the file anew.
-//! Without the variable a missing file is a failure.
+//! `SHOREFRONT_WRITE_FIXTURES=1 cargo test -p control-plane --test configuration_messages` rewrites the expected files.
+//! Without the variable, a missing file is a failure.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -34,23 +34,23 @@
         "services": [{"name": "s", "warmup_s": 3.0, "warmup_per_s": 4.0}, {"name": "t"}]})
 }
 
-/// A valid configuration in which the value at a JSON pointer is another.
+/// Returns a valid configuration with the value at a JSON pointer replaced.
 fn configuration_with(pointer: &str, value: Value) -> Value {
-    let mut whole = valid_configuration(BASE + 1);
+    let mut configuration = valid_configuration(BASE + 1);
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
-    whole.pointer_mut(parent).expect("a parent")[field] = value;
-    whole
+    configuration.pointer_mut(parent).expect("a parent")[field] = value;
+    configuration
 }
 
 fn configuration_without(pointer: &str) -> Value {
-    let mut whole = valid_configuration(BASE + 1);
+    let mut configuration = valid_configuration(BASE + 1);
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
-    let parent = whole
+    let parent = configuration
         .pointer_mut(parent)
         .and_then(Value::as_object_mut)
         .expect("an object");
     parent.remove(field).expect("a field");
-    whole
+    configuration
 }
 
 type Case = (&'static str, Value);
@@ -134,23 +134,23 @@
 }
 
 #[test]
-fn texts_on_invalid_configurations_are_unchanged() {
+fn messages_for_invalid_configurations_are_unchanged() {
     let mut text = String::new();
-    for (case, whole) in malformed_and_services().into_iter().chain(routes()) {
-        let why = validate(&whole).expect_err(case);
-        let _ = writeln!(text, "{case}: {why}");
+    for (case, configuration) in malformed_and_services().into_iter().chain(routes()) {
+        let reason = validate(&configuration).expect_err(case);
+        let _ = writeln!(text, "{case}: {reason}");
     }
     assert_golden("invalid-configurations.txt", &text);
 }
 
 #[test]
-fn texts_on_invalid_commands_are_unchanged() {
-    let mut agreed = ReplicatedState::default();
+fn messages_for_invalid_commands_are_unchanged() {
+    let mut state = ReplicatedState::default();
     let first = Command::Replace {
         base: 0,
         body: valid_configuration(BASE).to_string(),
     };
-    assert_eq!(agreed.apply(1, &first), CommandOutcome::Applied);
+    assert_eq!(state.apply(1, &first), CommandOutcome::Applied);
     let replace = |body: &str| Command::Replace {
         base: BASE,
         body: body.into(),
@@ -193,9 +193,9 @@
         ),
     ];
     let mut text = String::new();
-    for (case, order) in cases {
-        match agreed.check(&order) {
-            CommandOutcome::Invalid(why) => drop(writeln!(text, "{case}: {why}")),
+    for (case, command) in cases {
+        match state.check(&command) {
+            CommandOutcome::Invalid(reason) => drop(writeln!(text, "{case}: {reason}")),
             other => panic!("{case}: {other:?}"),
         }
     }
--- a/crates/control-plane/tests/configuration_validity.rs
+++ b/crates/control-plane/tests/configuration_validity.rs
@@ -1,6 +1,6 @@
-//! Which configurations are accepted, compared with a second, plain statement of the rules: generated ones in which one
-//! field or two are replaced, as complete configurations and as amendments, sent again, sent late, and on a base that
-//! another change has replaced.
+//! Compares the validation of configurations with an independent implementation of the rules. Up to two fields of a
+//! valid configuration are replaced at random; the result is sent as a complete configuration and as an amendment, sent
+//! again, and sent on top of a base that another change has replaced.
 
 use std::cell::Cell;
 
@@ -33,7 +33,7 @@
         "limits": {"max_header_bytes": 1, "max_body_bytes": 2, "header_timeout_ms": 3, "idle_timeout_ms": 4}})
 }
 
-/// Where a field stands.
+/// JSON pointers to the fields that may be replaced.
 const POINTERS: [&str; 23] = [
     "/rev",
     "/routes",
@@ -60,7 +60,7 @@
     "/services/0/warmup_per_s",
 ];
 
-/// What may stand there instead; `None` for nothing at all.
+/// Returns the replacement values; `None` removes the field.
 fn replacements() -> Vec<Option<Value>> {
     let values = [
         json!(null),
@@ -100,14 +100,14 @@
     values.into_iter().map(Some).chain([None]).collect()
 }
 
-fn replace_at(config: &mut Value, place: &str, other: &Option<Value>) {
-    let Some((parent, field)) = place.rsplit_once('/') else {
+fn replace_at(config: &mut Value, pointer: &str, replacement: &Option<Value>) {
+    let Some((parent, field)) = pointer.rsplit_once('/') else {
         return;
     };
     let Some(parent) = config.pointer_mut(parent) else {
         return;
     };
-    match (parent, field.parse::<usize>(), other) {
+    match (parent, field.parse::<usize>(), replacement) {
         (Value::Object(fields), _, Some(value)) => drop(fields.insert(field.into(), value.clone())),
         (Value::Object(fields), _, None) => drop(fields.remove(field)),
         (Value::Array(items), Ok(at), Some(value)) if at < items.len() => items[at] = value.clone(),
@@ -116,32 +116,32 @@
     }
 }
 
-// ------------------------------------------------------------- the second statement
+// ------------------------------------------- independent implementation of the rules
 
 fn text<'a>(of: &'a Map<String, Value>, field: &str) -> Option<&'a str> {
     of.get(field)?.as_str()
 }
 
-/// A whole number up to `most`; `missing` where there is none.
-fn number(of: &Map<String, Value>, field: &str, most: u64, missing: Option<u64>) -> Option<u64> {
+/// Returns an integer field of at most `max`, or `default` if the field is missing.
+fn number(of: &Map<String, Value>, field: &str, max: u64, default: Option<u64>) -> Option<u64> {
     match of.get(field) {
-        None => missing,
-        Some(value) => value.as_u64().filter(|n| *n <= most),
+        None => default,
+        Some(value) => value.as_u64().filter(|n| *n <= max),
     }
 }
 
 fn valid_service(service: &Value) -> Option<&str> {
     let service = service.as_object()?;
     for field in ["warmup_s", "warmup_per_s"] {
-        let paced = service
+        let is_valid = service
             .get(field)
             .is_none_or(|v| v.as_f64().is_some_and(|v| v >= 0.0));
-        paced.then_some(())?;
+        is_valid.then_some(())?;
     }
     text(service, "name")
 }
 
-/// The services with their weights.
+/// Returns the services of a route with their weights.
 fn weighted_services(route: &Map<String, Value>) -> Option<Vec<(&str, u64)>> {
     let given = |field| route.get(field).filter(|v| !v.is_null());
     match (given("svc"), given("split")) {
@@ -159,14 +159,14 @@
     }
 }
 
-/// The name of a valid route, and its place.
+/// Returns the name of a valid route, and the host and path prefix that identify its requests.
 fn valid_route<'a>(route: &'a Value, services: &[&str]) -> Option<(&'a str, (String, &'a str))> {
     let route = route.as_object()?;
-    let small = u64::from(u32::MAX);
+    let max_u32 = u64::from(u32::MAX);
     (number(route, "deadline_ms", u64::MAX, None)? > 0).then_some(())?;
     (number(route, "target_ms", u64::MAX, None)? > 0).then_some(())?;
-    (number(route, "tries", small, Some(1))? > 0).then_some(())?;
-    number(route, "prio", small, Some(0))?;
+    (number(route, "tries", max_u32, Some(1))? > 0).then_some(())?;
+    number(route, "prio", max_u32, Some(0))?;
     ["mutating", "idempotent"]
         .contains(&text(route, "type")?)
         .then_some(())?;
@@ -190,7 +190,7 @@
     all.windows(2).all(|pair| pair[0] != pair[1])
 }
 
-/// Whether a complete configuration is valid on top of [`BASE_VERSION_HEADER`].
+/// Returns whether a complete configuration is valid on top of [`BASE`]. `None` means invalid too.
 fn is_valid(config: &Value) -> Option<bool> {
     let rev = config.get("rev")?.as_u64()?;
     let services = config
@@ -204,11 +204,12 @@
         .as_array()?
         .iter()
         .map(|r| valid_route(r, &services));
-    let (names, places): (Vec<_>, Vec<_>) = routes.collect::<Option<Vec<_>>>()?.into_iter().unzip();
-    Some(rev > BASE && distinct(services) && distinct(names) && distinct(places))
+    let (names, matches): (Vec<_>, Vec<_>) =
+        routes.collect::<Option<Vec<_>>>()?.into_iter().unzip();
+    Some(rev > BASE && distinct(services) && distinct(names) && distinct(matches))
 }
 
-// ------------------------------------------------------------------------ the test
+// ----------------------------------------------------------------------------- test
 
 fn state_at_base() -> ReplicatedState {
     let mut state = ReplicatedState::default();
@@ -220,12 +221,12 @@
     state
 }
 
-/// The amendment that leads from the first configuration to this one.
+/// Returns the amendment that turns the first configuration into this one, or `None` if no amendment can.
 fn amendment(config: &Value) -> Option<String> {
     let list = |name: &str| Some(json!(config.get(name)?.as_array()?));
     let all = json!({"routes": ["a", "b", "c"], "services": ["s", "t"]});
     let upsert = json!({"routes": list("routes")?, "services": list("services")?});
-    // An amendment puts items by their names: those that stand twice, or have none, are another matter.
+    // Amendments identify items by name, so they cannot express lists with duplicate or missing names.
     let names = |list: &Value| {
         let names = list.as_array()?.iter().map(|i| i.get("name")?.as_str());
         let names: Vec<&str> = names.collect::<Option<_>>()?;
@@ -246,23 +247,27 @@
             "{:?}",
             outcome
         );
-        prop_assert_eq!(&state, &before, "nothing changes");
-        prop_assert_eq!(state.apply(3, command), outcome, "sent again");
+        prop_assert_eq!(&state, &before, "a rejected command changes the state");
+        prop_assert_eq!(
+            state.apply(3, command),
+            outcome,
+            "the command is sent again"
+        );
         return Ok(());
     }
     prop_assert_eq!(outcome, CommandOutcome::Applied);
     prop_assert_eq!(
         state.apply(3, command),
         CommandOutcome::AlreadyApplied,
-        "sent again"
+        "the command is sent again"
     );
-    let config: Config = serde_json::from_str(&state.config).expect("it was accepted");
+    let config: Config = serde_json::from_str(&state.config).expect("a valid configuration");
     prop_assert_eq!(
         CompactConfig::from_config(&config).to_config(),
         config,
-        "as balancers are told it"
+        "the compact form sent to balancers"
     );
-    // On a base that another change has replaced it is stale, and was not taken.
+    // A command whose base another change has replaced is stale and must have no effect.
     let mut raced = state_at_base();
     let other = Command::Replace {
         base: BASE,
@@ -270,18 +275,18 @@
     };
     prop_assert_eq!(raced.apply(2, &other), CommandOutcome::Applied);
     if raced.check(command) != CommandOutcome::AlreadyApplied {
-        let taken = raced.clone();
+        let current = raced.clone();
         prop_assert_eq!(
             raced.apply(3, command),
             CommandOutcome::RevisionMismatch { current: BASE + 1 }
         );
-        prop_assert_eq!(raced, taken);
+        prop_assert_eq!(raced, current);
     }
     Ok(())
 }
 
 #[test]
-fn validation_agrees_with_a_second_statement_of_the_rules() {
+fn validation_agrees_with_an_independent_implementation() {
     let runs = Runs {
         cases: CASES,
         failure_persistence: None,
@@ -295,7 +300,7 @@
         let mut config = valid_configuration(BASE + 2);
         changes
             .iter()
-            .for_each(|(place, other)| replace_at(&mut config, place, other));
+            .for_each(|(pointer, replacement)| replace_at(&mut config, pointer, replacement));
         let is_valid = is_valid(&config).unwrap_or(false);
         valid.set(valid.get() + u32::from(is_valid));
         check(
@@ -315,6 +320,6 @@
     let (valid, amended) = (valid.get(), amended.get());
     assert!(
         valid > CASES / 10 && valid < CASES / 2 && amended > CASES / 3,
-        "{valid}, {amended}"
+        "{valid} valid configurations and {amended} amendments of {CASES} cases"
     );
 }
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -1,5 +1,6 @@
-//! What a control server serves while it is cut off, or after it was frozen: nothing of the replicated state, no
-//! confirmation, and no leader that it did not hear lately. Balancers move to a server in contact.
+//! Tests control servers that are partitioned or have been frozen. Such a server must not serve the replicated state,
+//! confirm commands, or name a leader that it has not heard from recently, and its balancers must move to a server in
+//! quorum contact.
 
 mod common;
 
@@ -14,23 +15,24 @@
 
 const ALL: [usize; VOTERS] = [0, 1, 2, 3, 4];
 const SECOND: Duration = Duration::from_millis(1000);
-/// A new configuration has to be in force within this.
+/// The time within which a new configuration must be in effect.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Runs the test twice: with a leader, and with a follower, as the server in trouble.
+/// Runs the test with the leader and with a follower as the affected server.
 fn with_leader_and_follower<T: Future<Output = ()>>(test: impl Fn(Rc<Cluster>, usize) -> T) {
     for leads in [true, false] {
         run_on_paused_time(async {
             let cluster = Cluster::new();
             accept_revision(&cluster, &ALL, 0, 1).await;
-            let leader = cluster.leader().expect("it has agreed");
+            let leader = cluster.leader().expect("a leader");
             let follower = (leader + 1) % VOTERS;
             test(cluster, if leads { leader } else { follower }).await;
         });
     }
 }
 
-/// Has a configuration of this revision, with a target of its own, acknowledged by one of these servers.
+/// Submits a configuration with the given revision, and a `target_ms` equal to it, to the given servers until it is
+/// acknowledged.
 async fn accept_revision(cluster: &Rc<Cluster>, at: &[usize], base: u64, revision: u64) {
     let end = Instant::now() + 6 * SECOND;
     let answer = cluster
@@ -39,7 +41,7 @@
     assert_eq!(answer, Some(true), "revision {revision}");
 }
 
-/// What the configuration of a revision contains.
+/// Returns the text that identifies the configuration of a revision.
 fn target_of(revision: u64) -> String {
     format!("\"target_ms\":{revision},")
 }
@@ -51,15 +53,21 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one partition, from its beginning to its end"
+    reason = "one partition, from beginning to end"
 )]
 fn partitioned_server_sends_nothing_stale_and_its_balancers_move() {
-    with_leader_and_follower(|cluster, cut| async move {
-        let (holder, _one) = balancer(&cluster, "holder", &[cut], &ALL);
-        let (captive, _two) = balancer(&cluster, "captive", &[cut], &[cut]);
+    with_leader_and_follower(|cluster, isolated| async move {
+        // `captive` and `lost` reach only the partitioned server, `pair` also one other, and the rest reach all.
+        let (holder, _one) = balancer(&cluster, "holder", &[isolated], &ALL);
+        let (captive, _two) = balancer(&cluster, "captive", &[isolated], &[isolated]);
         let others =
-            ["a", "b", "c"].map(|name| balancer(&cluster, name, &[(cut + 2) % VOTERS], &ALL));
-        let (pair, _five) = balancer(&cluster, "pair", &[cut], &[cut, (cut + 1) % VOTERS]);
+            ["a", "b", "c"].map(|name| balancer(&cluster, name, &[(isolated + 2) % VOTERS], &ALL));
+        let (pair, _five) = balancer(
+            &cluster,
+            "pair",
+            &[isolated],
+            &[isolated, (isolated + 1) % VOTERS],
+        );
         let all = 3 + others.len() as u32;
         assert!(
             wait_until(2 * SECOND, || holder.has(&target_of(1))
@@ -67,36 +75,36 @@
             .await
         );
         assert!(wait_until(2 * SECOND, || captive.fleet_size.get() == all).await);
-        cluster.isolate(cut, true);
+        cluster.isolate(isolated, true);
         sleep(Duration::from_millis(100)).await;
-        accept_revision(&cluster, &all_but(cut), 1, 2).await;
+        accept_revision(&cluster, &all_but(isolated), 1, 2).await;
         let acknowledged = Instant::now();
-        let (starter, _three) = balancer(&cluster, "starter", &[cut], &ALL);
-        let (lost, _four) = balancer(&cluster, "lost", &[cut], &[cut]);
+        let (starter, _three) = balancer(&cluster, "starter", &[isolated], &ALL);
+        let (lost, _four) = balancer(&cluster, "lost", &[isolated], &[isolated]);
         assert!(
             wait_until(APPLY_TIMEOUT, || holder.has(&target_of(2))).await,
-            "it had two sessions"
+            "its second session does not deliver the update"
         );
         assert!(
             wait_until(APPLY_TIMEOUT, || starter.has(&target_of(2))).await,
-            "it begins elsewhere"
+            "it gets no configuration from another server"
         );
         assert_eq!(
             starter.dialled.borrow()[0],
-            cut,
-            "it did call the one that is cut off"
+            isolated,
+            "it does not dial the partitioned server first"
         );
         assert_eq!(
             starter.received.borrow().len(),
             1,
-            "and was told nothing old there"
+            "the partitioned server sent it a stale configuration"
         );
-        // All that can have moved away, and had a session somewhere all the time.
+        // Balancers that can reach another server move there and always keep a session.
         let leader = cluster
-            .server(cluster.leader().expect("others lead"))
+            .server(cluster.leader().expect("another leader"))
             .expect("up");
-        let server = cluster.server(cut).expect("up");
-        let stands = |at: &ControlServer, balancer: &SimulatedBalancer| {
+        let server = cluster.server(isolated).expect("up");
+        let has_ready_session = |at: &ControlServer, balancer: &SimulatedBalancer| {
             at.all_sessions()
                 .iter()
                 .any(|s| s.balancer.node == balancer.node && s.ready)
@@ -104,33 +112,38 @@
         while acknowledged.elapsed() < 18 * SECOND {
             sleep(Duration::from_millis(20)).await;
             for balancer in [&holder, &starter] {
-                assert!(stands(&leader, balancer), "{:?}", acknowledged.elapsed());
-                let moved = acknowledged.elapsed() < 3 * SECOND || !stands(&server, balancer);
-                assert!(moved, "one that can have better stays");
+                assert!(
+                    has_ready_session(&leader, balancer),
+                    "no ready session after {:?}",
+                    acknowledged.elapsed()
+                );
+                let moved =
+                    acknowledged.elapsed() < 3 * SECOND || !has_ready_session(&server, balancer);
+                assert!(moved, "a balancer that reaches other servers stays");
             }
         }
         assert!(!server.has_quorum_contact());
         assert_eq!(
             lost.config(),
             0,
-            "one that starts with nothing is not ready"
+            "a balancer without a configuration became ready"
         );
         assert!(
             captive.has(&target_of(1)),
-            "one that holds something keeps it"
+            "a balancer dropped its configuration"
         );
         assert!(
             captive.fleet_size.get() >= all,
-            "nor does it take the others for gone: {}",
+            "the balancer considers others gone: {} left",
             captive.fleet_size.get()
         );
-        accept_revision(&cluster, &all_but(cut), 2, 3).await;
-        let soon = Duration::from_millis(200);
+        accept_revision(&cluster, &all_but(isolated), 2, 3).await;
+        let update_timeout = Duration::from_millis(200);
         assert!(
-            wait_until(soon, || pair.has(&target_of(3))).await,
-            "its other session brings the news"
+            wait_until(update_timeout, || pair.has(&target_of(3))).await,
+            "its other session does not deliver the update"
         );
-        cluster.isolate(cut, false);
+        cluster.isolate(isolated, false);
         assert!(
             wait_until(2 * APPLY_TIMEOUT, || lost.has(&target_of(3))
                 && captive.has(&target_of(3)))
@@ -142,19 +155,20 @@
 
 #[test]
 fn balancer_with_both_sessions_out_of_contact_moves_one_at_a_time() {
-    with_leader_and_follower(|cluster, cut| async move {
-        let partner = (cut + 1) % VOTERS;
-        // All others but one are out of its reach.
-        let reaches = [cut, partner, (cut + 2) % VOTERS];
-        let (holder, _one) = balancer(&cluster, "holder", &[cut, partner], &reaches);
-        let both =
-            || [cut, partner].map(|i| cluster.server(i).expect("up").has_session(&holder.node));
-        let stands = || holder.has(&target_of(1)) && both() == [true, true];
+    with_leader_and_follower(|cluster, isolated| async move {
+        let partner = (isolated + 1) % VOTERS;
+        // The balancer reaches only one other server.
+        let reachable = [isolated, partner, (isolated + 2) % VOTERS];
+        let (holder, _one) = balancer(&cluster, "holder", &[isolated, partner], &reachable);
+        let both = || {
+            [isolated, partner].map(|i| cluster.server(i).expect("up").has_session(&holder.node))
+        };
+        let is_ready = || holder.has(&target_of(1)) && both() == [true, true];
         assert!(
-            wait_until(2 * SECOND, stands).await,
-            "both stand on one side"
+            wait_until(2 * SECOND, is_ready).await,
+            "no session with each server of the minority"
         );
-        cluster.split(&[cut, partner], true);
+        cluster.split(&[isolated, partner], true);
         let began = Instant::now();
         while began.elapsed() < 20 * SECOND {
             sleep(Duration::from_millis(10)).await;
@@ -162,46 +176,45 @@
             let sessions = servers
                 .filter(|server| server.has_session(&holder.node))
                 .count();
-            assert!(
-                sessions > 0,
-                "after {:?} no session stands",
-                began.elapsed()
-            );
+            assert!(sessions > 0, "no session after {:?}", began.elapsed());
         }
-        let majority: Vec<usize> = all_but(cut).into_iter().filter(|i| *i != partner).collect();
+        let majority: Vec<usize> = all_but(isolated)
+            .into_iter()
+            .filter(|i| *i != partner)
+            .collect();
         accept_revision(&cluster, &majority, 1, 2).await;
         assert!(
             wait_until(APPLY_TIMEOUT, || holder.has(&target_of(2))).await,
-            "it found the one in contact"
+            "it does not find the server in contact"
         );
     });
 }
 
 #[test]
 fn commands_and_reads_in_a_minority_fail_within_the_callers_second() {
-    with_leader_and_follower(|cluster, cut| async move {
-        let partner = (cut + 1) % VOTERS;
-        cluster.split(&[cut, partner], true);
+    with_leader_and_follower(|cluster, isolated| async move {
+        let partner = (isolated + 1) % VOTERS;
+        cluster.split(&[isolated, partner], true);
         let began = Instant::now();
         let mut n = 0;
         while began.elapsed() < 20 * SECOND {
             n += 1;
-            let i = if n % 2 == 0 { cut } else { partner };
+            let i = if n % 2 == 0 { isolated } else { partner };
             let server = cluster.server(i).expect("up");
-            // On the current revision, or on one that is not there yet: neither may be decided on.
+            // Neither a change of the current revision nor one of a future revision may be decided.
             let command = change(1 + n % 3, 10 + n, 10);
             let asked = Instant::now();
-            let led =
-                [cut, partner].map(|i| cluster.server(i).is_some_and(|server| server.is_leader()));
+            let led = [isolated, partner]
+                .map(|i| cluster.server(i).is_some_and(|server| server.is_leader()));
             match server.submit_command(&command, COMMAND_TIMEOUT).await {
                 Err(Indeterminate::NoMajority | Indeterminate::NotLeader(None)) => {}
                 Err(Indeterminate::NotLeader(Some(at))) => {
-                    let own = [cut, partner].map(|i| settings(i).internal_addr() == at);
+                    let own = [isolated, partner].map(|i| settings(i).internal_addr() == at);
                     let led = own[0] && led[0] || own[1] && led[1];
                     let early = began.elapsed() < SECOND;
                     assert!(
                         at != settings(i).internal_addr() && (led || early),
-                        "sent to {at}"
+                        "redirected to {at}"
                     );
                 }
                 Ok(outcome) => panic!("{outcome:?} in a minority"),
@@ -210,7 +223,7 @@
             let asked = Instant::now();
             assert!(
                 !server.wait_until_current(COMMAND_TIMEOUT).await,
-                "nothing is read in a minority"
+                "a read is confirmed in a minority"
             );
             assert!(asked.elapsed() < SECOND);
         }
@@ -222,14 +235,14 @@
     with_leader_and_follower(|cluster, _| async move {
         cluster.start(DISKLESS);
         sleep(3 * SECOND).await;
-        let old = cluster.leader().expect("one leads");
+        let old = cluster.leader().expect("a leader");
         let at = |i: usize| Some(settings(i).internal_addr());
         let named = |i: usize| cluster.server(i).expect("up").leader_address();
         for i in all_but(old).into_iter().chain([DISKLESS]) {
-            assert_eq!(named(i), at(old), "n{i} knows it");
+            assert_eq!(named(i), at(old), "n{i} does not know the leader");
         }
         cluster.kill(old);
-        // A command that comes while nobody leads is not rejected if a leader is elected soon.
+        // A command that arrives while there is no leader must wait for the election instead of failing.
         let follower =
             |i: &usize| *i != old && !cluster.server(*i).is_some_and(|server| server.is_leader());
         let (answer, new) = loop {
@@ -245,29 +258,33 @@
             assert_ne!(
                 answer,
                 Err(Indeterminate::NotLeader(at(old))),
-                "sent to one that is gone"
+                "redirected to a dead leader"
             );
             if let Some(new) = cluster
                 .leader()
                 .filter(|_| answer != Err(Indeterminate::NotLeader(None)))
             {
-                assert!(waited, "it was turned away before");
+                assert!(waited, "no command arrived before there was a new leader");
                 break (answer, new);
             }
             sleep(Duration::from_millis(1)).await;
         };
         for i in all_but(old) {
-            assert_ne!(named(i), at(old), "n{i} sends callers to one that is gone");
+            assert_ne!(named(i), at(old), "n{i} redirects callers to a dead leader");
         }
         assert!(
             answer == Ok(CommandOutcome::Applied)
                 || answer == Err(Indeterminate::NotLeader(at(new)))
         );
-        // It says so at once to one without a disk, which knows it from what is said only.
+        // The new leader announces itself at once to the server without a disk, which has no other way to learn it.
         assert!(wait_until(Duration::from_millis(20), || named(DISKLESS) == at(new)).await);
         cluster.isolate(DISKLESS, true);
         sleep(Duration::from_millis(1600)).await;
-        assert_eq!(named(DISKLESS), None, "it hears nobody");
+        assert_eq!(
+            named(DISKLESS),
+            None,
+            "it still names a leader without hearing from any server"
+        );
     });
 }
 
@@ -280,17 +297,20 @@
         accept_revision(&cluster, &all_but(frozen), 1, 2).await;
         assert!(
             wait_until(APPLY_TIMEOUT, || holder.has(&target_of(2))).await,
-            "the other session tells it"
+            "its other session does not deliver the update"
         );
         sleep(15 * SECOND).await;
-        // Its connection waits until the server wakes.
+        // Its connection waits until the server resumes.
         let (starter, _two) = balancer(&cluster, "starter", &[frozen], &[frozen]);
         sleep(Duration::from_millis(100)).await;
         assert_eq!(starter.dialled.borrow()[0], frozen);
         cluster.freeze(frozen, false);
         let server = cluster.server(frozen).expect("up");
-        assert!(!server.has_quorum_contact(), "before it has run at all");
-        // On the revision that is in force, of which it has not heard.
+        assert!(
+            !server.has_quorum_contact(),
+            "the server claims contact before it has run"
+        );
+        // The command is based on the current revision, which the server does not know yet.
         let end = Instant::now() + 3 * SECOND;
         loop {
             match server
@@ -298,18 +318,21 @@
                 .await
             {
                 Ok(CommandOutcome::Applied) => break,
-                Ok(outcome) => panic!("{outcome:?}: it judged by what it knew before"),
+                Ok(outcome) => panic!("{outcome:?}: decided on an outdated state"),
                 Err(Indeterminate::NotLeader(Some(at)))
                     if at != server.control_node.internal_addr =>
                 {
                     let leader = ALL.into_iter().find(|i| settings(*i).internal_addr() == at);
                     let leader = leader.and_then(|i| cluster.server(i)).expect("up");
-                    assert!(leader.is_leader() || Instant::now() < end, "sent to {at}");
+                    assert!(
+                        leader.is_leader() || Instant::now() < end,
+                        "redirected to {at}"
+                    );
                     if leader.is_leader() {
                         break;
                     }
                 }
-                Err(_) => assert!(Instant::now() < end, "no command is applied"),
+                Err(_) => assert!(Instant::now() < end, "no command is applied in time"),
             }
             sleep(Duration::from_millis(50)).await;
         }
@@ -317,13 +340,13 @@
         let received = starter.received.borrow();
         assert!(
             !received[0].text.contains(&target_of(1)),
-            "it was told what was old"
+            "it received a stale configuration"
         );
     });
 }
 
 #[test]
-fn frozen_server_forgets_sessions_and_learns_them_anew() {
+fn frozen_server_forgets_sessions_and_learns_them_again() {
     with_leader_and_follower(|cluster, frozen| async move {
         let sessions: Vec<_> = all_but(frozen)
             .into_iter()
@@ -341,15 +364,15 @@
         cluster.freeze(frozen, true);
         sleep(10 * SECOND).await;
         cluster.freeze(frozen, false);
-        // As the directory does it.
+        // The directory API does the same.
         server.expire_silent_peers();
         assert!(
             server.all_sessions().is_empty(),
-            "nobody was heard of for ten seconds"
+            "sessions remain after ten seconds without reports"
         );
         assert!(
             wait_until(2 * SECOND, || server.all_sessions().len() == sessions.len()).await,
-            "all are told"
+            "not all sessions are reported again"
         );
     });
 }
@@ -362,17 +385,17 @@
         let diskless = cluster.server(DISKLESS).expect("up");
         assert!(
             !diskless.wait_until_current(SECOND).await,
-            "it holds nothing of what is agreed on"
+            "a server without a disk has no replicated state"
         );
         assert!(!diskless.has_quorum_contact());
-        // It reaches one voter alone, so that it has nobody else for its other session.
+        // The balancer reaches only one voter, so its other session stays with the diskless server.
         let (holder, _one) = balancer(&cluster, "holder", &[follower], &[follower, DISKLESS]);
         assert!(wait_until(2 * APPLY_TIMEOUT, || holder.has(&target_of(1))).await);
         accept_revision(&cluster, &ALL, 1, 2).await;
-        let soon = Duration::from_millis(200);
+        let update_timeout = Duration::from_millis(200);
         assert!(
-            wait_until(soon, || holder.has(&target_of(2))).await,
-            "told by who has it, not a moment later"
+            wait_until(update_timeout, || holder.has(&target_of(2))).await,
+            "the update is delayed by the diskless server"
         );
     });
 }
--- a/crates/control-plane/tests/evacuation_schedules.rs
+++ b/crates/control-plane/tests/evacuation_schedules.rs
@@ -1,6 +1,6 @@
-//! [`ZoneEvacuations`] alone, under callers that lose answers and send their calls again, and leaders that change:
-//! thousands of generated schedules. Where two evacuations of a zone begin further apart than a call is sent again, a
-//! zone is never open while somebody has heard that it is evacuated; however they begin, none stays evacuated for good.
+//! Tests [`ZoneEvacuations`] alone, with thousands of generated schedules of callers that lose answers and resend their
+//! calls, and of leader changes. If evacuations of a zone begin further apart than the resend window, the zone is never
+//! open while a caller has received an acknowledgement of its evacuation. In any case, no zone stays evacuated forever.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,13 +14,13 @@
 const CALLER_WAIT_MS: u64 = 1000;
 const CALLERS: usize = 3;
 
-/// What becomes of an acknowledgement.
+/// The outcome of an acknowledgement, and whether the server learns of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Delivery {
     Read,
-    ReadWithoutSign,
-    LostWithSign,
-    LostWithoutSign,
+    ReadUnconfirmed,
+    LostDetected,
+    LostUndetected,
     NotWritten,
     ProcessDied,
 }
@@ -28,64 +28,68 @@
 
 const DELIVERIES: [Delivery; 6] = [
     Read,
-    LostWithSign,
+    LostDetected,
     NotWritten,
-    ReadWithoutSign,
-    LostWithoutSign,
+    ReadUnconfirmed,
+    LostUndetected,
     ProcessDied,
 ];
-/// Those after which the leader knows what the caller knows: only then is a later return surely another one.
-const CERTAIN: [Delivery; 3] = [Read, LostWithSign, NotWritten];
+/// The outcomes after which the leader knows whether the caller received the acknowledgement. Only then is a later
+/// return known to be a new one.
+const CERTAIN: [Delivery; 3] = [Read, LostDetected, NotWritten];
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A caller goes on: starts a call or sends it again; or its process decides.
+    /// A caller starts or resends a call, or its server decides on it.
     Caller(usize),
+    /// The first log entry commits; its acknowledgement, if any, has this outcome.
     Commit(Delivery),
-    /// A caller closes its connection, and its process sees it.
-    BreakOff(usize),
-    /// The leader changes: so much of what is not committed gets lost.
-    Leader(usize),
-    Time(u64),
+    /// A caller closes its connection, and its server notices.
+    Disconnect(usize),
+    /// The leader changes. The number determines how much of the uncommitted log is kept.
+    ChangeLeader(usize),
+    /// Time advances by this many milliseconds.
+    Advance(u64),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
     begin: bool,
-    since: u64,
-    /// An attempt is under way: its last step is in the log.
+    started_at: u64,
+    /// Whether an attempt is in progress, with its last step in the log.
     is_in_flight: bool,
     acknowledging: Option<(CommandId, AcknowledgementAttempt)>,
 }
 
 #[derive(Debug, Default)]
-struct World {
+struct Simulation {
     zone: ZoneEvacuations,
     index: u64,
     term: u64,
     attempts: u64,
     now: u64,
+    /// When each evacuation was applied, and when each return was applied or last acknowledged.
     times: BTreeMap<CommandId, u64>,
-    /// What is not committed, with the caller whose attempt waits for it.
+    /// Uncommitted steps, each with the caller whose attempt waits for it.
     log: VecDeque<(EvacuationStep, Option<usize>)>,
     calls: [Option<Call>; CALLERS],
-    /// Callers that have heard that their zone is evacuated, and have not begun to return it.
+    /// Callers that have received the acknowledgement of their evacuation and have not begun to return the zone.
     acknowledged: [bool; CALLERS],
-    /// Evacuations begin at any time; else none does while another one may still be sent again.
+    /// Whether an evacuation may begin while another one may still be resent.
     overlaps: bool,
 }
 
-impl World {
+impl Simulation {
     fn step_caller(&mut self, caller: usize) {
         let Some(call) = &mut self.calls[caller] else {
             if !self.acknowledged[caller] && !self.overlaps && self.evacuation_is_recent() {
                 return;
             }
             let begin = !std::mem::take(&mut self.acknowledged[caller]);
-            let (since, is_in_flight, acknowledging) = (self.now, false, None);
+            let (started_at, is_in_flight, acknowledging) = (self.now, false, None);
             self.calls[caller] = Some(Call {
                 begin,
-                since,
+                started_at,
                 is_in_flight,
                 acknowledging,
             });
@@ -94,22 +98,22 @@
         if call.is_in_flight {
             return;
         }
-        if self.now > call.since + RESEND_WINDOW_MS {
+        if self.now > call.started_at + RESEND_WINDOW_MS {
             self.calls[caller] = None;
             return;
         }
         self.decide(caller);
     }
 
-    /// Whether a caller is evacuating the zone, or was answered lately.
+    /// Returns whether a caller is evacuating the zone, or an evacuation is within the resend window.
     fn evacuation_is_recent(&self) -> bool {
-        let asks = self.calls.iter().flatten().any(|call| call.begin);
+        let is_requested = self.calls.iter().flatten().any(|call| call.begin);
         let recent = |id| {
             self.times
                 .get(id)
                 .is_none_or(|at| self.now < at + RESEND_WINDOW_MS)
         };
-        asks || self.zone.evacuations.keys().any(recent)
+        is_requested || self.zone.evacuations.keys().any(recent)
     }
 
     fn decide(&mut self, caller: usize) {
@@ -123,7 +127,7 @@
             RESEND_WINDOW_MS + CALLER_WAIT_MS
         };
         let recent = |id| times.get(&id).is_none_or(|at| now < at + resend_window);
-        // A leader decides once all that its log holds of the zone is applied.
+        // A leader decides only once all of the zone's steps in its log are applied.
         call.is_in_flight = self.log.is_empty();
         call.acknowledging = None;
         if !call.is_in_flight {
@@ -161,7 +165,7 @@
         }
     }
 
-    fn break_off(&mut self, caller: usize) {
+    fn disconnect(&mut self, caller: usize) {
         let Some(call) = &mut self.calls[caller] else {
             return;
         };
@@ -202,7 +206,7 @@
             return;
         };
         match (step, call.acknowledging) {
-            // Proposed by an attempt that was broken off since.
+            // Proposed by an attempt whose caller has disconnected since.
             (EvacuationStep::Acknowledge { attempt, .. }, own)
                 if own.is_none_or(|(_, a)| a != attempt) => {}
             (
@@ -233,9 +237,9 @@
         };
         match delivery {
             Read => return self.on_read(caller, Some(command)),
-            ReadWithoutSign => return self.on_read(caller, None),
-            NotWritten => return self.break_off(caller),
-            LostWithSign => {
+            ReadUnconfirmed => return self.on_read(caller, None),
+            NotWritten => return self.disconnect(caller),
+            LostDetected => {
                 let step = EvacuationStep::Withdraw {
                     command,
                     attempt,
@@ -243,7 +247,7 @@
                 };
                 self.log.push_back((step, None));
             }
-            LostWithoutSign | ProcessDied => {}
+            LostUndetected | ProcessDied => {}
         }
         if let Some(call) = &mut self.calls[caller] {
             (call.is_in_flight, call.acknowledging) = (false, None);
@@ -258,12 +262,12 @@
             (call.is_in_flight, call.acknowledging) = (false, None);
         }
         if kept.is_multiple_of(3) {
-            // A member that has just started, and does not know how old calls are: it takes them for recent.
+            // The new leader has just started and does not know the age of calls, so it treats them as recent.
             self.times.clear();
             if !self.overlaps && !self.zone.evacuations.is_empty() {
                 self.calls
                     .iter_mut()
-                    .for_each(|call| *call = call.filter(|o| !o.begin));
+                    .for_each(|call| *call = call.filter(|call| !call.begin));
             }
         }
         for id in self.zone.evacuations.keys().chain(self.zone.returns.keys()) {
@@ -271,18 +275,21 @@
         }
     }
 
-    fn play(&mut self, event: Event) {
+    fn apply_event(&mut self, event: Event) {
         match event {
             Event::Caller(caller) => self.step_caller(caller),
             Event::Commit(delivery) => self.commit(delivery),
-            Event::BreakOff(caller) => self.break_off(caller),
-            Event::Leader(kept) => self.change_leader(kept),
-            Event::Time(passes) => self.now += passes,
+            Event::Disconnect(caller) => self.disconnect(caller),
+            Event::ChangeLeader(kept) => self.change_leader(kept),
+            Event::Advance(duration_ms) => self.now += duration_ms,
         }
     }
 
     fn acknowledged_count(&self) -> usize {
-        self.acknowledged.iter().filter(|told| **told).count()
+        self.acknowledged
+            .iter()
+            .filter(|is_acknowledged| **is_acknowledged)
+            .count()
     }
 }
 
@@ -290,7 +297,7 @@
     prop_oneof![
         6 => (0..CALLERS).prop_map(Event::Caller),
         6 => (0..DELIVERIES.len()).prop_map(|delivery| Event::Commit(DELIVERIES[delivery])),
-        1 => (0..CALLERS).prop_map(Event::BreakOff),
+        1 => (0..CALLERS).prop_map(Event::Disconnect),
     ]
 }
 
@@ -324,7 +331,7 @@
             true,
         ),
         (EvacuationStep::Finish { ends: 3 }, true),
-        // The same return, sent again, and decided when the first evacuation had been acknowledged to another.
+        // The same return is resent; it was decided while the first evacuation was acknowledged to another caller.
         (EvacuationStep::Finish { ends: 1 }, false),
     ];
     for (n, (step, applies)) in steps.into_iter().enumerate() {
@@ -397,11 +404,11 @@
 }
 
 #[test]
-fn return_ends_a_possibly_heard_evacuation_first() {
+fn return_ends_a_possibly_acknowledged_evacuation_first() {
     let attempt = AcknowledgementAttempt { term: 1, number: 1 };
-    for heard in [1, 2] {
+    for acknowledged in [1, 2] {
         let mut zone = ZoneEvacuations::default();
-        // The second comes later than the first is sent again.
+        // The second evacuation begins after the resend window of the first.
         for begin in [1, 2] {
             assert!(zone.apply(begin * 10, EvacuationStep::Begin));
             assert!(zone.apply(
@@ -411,7 +418,7 @@
                     attempt
                 }
             ));
-            if begin != heard {
+            if begin != acknowledged {
                 let step = EvacuationStep::Withdraw {
                     command: begin * 10,
                     attempt,
@@ -419,8 +426,8 @@
                 };
                 assert!(zone.apply(begin * 10 + 2, step));
             }
-            if begin == 1 && heard == 2 {
-                // Else the second would be the first, sent again.
+            if begin == 1 && acknowledged == 2 {
+                // Otherwise the second evacuation would be a duplicate of the first.
                 let step = EvacuationStep::Acknowledge {
                     command: 10,
                     attempt,
@@ -428,7 +435,7 @@
                 assert!(zone.apply(13, step));
             }
         }
-        if heard == 2 {
+        if acknowledged == 2 {
             assert!(zone.apply(
                 23,
                 EvacuationStep::Withdraw {
@@ -438,7 +445,7 @@
                 }
             ));
         }
-        let ends = heard * 10;
+        let ends = acknowledged * 10;
         assert_eq!(
             zone.decide(false, |_| false),
             Decision::New(EvacuationStep::Finish { ends })
@@ -458,52 +465,56 @@
     fn zone_stays_evacuated_for_each_acknowledged_evacuation(
         schedule in prop::collection::vec(prop_oneof![
             14 => events(),
-            1 => any::<usize>().prop_map(Event::Leader),
-            3 => (1..900u64).prop_map(Event::Time),
-            1 => (6000..9000u64).prop_map(Event::Time),
+            1 => any::<usize>().prop_map(Event::ChangeLeader),
+            3 => (1..900u64).prop_map(Event::Advance),
+            1 => (6000..9000u64).prop_map(Event::Advance),
         ], 1..150),
     ) {
-        let mut world = World::default();
+        let mut simulation = Simulation::default();
         for event in schedule {
-            world.play(event);
-            let (told, evacuations) = (world.acknowledged_count(), world.zone.evacuations.len());
-            prop_assert!(evacuations >= told, "{told} were told, {evacuations} stand: {world:?}");
+            simulation.apply_event(event);
+            let (acknowledged, evacuations) = (simulation.acknowledged_count(), simulation.zone.evacuations.len());
+            prop_assert!(
+                evacuations >= acknowledged,
+                "{acknowledged} acknowledged, but {evacuations} in effect: {simulation:?}"
+            );
         }
     }
 
     #[test]
-    fn zone_is_back_once_each_acknowledged_evacuation_is_returned(
+    fn zone_is_open_once_each_acknowledged_evacuation_is_returned(
         schedule in prop::collection::vec(events(), 1..150),
     ) {
-        let mut world = World { overlaps: true, ..World::default() };
+        let mut simulation = Simulation { overlaps: true, ..Simulation::default() };
         for event in schedule {
-            // A leader decides on all that it has put into the log, and a call waits until it is known what became of the last acknowledgement.
+            // A leader decides once its log is applied, and a call waits for the outcome of the last
+            // acknowledgement.
             if matches!(event, Event::Caller(_)) {
-                settle(&mut world);
+                commit_all(&mut simulation);
             }
-            world.play(event);
+            simulation.apply_event(event);
         }
         for _ in 0..3 {
             for caller in 0..CALLERS {
                 for _ in 0..3 {
-                    settle(&mut world);
-                    if world.calls[caller].is_some() || world.acknowledged[caller] {
-                        world.play(Event::Caller(caller));
+                    commit_all(&mut simulation);
+                    if simulation.calls[caller].is_some() || simulation.acknowledged[caller] {
+                        simulation.apply_event(Event::Caller(caller));
                     }
                 }
             }
         }
-        prop_assert_eq!(world.acknowledged_count(), 0);
-        prop_assert!(world.zone.evacuations.is_empty(), "{:?}", world);
+        prop_assert_eq!(simulation.acknowledged_count(), 0);
+        prop_assert!(simulation.zone.evacuations.is_empty(), "{:?}", simulation);
     }
 }
 
-/// Commits all, as far as that comes to an end.
-fn settle(world: &mut World) {
+/// Commits until the log is empty, or gives up after 1000 steps.
+fn commit_all(simulation: &mut Simulation) {
     for _ in 0..1000 {
-        if world.log.is_empty() {
+        if simulation.log.is_empty() {
             return;
         }
-        world.play(Event::Commit(Read));
+        simulation.apply_event(Event::Commit(Read));
     }
 }
--- a/crates/control-plane/tests/evacuations.rs
+++ b/crates/control-plane/tests/evacuations.rs
@@ -1,5 +1,5 @@
-//! Evacuations and returns as operators call for them: sent again, nested, simultaneous. One control process that is a
-//! majority of itself, on paused time.
+//! Tests evacuations and returns of zones that operators resend, nest or request at the same time. Runs a single
+//! control server, which is a majority by itself, on paused time.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -17,11 +17,12 @@
 
 const TIMEOUT: Duration = Duration::from_millis(900);
 
-/// A control process that is the only member of the log, with a disk that syncs at once.
+/// Starts a control server that is the only voter, and waits until it is the leader.
 async fn start_single_server() -> Rc<ControlServer> {
     let text = r#"{"node": "n", "ip": "127.0.0.1", "zone": "a", "region": "r",
         "zone_map": {"a": "r"}, "listen": {}, "port_range": [7000, 7010], "data_dir": "/none"}"#;
-    let settings = Settings::parse(Path::new("boot.json"), text.as_bytes()).expect("good");
+    let settings =
+        Settings::parse(Path::new("boot.json"), text.as_bytes()).expect("valid settings");
     let voters = BTreeMap::from([(1, settings.internal_addr().to_string())]);
     let members = Members {
         voters,
@@ -60,21 +61,21 @@
     server
 }
 
-/// What becomes of an acknowledgement.
+/// The outcome of an acknowledgement.
 #[derive(Clone, Copy, Debug)]
 enum Delivery {
-    /// Its caller leaves before it is written.
+    /// The caller disconnects before it is written.
     NotWritten,
     /// The caller reads it and closes.
     Read,
-    /// The connection breaks after it.
+    /// The connection breaks after it is written.
     Broken,
-    /// It is written, and no sign of it comes.
-    NoSign,
+    /// It is written, but the server learns nothing about its delivery.
+    Unconfirmed,
 }
 use Delivery::*;
 
-/// Evacuates or returns the zone, and gives the number of its evacuations after that.
+/// Evacuates or returns the zone, and returns the number of its evacuations afterwards.
 async fn call(server: &Rc<ControlServer>, begin: bool, delivery: Delivery) -> usize {
     let mut acknowledgement = server
         .submit_zone_command("a", begin, TIMEOUT)
@@ -84,7 +85,7 @@
         acknowledgement.mark_sent();
     }
     match delivery {
-        NotWritten | NoSign => drop(acknowledgement),
+        NotWritten | Unconfirmed => drop(acknowledgement),
         Read => acknowledgement.confirm().await,
         Broken => acknowledgement.mark_connection_broken().await,
     }
@@ -95,16 +96,17 @@
     Duration::from_millis(ms)
 }
 
-/// Longer than a call is sent again.
-fn longer_than_resends(server: &ControlServer) -> Duration {
+/// Returns a time after which callers no longer resend a call.
+fn past_resend_window(server: &ControlServer) -> Duration {
     Duration::from_millis(server.settings.bounds.ack_ms + 1100)
 }
 
 #[tokio::test(start_paused = true)]
 async fn resent_evacuation_is_a_duplicate() {
-    // Once an evacuation whose acknowledgement was lost was counted twice, and its zone stood empty for the rest of the
-    // day. A caller that reads an answer and then loses it looks like one that has heard.
-    let deliveries = [NotWritten, Broken, NoSign, Read];
+    // An evacuation whose acknowledgement was lost was once counted twice, which left its zone empty for the rest of
+    // the day. A caller that reads an answer and then loses it looks to the server like one that received it, so even
+    // a resend after `Read` is a duplicate.
+    let deliveries = [NotWritten, Broken, Unconfirmed, Read];
     let test = async {
         let server = start_single_server().await;
         for first in deliveries {
@@ -120,7 +122,7 @@
                 assert_eq!(call(&server, false, Read).await, 0, "{first:?}, {second:?}");
             }
         }
-        // It is sent for so long from when it was sent first, however often it is acknowledged meanwhile.
+        // The resend window counts from the first call, no matter how often the call is acknowledged meanwhile.
         let half = Duration::from_millis(server.settings.bounds.ack_ms / 2);
         for evacuations in [1, 1, 2, 2] {
             assert_eq!(call(&server, true, Broken).await, evacuations);
@@ -134,22 +136,22 @@
 async fn age_of_an_evacuation_counts_from_arrival() {
     let test = async {
         let server = start_single_server().await;
-        let taken = Instant::now();
+        let accepted_at = Instant::now();
         assert_eq!(call(&server, true, Read).await, 1);
         let ack = Duration::from_millis(server.settings.bounds.ack_ms);
-        // It comes in time, and waits until it is known what became of the answer to the one before.
+        // The next call arrives within the window, but waits for the outcome of the previous acknowledgement.
         sleep(ack - 2 * millis(100)).await;
         let mut before = server
             .submit_zone_command("a", true, TIMEOUT)
             .await
             .expect("a majority of one");
         before.mark_sent();
-        let settles = async {
+        let confirm_later = async {
             sleep(millis(400)).await;
             before.confirm().await;
         };
-        let (_, evacuations) = tokio::join!(settles, call(&server, true, Read));
-        assert!(taken.elapsed() > ack);
+        let (_, evacuations) = tokio::join!(confirm_later, call(&server, true, Read));
+        assert!(accepted_at.elapsed() > ack);
         assert_eq!(evacuations, 1);
     };
     LocalSet::new().run_until(test).await;
@@ -157,21 +159,21 @@
 
 #[tokio::test(start_paused = true)]
 async fn late_evacuation_is_a_new_one() {
-    // Once two operators evacuated a zone, and the first return opened it for both.
+    // When two operators had evacuated a zone, the first return once reopened it for both.
     let test = async {
         let server = start_single_server().await;
         let calls = [
             (true, Read, 1),
             (true, Read, 2),
-            (true, NoSign, 3),
+            (true, Unconfirmed, 3),
             (true, Broken, 4),
             (true, Read, 5),
             (false, Read, 4),
-            (false, NoSign, 3),
-            (false, NoSign, 2),
+            (false, Unconfirmed, 3),
+            (false, Unconfirmed, 2),
             (false, Read, 1),
             (false, Read, 0),
-            // Nobody was answered: the next one is a duplicate however late it comes.
+            // No caller received an answer, so the next call is a duplicate no matter how late it arrives.
             (true, NotWritten, 1),
             (true, Read, 1),
             (false, Read, 0),
@@ -182,7 +184,7 @@
                 evacuations,
                 "call {n}"
             );
-            sleep(longer_than_resends(&server)).await;
+            sleep(past_resend_window(&server)).await;
         }
     };
     LocalSet::new().run_until(test).await;
@@ -194,7 +196,7 @@
         let server = start_single_server().await;
         for evacuations in 1..=5 {
             assert_eq!(call(&server, true, Read).await, evacuations);
-            sleep(longer_than_resends(&server)).await;
+            sleep(past_resend_window(&server)).await;
         }
         let returns = [
             (NotWritten, 4),
@@ -202,8 +204,8 @@
             (Read, 3),
             (Broken, 2),
             (Read, 2),
-            // It may not have been heard: the zone is rather returned once too seldom.
-            (NoSign, 1),
+            // The caller may not have received the answer. It is safer to count one return too few.
+            (Unconfirmed, 1),
             (Read, 1),
             (Read, 0),
             (Read, 0),
@@ -226,15 +228,15 @@
         let server = start_single_server().await;
         tokio::join!(call(&server, true, Read), call(&server, true, Read));
         assert_eq!(server.replicated_state().evacuation_count("a"), 1);
-        sleep(longer_than_resends(&server)).await;
+        sleep(past_resend_window(&server)).await;
         assert_eq!(call(&server, true, Read).await, 2);
         tokio::join!(call(&server, false, Read), call(&server, false, Read));
         assert_eq!(
             server.replicated_state().evacuation_count("a"),
             0,
-            "two callers heard"
+            "both callers confirmed"
         );
-        // The second comes while the first is under way, at any point of it.
+        // The second call arrives at any point during the first.
         for after in (0..12).map(Duration::from_millis) {
             for begin in [true, false] {
                 let second = async {
@@ -250,18 +252,19 @@
                 );
             }
         }
-        // A caller leaves in the middle, at any point, and asks again at once.
+        // A caller disconnects at any point during its call and retries at once.
         for after in 0..12 {
             for begin in [true, false] {
-                let left = timeout(Duration::from_millis(after), call(&server, begin, Read)).await;
-                if left.is_err() {
+                let result =
+                    timeout(Duration::from_millis(after), call(&server, begin, Read)).await;
+                if result.is_err() {
                     call(&server, begin, Read).await;
                 }
-                let holds = usize::from(begin);
+                let evacuations = usize::from(begin);
                 assert_eq!(
                     server.replicated_state().evacuation_count("a"),
-                    holds,
-                    "left after {after} ms"
+                    evacuations,
+                    "disconnected after {after} ms"
                 );
             }
         }
@@ -276,14 +279,14 @@
             let server = start_single_server().await;
             for _ in 0..2 {
                 call(&server, true, Read).await;
-                sleep(longer_than_resends(&server)).await;
+                sleep(past_resend_window(&server)).await;
             }
             let mut first = server
                 .submit_zone_command("a", false, TIMEOUT)
                 .await
                 .expect("a majority of one");
             first.mark_sent();
-            let settles = async {
+            let report_later = async {
                 sleep(Duration::from_millis(200)).await;
                 if read {
                     first.confirm().await;
@@ -291,8 +294,8 @@
                     first.mark_connection_broken().await;
                 }
             };
-            let (_, holds) = tokio::join!(settles, call(&server, false, Read));
-            assert_eq!(holds, evacuations);
+            let (_, count) = tokio::join!(report_later, call(&server, false, Read));
+            assert_eq!(count, evacuations);
         }
     };
     LocalSet::new().run_until(test).await;
--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -1,6 +1,8 @@
-//! How long after the loss of a leader the next command is acknowledged: real control servers over the delays of the
-//! sites, on paused time, and a caller that behaves as the protocol has it. `LOSSES=1000 cargo test --release -p control-plane --test
-//! failover -- --nocapture` prints the figures of as many losses; without it there are few.
+//! Measures how long after the loss of a leader the next command is acknowledged. Runs real control servers with the
+//! message delays of several sites, on paused time, and a caller that follows the protocol.
+//!
+//! `LOSSES=1000 cargo test --release -p control-plane --test failover -- --nocapture` prints the figures of 1000
+//! losses. The default is 20.
 
 mod common;
 
@@ -13,34 +15,34 @@
 use oorandom::Rand64;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Losses of one cluster in a row, before another one starts.
+/// The number of consecutive losses in one cluster.
 const LOSSES_PER_CLUSTER: u64 = 10;
-/// One way from a caller to a control server.
+/// The one-way delay between a caller and a control server.
 const CALLER_DELAY: Duration = Duration::from_millis(8);
-/// A caller's patience with one server.
+/// How long a caller waits for one server.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Its first pause between two; pauses grow.
+/// A caller's first pause between two attempts; later pauses grow exponentially.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// So many redirects of one try are followed.
+/// The number of redirects that a caller follows per attempt.
 const MAX_REDIRECTS: usize = 2;
 
-/// Where the members of a cluster are.
+/// The placement of a cluster's members.
 #[derive(Clone, Copy, Debug)]
 struct Site {
     name: &'static str,
     size: usize,
     regions: usize,
-    /// One way between zones.
+    /// The one-way delay between zones of a region, in microseconds.
     zone_delay_us: u64,
-    /// One way between regions.
+    /// The one-way delay between regions, in microseconds.
     region_delay_us: u64,
-    /// How long a loss may take.
+    /// The maximum time to recover from a loss.
     target: Duration,
 }
 
 const SITES: [Site; 4] = [
     Site {
-        name: "4 in a region",
+        name: "4 in one region",
         size: 4,
         regions: 1,
         zone_delay_us: 900,
@@ -48,7 +50,7 @@
         target: ms(1500),
     },
     Site {
-        name: "4 in two",
+        name: "4 in two regions",
         size: 4,
         regions: 2,
         zone_delay_us: 900,
@@ -56,7 +58,7 @@
         target: ms(2000),
     },
     Site {
-        name: "8 in two",
+        name: "8 in two regions",
         size: 8,
         regions: 2,
         zone_delay_us: 500,
@@ -64,7 +66,7 @@
         target: ms(2000),
     },
     Site {
-        name: "10 in nine",
+        name: "10 in nine regions",
         size: 10,
         regions: 9,
         zone_delay_us: 900,
@@ -80,23 +82,23 @@
 /// How a leader is lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Loss {
-    /// Its process ends: connections are refused at once.
+    /// The process ends, and connections are refused at once.
     Killed,
-    /// Its machine is gone: connections time out.
+    /// The machine disappears, and connections time out.
     Silent,
 }
 
-/// A caller that sends a command again, unchanged, until it is acknowledged.
+/// A caller that resends a command unchanged until it is acknowledged.
 struct Caller {
     cluster: Rc<Cluster>,
     rng: Rand64,
-    /// The server that is gone.
+    /// The lost server.
     lost: usize,
     loss: Loss,
 }
 
 impl Caller {
-    /// The time until the acknowledgement; begins with any server, the lost one too.
+    /// Returns the time until the acknowledgement. The first server is chosen at random and may be the lost one.
     async fn time_to_acknowledgement(&mut self, base: u64) -> Duration {
         let began = Instant::now();
         let mut untried: Vec<usize> = (0..self.cluster.size).chain([DISKLESS]).collect();
@@ -115,7 +117,7 @@
         self.rng.rand_range(0..n as u64) as usize
     }
 
-    /// One try, and wherever it is redirected to. Returns whether it was acknowledged.
+    /// Makes one attempt and follows redirects. Returns whether the command was acknowledged.
     async fn try_server(&self, mut at: usize, base: u64) -> bool {
         for _ in 0..=MAX_REDIRECTS {
             if at == self.lost {
@@ -152,7 +154,7 @@
     }
 }
 
-/// The times of so many losses of one cluster.
+/// Returns the recovery times of `count` leader losses in one cluster.
 async fn lose_leaders(site: Site, loss: Loss, seed: u64, count: u64) -> Vec<Duration> {
     let region = move |i: usize| i % site.regions;
     let delay = move |a: usize, b: usize| {
@@ -168,9 +170,9 @@
     let mut rng = Rand64::new(u128::from(seed));
     let mut times = Vec::new();
     for base in 0..count {
-        // Every member is up again and has caught up.
+        // Waits until every member is up again and has caught up.
         sleep(ms(4000 + rng.rand_range(0..1000))).await;
-        let lost = cluster.leader().expect("one leads");
+        let lost = cluster.leader().expect("a leader");
         cluster.kill(lost);
         let rng = Rand64::new(u128::from(rng.rand_u64()));
         let mut caller = Caller {
@@ -185,7 +187,7 @@
     times
 }
 
-/// The sorted times of so many losses.
+/// Returns the sorted recovery times of at least `count` leader losses.
 fn recovery_times(site: Site, loss: Loss, count: u64) -> Vec<Duration> {
     let seeds: Vec<u64> = (0..count.div_ceil(LOSSES_PER_CLUSTER)).collect();
     let run = |seed: u64| run_on_paused_time(lose_leaders(site, loss, seed, LOSSES_PER_CLUSTER));
@@ -213,9 +215,9 @@
     for site in sites {
         for loss in [Loss::Killed, Loss::Silent] {
             let times = recovery_times(*site, loss, count);
-            let percentile = |part: usize| times[times.len() * part / 100];
+            let percentile = |percent: usize| times[times.len() * percent / 100];
             println!(
-                "{} {loss:?}: {} losses, median {:?}, p90 {:?}, p99 {:?}, most {:?}",
+                "{} {loss:?}: {} losses, median {:?}, p90 {:?}, p99 {:?}, longest {:?}",
                 site.name,
                 times.len(),
                 percentile(50),
@@ -224,7 +226,7 @@
                 times[times.len() - 1]
             );
             assert!(percentile(50) <= site.target, "{site:?} {loss:?}");
-            // A caller of a machine that is gone spends its own second there.
+            // A caller that tries a silent machine first loses its timeout of one second there.
             assert!(
                 loss == Loss::Silent || percentile(90) <= site.target,
                 "{site:?} {loss:?}"
--- a/crates/control-plane/tests/golden/commands.rs
+++ b/crates/control-plane/tests/golden/commands.rs
@@ -1,4 +1,4 @@
-//! Commands, as the data of log entries.
+//! Encodings of commands, which are the data of log entries.
 
 use control_plane::configuration::Command;
 use control_plane::evacuations::{AcknowledgementAttempt, EvacuationStep};
@@ -38,7 +38,7 @@
     }
 }
 
-fn place() -> Command {
+fn assign_keys() -> Command {
     let holder = |n: u8| {
         let addr = std::net::SocketAddr::from(([10, 0, 0, n], 8080));
         LeaseHolder {
@@ -46,21 +46,21 @@
             addr,
         }
     };
-    let owned = [
+    let ownerships = [
         Ownership::Unowned,
         Ownership::Assigned(holder(1), None),
         Ownership::Assigned(holder(2), Some("handover".into())),
         Ownership::Releasing(holder(3)),
     ];
-    let change = |(n, owned): (u16, Ownership)| KeyRangeChange {
+    let change = |(n, ownership): (u16, Ownership)| KeyRangeChange {
         first: n * 1000,
         last: n * 1000 + 999,
         expected_token: n.into(),
-        ownership: owned,
+        ownership,
     };
     Command::AssignKeys {
         service: "s".into(),
-        changes: (0..).zip(owned).map(change).collect(),
+        changes: (0..).zip(ownerships).map(change).collect(),
     }
 }
 
@@ -91,13 +91,13 @@
             zone: "a".into(),
             expected_index: 4,
         },
-        place(),
+        assign_keys(),
     ];
     samples.extend(steps.map(evacuation));
     samples
 }
 
-/// The fixture of a command. A new variant needs one.
+/// Returns the fixture of a command. Each new variant needs one.
 fn fixture_name(command: &Command) -> &'static str {
     match command {
         Command::Replace { .. } => "command_replace.cbor",
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn each_command_keeps_its_bytes() {
+fn command_encodings_are_unchanged() {
     for sample in samples() {
         check(fixture_name(&sample), &sample);
     }
--- a/crates/control-plane/tests/golden/fixture.rs
+++ b/crates/control-plane/tests/golden/fixture.rs
@@ -1,6 +1,6 @@
-//! Fixture files: bytes that an earlier build wrote, which this build reads and writes alike. A run with
-//! `SHOREFRONT_WRITE_FIXTURES=1` writes the files that are missing, for new variants; it never overwrites one.
-#![allow(dead_code, reason = "no test program uses all of it")]
+//! Fixture files with bytes that an earlier build wrote, which this build must decode and encode identically. A run
+//! with `SHOREFRONT_WRITE_FIXTURES=1` writes missing files, for new variants, and never overwrites one.
+#![allow(dead_code, reason = "no test program uses all helpers")]
 
 use std::fmt::Debug;
 use std::path::PathBuf;
@@ -18,7 +18,7 @@
     std::env::var("SHOREFRONT_WRITE_FIXTURES").is_ok_and(|value| value == "1")
 }
 
-/// The bytes of a fixture; in a write run, `sample` becomes the fixture where there is none yet.
+/// Returns the bytes of a fixture. In a write run, a missing fixture is first created from `sample`.
 pub(crate) fn bytes(name: &str, sample: &[u8]) -> Vec<u8> {
     let path = path(name);
     if is_write_run() && !path.exists() {
@@ -33,7 +33,8 @@
     bytes
 }
 
-/// The sample is encoded as the fixture, which is decoded as the sample and encoded again to the same bytes.
+/// Checks that the sample encodes to the fixture, and that the fixture decodes to the sample and encodes to the same
+/// bytes again.
 pub(crate) fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, sample: &T) {
     let sample_bytes = encode(sample);
     let fixture = bytes(name, &sample_bytes);
--- a/crates/control-plane/tests/golden/log.rs
+++ b/crates/control-plane/tests/golden/log.rs
@@ -1,4 +1,4 @@
-//! Entries of the log, as they are on disk and in messages.
+//! Encodings of log entries, as stored on disk and sent in messages.
 
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
     (300..).zip(payloads).map(entry).collect()
 }
 
-/// The fixture of an entry. A new variant needs one.
+/// Returns the fixture of an entry. Each new variant needs one.
 fn fixture_name(payload: &Payload) -> &'static str {
     match payload {
         Payload::Empty => "entry_empty.cbor",
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn each_entry_keeps_its_bytes() {
+fn entry_encodings_are_unchanged() {
     for sample in entries() {
         check(fixture_name(&sample.payload), &sample);
     }
--- a/crates/control-plane/tests/golden/main.rs
+++ b/crates/control-plane/tests/golden/main.rs
@@ -1,4 +1,5 @@
-//! Compatibility of stored and sent bytes: fixtures of an earlier build are read, and written again alike.
+//! Tests that stored and sent bytes stay compatible: fixtures of an earlier build must decode, and encode to the same
+//! bytes again.
 
 mod commands;
 mod fixture;
--- a/crates/control-plane/tests/golden/messages.rs
+++ b/crates/control-plane/tests/golden/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the log between control processes, as frames.
+//! Encodings of the Raft messages between control processes, as frames.
 
 use protocol::wire::{PeerMessage, decode_body, encode_frame};
 use raft::{
@@ -16,7 +16,7 @@
     checksum: 0x1234_5678,
 };
 
-fn piece(offset: u64, content: Option<TransferContent>) -> MessageBody {
+fn chunk(offset: u64, content: Option<TransferContent>) -> MessageBody {
     let bytes = vec![0, 1, 24, 255];
     MessageBody::Chunk(Chunk {
         transfer: TRANSFER,
@@ -28,7 +28,7 @@
     })
 }
 
-#[expect(clippy::too_many_lines, reason = "a sample of each message")]
+#[expect(clippy::too_many_lines, reason = "one sample of each message")]
 fn samples() -> Vec<MessageBody> {
     vec![
         MessageBody::RequestVote(RequestVote {
@@ -54,14 +54,14 @@
             leader_commit: 9,
             sequence: 8,
         }),
-        piece(0, None),
-        piece(
+        chunk(0, None),
+        chunk(
             16,
             Some(TransferContent::Snapshot {
                 members: log::members(),
             }),
         ),
-        piece(16, Some(TransferContent::Entry { prev_log_term: 2 })),
+        chunk(16, Some(TransferContent::Entry { prev_log_term: 2 })),
         MessageBody::ChunkResponse(ChunkResponse {
             transfer: TRANSFER,
             received_bytes: 70_000,
@@ -98,7 +98,7 @@
     ]
 }
 
-/// The fixture of a message. A new variant needs one.
+/// Returns the fixture of a message. Each new variant needs one.
 fn fixture_name(body: &MessageBody) -> &'static str {
     match body {
         MessageBody::RequestVote(RequestVote { pre_vote: true, .. }) => {
@@ -109,7 +109,7 @@
         }) => "message_request_vote.frame",
         MessageBody::VoteResponse(VoteResponse { .. }) => "message_vote_reply.frame",
         MessageBody::AppendEntries(AppendEntries { .. }) => "message_append.frame",
-        MessageBody::Chunk(piece) => match piece.content {
+        MessageBody::Chunk(chunk) => match chunk.content {
             None => "message_piece.frame",
             Some(TransferContent::Snapshot { .. }) => "message_last_piece_of_snapshot.frame",
             Some(TransferContent::Entry { .. }) => "message_last_piece_of_entry.frame",
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn each_message_of_the_log_keeps_its_bytes() {
+fn raft_message_encodings_are_unchanged() {
     for body in samples() {
         let name = fixture_name(&body);
         let sample = Message {
@@ -146,7 +146,7 @@
         let fixture = fixture::bytes(name, &sample_bytes);
         assert_eq!(sample_bytes, fixture, "{name}: encoded");
         let PeerMessage::Raft(decoded) = decode_body(&fixture[4..]).expect(name) else {
-            panic!("{name}: not a message of the log");
+            panic!("{name}: not a Raft message");
         };
         assert_eq!(decoded, sample, "{name}: decoded");
         assert_eq!(
--- a/crates/control-plane/tests/golden/process.rs
+++ b/crates/control-plane/tests/golden/process.rs
@@ -1,4 +1,4 @@
-//! A control process that starts on the file of an earlier build.
+//! Tests a control process that starts from a file stored by an earlier build.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -15,10 +15,10 @@
 use crate::commands::{amend, replace};
 use crate::store::copy;
 
-/// Between two attempts to reach a process that starts.
+/// The pause between two attempts to connect to a starting process.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An address of this machine that no other test process has.
+/// Returns a loopback address that no other test process uses.
 fn own_address() -> Ipv4Addr {
     let id = std::process::id();
     Ipv4Addr::new(127, 64 + (id >> 16) as u8 % 64, (id >> 8) as u8, id as u8)
@@ -31,7 +31,7 @@
             "seeds": ["{ip}:7080"], "listen": {{"ctl": "{ip}:7080"}},
             "port_range": [7070, 7079], "data_dir": "{folder}"}}"#
     );
-    Settings::parse(Path::new("boot.json"), text.as_bytes()).expect("good")
+    Settings::parse(Path::new("boot.json"), text.as_bytes()).expect("valid settings")
 }
 
 async fn configuration(operator: &OperatorClient) -> serde_json::Value {
@@ -49,34 +49,45 @@
         Command::Amend { base, body } => ("/-/Config.Amend", base, body),
         other => panic!("not a change of the configuration: {other:?}"),
     };
-    let order = OperatorRequest::post(path, Some(*base), Bytes::from(body.clone()));
-    operator.call(&order).await.expect("an answer").status()
+    let request = OperatorRequest::post(path, Some(*base), Bytes::from(body.clone()));
+    operator.call(&request).await.expect("an answer").status()
 }
 
-async fn orders_sent_again(operator: &OperatorClient) {
+async fn check_resent_commands(operator: &OperatorClient) {
     let before = configuration(operator).await;
     assert_eq!(before["rev"], 9);
     assert_eq!(before["routes"][0]["name"], "r");
-    // Of the snapshot, and of the entries after it.
-    for taken in [replace(0, 5), amend(5, 7), replace(7, 9)] {
-        assert_eq!(send(operator, &taken).await, StatusCode::OK, "{taken:?}");
-        assert_eq!(configuration(operator).await, before, "no second version");
+    // The first command is covered by the snapshot, and the others are in the entries after it.
+    for command in [replace(0, 5), amend(5, 7), replace(7, 9)] {
+        assert_eq!(
+            send(operator, &command).await,
+            StatusCode::OK,
+            "{command:?}"
+        );
+        assert_eq!(
+            configuration(operator).await,
+            before,
+            "a resent command changed the configuration"
+        );
     }
-    // The same content on the current version is not the stored order, and its number is taken.
+    // The same content on top of the current version is a different command, and its revision is already in use.
     assert_ne!(send(operator, &replace(9, 9)).await, StatusCode::OK);
     assert_eq!(configuration(operator).await, before);
 }
 
-/// Waits until the process serves, however long its disk takes to open and sync the store.
+/// Waits until the process accepts connections, regardless of how long its disk takes to open and sync the store.
 async fn wait_until_listening<T>(address: SocketAddr, process: &JoinHandle<T>) {
     while TcpStream::connect(address).await.is_err() {
-        assert!(!process.is_finished(), "the process ended before it served");
+        assert!(
+            !process.is_finished(),
+            "the process ended before it accepted connections"
+        );
         sleep(CONNECT_RETRY_INTERVAL).await;
     }
 }
 
 #[test]
-fn process_on_a_stored_file_recognizes_resent_commands() {
+fn process_started_from_a_stored_file_recognizes_resent_commands() {
     let folder = copy("process");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -97,8 +108,11 @@
             addresses: vec![address],
             timeout: Duration::from_secs(20),
         };
-        orders_sent_again(&operator).await;
-        stop.send(()).expect("it runs");
-        process.await.expect("no panic").expect("it ends in order");
+        check_resent_commands(&operator).await;
+        stop.send(()).expect("the process is running");
+        process
+            .await
+            .expect("no panic")
+            .expect("an orderly shutdown");
     });
 }
--- a/crates/control-plane/tests/golden/store.rs
+++ b/crates/control-plane/tests/golden/store.rs
@@ -1,6 +1,6 @@
-//! The file of a one-member system, `control.redb`, as an earlier build wrote it: identity, a first configuration in
-//! the snapshot, and the entries below after it. Two writes of the file differ in bytes, so it is only read, and its
-//! records are compared.
+//! Tests reading `control.redb` of a single-member cluster as an earlier build wrote it. It holds the node's id, a
+//! snapshot with the first configuration, and the entries below. Two writes of such a file differ in bytes, so the test
+//! only reads it and compares its records.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 
-fn founders() -> Members {
+fn initial_members() -> Members {
     let voters = BTreeMap::from([(ID, "127.77.0.1:7070".into())]);
     Members {
         voters,
@@ -38,15 +38,15 @@
     }
 }
 
-/// Covers an empty entry and the first configuration.
+/// Returns the snapshot, which covers an empty entry and the first configuration.
 fn snapshot() -> Snapshot {
-    let mut agreed = ReplicatedState::default();
-    assert_eq!(agreed.apply(2, &replace(0, 5)), CommandOutcome::Applied);
-    let data = control_plane::snapshot::encode(&agreed).expect("encoded");
+    let mut state = ReplicatedState::default();
+    assert_eq!(state.apply(2, &replace(0, 5)), CommandOutcome::Applied);
+    let data = control_plane::snapshot::encode(&state).expect("encoded");
     Snapshot {
         index: 2,
         term: 2,
-        members: founders(),
+        members: initial_members(),
         data,
     }
 }
@@ -63,13 +63,13 @@
         Entry {
             term: TERM,
             index: 6,
-            payload: Payload::Members(founders()),
+            payload: Payload::Members(initial_members()),
         },
         entry(TERM, 7, &replace(7, 9)),
     ]
 }
 
-/// A folder of a test, which is removed when it ends.
+/// A test's temporary folder, which is removed on drop.
 pub(crate) struct Folder(pub PathBuf);
 
 impl Drop for Folder {
@@ -86,7 +86,7 @@
     Folder(folder)
 }
 
-/// A folder with a copy of the stored file.
+/// Returns a folder with a copy of the stored file.
 pub(crate) fn copy(name: &str) -> Folder {
     let folder = empty_folder(name);
     std::fs::copy(fixture::path(FILE), folder.0.join(FILE)).expect("copied");
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_stored_file_is_read_at_a_start() {
+fn stored_file_is_read_at_start() {
     let folder = copy("start");
     let (_store, stored) = Store::open(&folder.0).expect("readable");
     let (id, stored) = stored.expect("not a new file");
@@ -104,14 +104,14 @@
     assert_eq!(stored.entries, entries());
 }
 
-/// A record: a checksum, and the value.
+/// Returns the bytes of a record: a checksum followed by the value.
 fn record<T: Serialize>(value: &T) -> Vec<u8> {
     let value = fixture::encode(value);
     [crc32fast::hash(&value).to_le_bytes().as_slice(), &value].concat()
 }
 
 #[test]
-fn each_record_of_a_stored_file_keeps_its_bytes() {
+fn record_encodings_of_a_stored_file_are_unchanged() {
     let folder = copy("records");
     let file = Database::open(folder.0.join(FILE)).expect("opened");
     let reading = file.begin_read().expect("readable");
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -1,4 +1,5 @@
-//! Members of the log that stay away are removed, and join again under their own ids; a leader that ends hands over.
+//! Tests that silent members are removed and rejoin under their own ids, and that a leader hands over when it shuts
+//! down.
 
 mod common;
 
@@ -9,14 +10,14 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-/// An election, and what it takes to remove or add two members after it.
+/// The time for an election and the removal or addition of two members after it.
 const SETTLE_TIME: Duration = Duration::from_millis(6000);
 
 /// The voters as the leader knows them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Quorum {
     voters: usize,
-    /// How many of them can be lost.
+    /// The number of voters that can be lost.
     tolerable_losses: usize,
 }
 
@@ -44,9 +45,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn silent_members_are_removed_and_join_again_when_they_return() {
+async fn silent_members_are_removed_and_rejoin_when_they_return() {
     with_cluster(async |cluster| {
-        // The leader is among them: the next one knows only from then on who is silent.
+        // The lost members include the leader, and the next leader observes silence only from its election on.
         let leader = cluster.leader().expect("a leader");
         let lost = [leader, (leader + 1) % VOTERS];
         lost.iter().for_each(|i| cluster.kill(*i));
@@ -57,7 +58,7 @@
                 voters: 3,
                 tolerable_losses: 1
             }),
-            "one more can be lost"
+            "the remaining voters tolerate one more loss"
         );
         let third = (0..VOTERS).find(|i| !lost.contains(i) && cluster.leader() != Some(*i));
         cluster.kill(third.expect("three are up"));
@@ -68,9 +69,9 @@
                 voters: 3,
                 tolerable_losses: 0
             }),
-            "and is"
+            "one more voter is lost"
         );
-        // They return with disks on which they are voters still.
+        // The lost members return with disks on which they are still voters.
         lost.iter().for_each(|i| cluster.start(*i));
         sleep(SETTLE_TIME).await;
         let rejoined = quorum(&cluster).expect("a leader");
@@ -93,19 +94,23 @@
             let began = Instant::now();
             cluster
                 .server(leader)
-                .expect("it is up")
+                .expect("the server is up")
                 .shut_down(Duration::from_millis(1000))
                 .await;
             assert!(
                 began.elapsed() < Duration::from_millis(500),
-                "sooner than by a time-out"
+                "the handover took as long as an election timeout"
             );
             cluster.kill(leader);
             assert!(cluster.leader().is_some_and(|next| next != leader));
             sleep(Duration::from_millis(500)).await;
             cluster.start(leader);
             sleep(SETTLE_TIME).await;
-            assert_eq!(quorum(&cluster), Some(FULL), "no vote is lost by a restart");
+            assert_eq!(
+                quorum(&cluster),
+                Some(FULL),
+                "a voter is missing after a restart"
+            );
         }
     })
     .await;
--- a/crates/control-plane/tests/operator_commands.rs
+++ b/crates/control-plane/tests/operator_commands.rs
@@ -1,5 +1,6 @@
-//! Two operators whose answers get lost, on both sides of network partitions, while leaders die: what each was told is
-//! compared with what came into force. Real control processes over a seeded network and disks, on paused time.
+//! Tests two operators whose answers get lost while the network is partitioned and leaders are killed. The answers that
+//! each operator received are compared with what took effect. Runs real control servers with a simulated network and
+//! disks, on paused time.
 
 mod common;
 
@@ -20,7 +21,7 @@
 const ZONE_SEEDS: u64 = 6;
 const EVACUATIONS: usize = 5;
 const ZONE: &str = "a";
-/// As the settings of [`common`] have it.
+/// The resend window in the settings of [`common`].
 const RESEND_WINDOW: Duration = Duration::from_millis(6000);
 
 fn millis(rng: &RefCell<Rand64>, range: std::ops::Range<u64>) -> Duration {
@@ -31,7 +32,7 @@
     rng.borrow_mut().rand_range(0..n) == 0
 }
 
-/// Partitions (symmetric and one-way) and leaders that die, until `done`.
+/// Injects partitions, symmetric and one-way, and leader crashes until `done` is set.
 async fn inject_faults(cluster: &Rc<Cluster>, rng: &RefCell<Rand64>, done: &Cell<bool>) {
     while !done.get() {
         sleep(millis(rng, 100..2500)).await;
@@ -56,7 +57,7 @@
     }
 }
 
-/// The newest state, as a majority confirms it.
+/// Returns the state that a majority confirms as current.
 async fn read_state(cluster: &Rc<Cluster>) -> ReplicatedState {
     loop {
         if let Some(server) = cluster.leader().and_then(|leader| cluster.server(leader))
@@ -68,7 +69,7 @@
     }
 }
 
-/// The process that an operator calls next: mostly one that believes it leads.
+/// Chooses the server that an operator calls next, in most cases one that believes it is the leader.
 fn choose_server(cluster: &Rc<Cluster>, rng: &RefCell<Rand64>) -> usize {
     let any = rng.borrow_mut().rand_range(0..VOTERS as u64) as usize;
     cluster.leader().filter(|_| !one_in(rng, 4)).unwrap_or(any)
@@ -76,18 +77,22 @@
 
 // ---------------------------------------------------------------- configurations
 
-/// What operators were told, and what was in force.
+/// The answers that operators received, and the configurations that took effect.
 #[derive(Default)]
 struct History {
-    /// Targets of acknowledged changes, by their base.
+    /// Targets of acknowledged changes, by base revision.
     acknowledged: BTreeMap<u64, BTreeSet<u64>>,
-    refused: BTreeSet<u64>,
-    in_force: BTreeMap<u64, u64>,
+    /// Targets of rejected changes.
+    rejected: BTreeSet<u64>,
+    /// The target in effect, by revision.
+    in_effect: BTreeMap<u64, u64>,
+    /// Changes for which two answers were received.
     repeated: usize,
 }
 
-/// Sends a change until its answer is heard; whether it was acknowledged. `None`: no answer in time.
-async fn send_until_heard(
+/// Sends a change until its answer is received. Returns whether it was acknowledged, or `None` without an answer in
+/// time.
+async fn send_until_answered(
     cluster: &Rc<Cluster>,
     rng: &RefCell<Rand64>,
     command: &Command,
@@ -95,7 +100,7 @@
     let until = Instant::now() + Duration::from_secs(8);
     while Instant::now() < until {
         let server = cluster.server(choose_server(cluster, rng));
-        // The caller may leave at any point of it.
+        // The caller may disconnect at any point during the call.
         let call_timeout = if one_in(rng, 4) {
             millis(rng, 0..30)
         } else {
@@ -110,13 +115,13 @@
             .ok(),
             None => None,
         };
-        let heard = !one_in(rng, 3);
+        let received = !one_in(rng, 3);
         match answer {
-            Some(Ok(CommandOutcome::Applied | CommandOutcome::AlreadyApplied)) if heard => {
+            Some(Ok(CommandOutcome::Applied | CommandOutcome::AlreadyApplied)) if received => {
                 return Some(true);
             }
             Some(Ok(CommandOutcome::RevisionMismatch { .. } | CommandOutcome::Invalid(_)))
-                if heard =>
+                if received =>
             {
                 return Some(false);
             }
@@ -136,7 +141,8 @@
     let mut sent_before: Vec<(u64, u64, u64, Option<bool>)> = Vec::new();
     for n in 0..CHANGES as u64 {
         let current = read_state(&cluster).await.revision;
-        // One revision with two contents, two revisions, or the very same; now and then on a guessed base.
+        // The operators send the same revision with different contents, different revisions, or identical changes, and
+        // sometimes guess a future base.
         let base = if one_in(rng, 6) { current + 2 } else { current };
         let rev = base + 2 + rng.borrow_mut().rand_range(0..2);
         let target = if one_in(rng, 4) {
@@ -144,17 +150,17 @@
         } else {
             first_target + n
         };
-        let told = send_until_heard(&cluster, rng, &change(base, rev, target)).await;
-        sent_before.push((base, rev, target, told));
-        record(history, base, target, told, seed);
-        // An earlier change comes once more, or a copy of it was long on its way.
-        let again = rng.borrow_mut().rand_range(0..sent_before.len() as u64) as usize;
-        let (base, rev, target, told) = sent_before[again];
-        let repeated = send_until_heard(&cluster, rng, &change(base, rev, target)).await;
-        if let (Some(told), Some(repeated)) = (told, repeated) {
+        let answer = send_until_answered(&cluster, rng, &change(base, rev, target)).await;
+        sent_before.push((base, rev, target, answer));
+        record(history, base, target, answer, seed);
+        // An earlier change is resent, or a delayed copy of it arrives.
+        let resent = rng.borrow_mut().rand_range(0..sent_before.len() as u64) as usize;
+        let (base, rev, target, answer) = sent_before[resent];
+        let repeated = send_until_answered(&cluster, rng, &change(base, rev, target)).await;
+        if let (Some(answer), Some(repeated)) = (answer, repeated) {
             assert_eq!(
-                told, repeated,
-                "seed {seed}: {base} -> {rev} ({target}) was told both"
+                answer, repeated,
+                "seed {seed}: {base} -> {rev} ({target}) was both acknowledged and rejected"
             );
             history.borrow_mut().repeated += 1;
         }
@@ -162,25 +168,26 @@
     }
 }
 
-/// One winner a base; what is acknowledged is never refused to another who sent the very same.
-fn record(history: &RefCell<History>, base: u64, target: u64, told: Option<bool>, seed: u64) {
+/// Records an answer, and checks that at most one change is acknowledged per base. Targets from 5000 on are sent by
+/// both operators.
+fn record(history: &RefCell<History>, base: u64, target: u64, answer: Option<bool>, seed: u64) {
     let mut history = history.borrow_mut();
-    match told {
+    match answer {
         Some(true) => {
             let winners = history.acknowledged.entry(base).or_default();
             winners.insert(target);
             assert_eq!(
                 winners.len(),
                 1,
-                "seed {seed}: two winners on top of {base}: {winners:?}"
+                "seed {seed}: two changes acknowledged on top of {base}: {winners:?}"
             );
         }
-        Some(false) if target < 5000 => drop(history.refused.insert(target)),
+        Some(false) if target < 5000 => drop(history.rejected.insert(target)),
         _ => {}
     }
 }
 
-/// Records what is in force anywhere, until `done`.
+/// Records the configurations in effect on all servers until `done` is set, and checks that they agree.
 async fn watch(cluster: &Rc<Cluster>, history: &RefCell<History>, done: &Cell<bool>, seed: u64) {
     while !done.get() {
         for server in (0..VOTERS).filter_map(|i| cluster.server(i)) {
@@ -189,12 +196,12 @@
             if let Some(target) = config["routes"][0]["target_ms"].as_u64() {
                 let was = *history
                     .borrow_mut()
-                    .in_force
+                    .in_effect
                     .entry(state.revision)
                     .or_insert(target);
                 assert_eq!(
                     was, target,
-                    "seed {seed}: two contents of version {}",
+                    "seed {seed}: two configurations with revision {}",
                     state.revision
                 );
             }
@@ -222,40 +229,40 @@
     let last = read_state(&cluster).await;
     let History {
         acknowledged,
-        refused,
-        in_force,
+        rejected,
+        in_effect,
         repeated,
     } = history.into_inner();
-    for target in &refused {
+    for target in &rejected {
         assert!(
-            !in_force.values().any(|t| t == target),
-            "seed {seed}: {target} was refused"
+            !in_effect.values().any(|t| t == target),
+            "seed {seed}: {target} was rejected but took effect"
         );
     }
     for (base, winners) in &acknowledged {
-        let known = in_force.values().any(|target| winners.contains(target));
+        let known = in_effect.values().any(|target| winners.contains(target));
         assert!(
             known && last.revision > *base,
-            "seed {seed}: {winners:?} on {base} is gone"
+            "seed {seed}: {winners:?} on top of {base} was acknowledged but is lost"
         );
     }
-    (acknowledged.len(), refused.len(), repeated)
+    (acknowledged.len(), rejected.len(), repeated)
 }
 
 #[test]
 fn acknowledged_changes_form_one_history() {
-    let (mut acknowledged, mut refused, mut repeated) = (0, 0, 0);
+    let (mut acknowledged, mut rejected, mut repeated) = (0, 0, 0);
     for seed in 0..SEEDS {
-        let told = run(run_changes(seed));
-        acknowledged += told.0;
-        refused += told.1;
-        repeated += told.2;
+        let counts = run(run_changes(seed));
+        acknowledged += counts.0;
+        rejected += counts.1;
+        repeated += counts.2;
     }
     assert!(
-        acknowledged >= 60 && refused >= 25,
-        "{acknowledged} and {refused} of 160"
+        acknowledged >= 60 && rejected >= 25,
+        "{acknowledged} acknowledged and {rejected} rejected of 160"
     );
-    assert!(repeated >= 100, "{repeated} of 160 came twice");
+    assert!(repeated >= 100, "{repeated} of 160 were answered twice");
 }
 
 fn run<T>(test: impl Future<Output = T>) -> T {
@@ -270,25 +277,28 @@
 
 // -------------------------------------------------------------------- evacuations
 
-/// Longer than a call is sent again.
-const LONGER_THAN_RESENDS: Duration = Duration::from_millis(7500);
+/// A time after which callers no longer resend a call.
+const PAST_RESEND_WINDOW: Duration = Duration::from_millis(7500);
 
-/// Two operators at one zone.
+/// The shared state of two operators that evacuate and return one zone.
 struct Evacuations {
-    /// They begin theirs further apart than a call is sent again, and nothing else goes wrong.
-    apart: bool,
-    /// When an evacuation was asked for last.
+    /// Whether evacuations begin further apart than the resend window and no other faults are injected.
+    spaced: bool,
+    /// When an evacuation was last requested.
     begun: Cell<Option<Instant>>,
-    /// Operators that heard that the zone is evacuated, and have not begun to return it.
-    told: Cell<usize>,
-    /// Those of them that heard so since the last return was over, how many returns are under way, and were begun.
+    /// Operators that received the acknowledgement of their evacuation and have not begun to return the zone.
+    acknowledged: Cell<usize>,
+    /// Those of them whose acknowledgement came while no return was in progress, since the last return began.
     undisturbed: Cell<usize>,
+    /// Returns in progress.
     returning: Cell<usize>,
+    /// Returns begun so far.
     returns: Cell<u64>,
     done: Cell<bool>,
 }
 
-/// Evacuates or returns the zone as operators do: until it is acknowledged, for `ack_ms` at most.
+/// Evacuates or returns the zone, resending the call until it is acknowledged or the resend window ends. Returns
+/// whether the operator received the acknowledgement.
 async fn send_zone_call(
     cluster: &Rc<Cluster>,
     rng: &RefCell<Rand64>,
@@ -306,17 +316,19 @@
             } else {
                 COMMAND_TIMEOUT
             };
-            let taken = timeout(
+            let result = timeout(
                 call_timeout,
                 server.submit_zone_command(ZONE, begin, COMMAND_TIMEOUT),
             )
             .await;
-            if let Ok(Ok(mut acknowledgement)) = taken {
-                // Not written, lost or heard with a sign of it, lost or heard without; lost with a sign that it was
-                // heard. Of a return the sign is right, and there is one where nothing else goes wrong.
+            if let Ok(Ok(mut acknowledgement)) = result {
+                // The outcome of the acknowledgement: 0 is not written, 1 is lost with a broken connection, 2, 3 and 6
+                // are received and confirmed, 4 is lost and 5 received without the server learning of it, and 7 is lost
+                // but confirmed. A return is confirmed only if it was received, and without other faults the server
+                // always learns its outcome.
                 let deliveries = if begin {
                     8
-                } else if zone.apart {
+                } else if zone.spaced {
                     4
                 } else {
                     7
@@ -325,7 +337,7 @@
                 if delivery > 0 {
                     acknowledgement.mark_sent();
                 }
-                // The sign takes its way back, if there is one.
+                // A confirmation or a connection reset takes some time to reach the server.
                 sleep(millis(rng, 1..20)).await;
                 match delivery {
                     0 | 4 | 5 => drop(acknowledgement),
@@ -345,21 +357,21 @@
 async fn evacuate_and_return(cluster: Rc<Cluster>, rng: &RefCell<Rand64>, zone: &Evacuations) {
     for _ in 0..EVACUATIONS {
         sleep(millis(rng, 0..2000)).await;
-        while zone.apart
+        while zone.spaced
             && zone
                 .begun
                 .get()
-                .is_some_and(|at| at.elapsed() < LONGER_THAN_RESENDS)
+                .is_some_and(|at| at.elapsed() < PAST_RESEND_WINDOW)
         {
             sleep(millis(rng, 1..500)).await;
         }
         if send_zone_call(&cluster, rng, true, zone).await {
-            zone.told.set(zone.told.get() + 1);
+            zone.acknowledged.set(zone.acknowledged.get() + 1);
             if zone.returning.get() == 0 {
                 zone.undisturbed.set(zone.undisturbed.get() + 1);
             }
-            sleep(millis(rng, 0..if zone.apart { 20_000 } else { 4000 })).await;
-            zone.told.set(zone.told.get() - 1);
+            sleep(millis(rng, 0..if zone.spaced { 20_000 } else { 4000 })).await;
+            zone.acknowledged.set(zone.acknowledged.get() - 1);
             zone.undisturbed.set(0);
             zone.returns.set(zone.returns.get() + 1);
             zone.returning.set(zone.returning.get() + 1);
@@ -369,37 +381,46 @@
     }
 }
 
-/// Checks that the zone has as many evacuations as were acknowledged, until all is done; the most that were at once.
+/// Checks until `done` is set that the zone has at least as many evacuations as are acknowledged. Returns the largest
+/// number acknowledged at once.
 async fn watch_evacuations(cluster: &Rc<Cluster>, zone: &Evacuations, seed: u64) -> usize {
     let mut seen = 0;
     while !zone.done.get() {
-        let before = (zone.told.get(), zone.undisturbed.get(), zone.returns.get());
+        let before = (
+            zone.acknowledged.get(),
+            zone.undisturbed.get(),
+            zone.returns.get(),
+        );
         let state = read_state(cluster).await;
-        let told = before.0.min(zone.told.get());
+        let acknowledged = before.0.min(zone.acknowledged.get());
         let undisturbed = if before.2 == zone.returns.get() {
             before.1.min(1)
         } else {
             0
         };
-        let least = if zone.apart { told } else { undisturbed };
-        let stand = state.evacuation_count(ZONE);
+        let min = if zone.spaced {
+            acknowledged
+        } else {
+            undisturbed
+        };
+        let count = state.evacuation_count(ZONE);
         assert!(
-            stand >= least,
-            "seed {seed}: {least} were told so, and {stand} stand"
+            count >= min,
+            "seed {seed}: {min} evacuations acknowledged, but {count} in effect"
         );
-        seen = seen.max(told);
-        sleep(Duration::from_millis(if zone.apart { 40 } else { 10 })).await;
+        seen = seen.max(acknowledged);
+        sleep(Duration::from_millis(if zone.spaced { 40 } else { 10 })).await;
     }
     seen
 }
 
-async fn run_evacuations(seed: u64, apart: bool) -> (usize, usize) {
+async fn run_evacuations(seed: u64, spaced: bool) -> (usize, usize) {
     let rng = RefCell::new(Rand64::new(u128::from(seed)));
     let cluster = Cluster::new();
     let zone = Evacuations {
-        apart,
+        spaced,
         begun: Cell::default(),
-        told: Cell::default(),
+        acknowledged: Cell::default(),
         undisturbed: Cell::default(),
         returning: Cell::default(),
         returns: Cell::default(),
@@ -414,7 +435,7 @@
         zone.done.set(true);
     };
     let faults = async {
-        if !apart {
+        if !spaced {
             inject_faults(&cluster, &rng, &zone.done).await;
         }
     };
@@ -424,63 +445,69 @@
 
 #[test]
 fn zone_stays_evacuated_until_each_acknowledged_evacuation_is_returned() {
-    let (mut left, mut both) = (0, 0);
+    let (mut still_evacuated, mut both) = (0, 0);
     for seed in 0..ZONE_SEEDS {
-        let (stand, seen) = run(run_evacuations(seed, true));
-        assert_eq!(stand, 0, "seed {seed}: all have returned it");
+        let (count, seen) = run(run_evacuations(seed, true));
+        assert_eq!(count, 0, "seed {seed}: all operators returned the zone");
         both += usize::from(seen == 2);
-        let (stand, seen) = run(run_evacuations(seed, false));
-        left += usize::from(stand > 0);
+        let (count, seen) = run(run_evacuations(seed, false));
+        still_evacuated += usize::from(count > 0);
         both += usize::from(seen == 2);
     }
-    println!("{left} of {ZONE_SEEDS} zones stay evacuated amid cuts and returns without a sign");
-    assert!(both >= 9, "only {both} of 12 had two evacuations at once");
+    println!(
+        "{still_evacuated} of {ZONE_SEEDS} zones stay evacuated with partitions and unconfirmed returns"
+    );
+    assert!(
+        both >= 9,
+        "only {both} of 12 runs had two evacuations at once"
+    );
 }
 
 #[test]
 fn isolated_leader_answers_indeterminate() {
-    // A leader that is cut off in the middle of a command does not confirm, refuse or redirect to itself.
-    let cut_off = async {
+    // A leader that is partitioned during a command must not acknowledge or reject it, or redirect to itself.
+    let test = async {
         let cluster = Cluster::new();
         read_state(&cluster).await;
-        let leader = cluster.leader().expect("it leads");
+        let leader = cluster.leader().expect("a leader");
         for other in (0..VOTERS).filter(|i| *i != leader) {
             cluster
                 .blocked_links
                 .borrow_mut()
                 .extend([(leader, other), (other, leader)]);
         }
-        let server = cluster.server(leader).expect("it runs");
-        let (order, early) = (change(0, 2, 10), change(7, 9, 10));
+        let server = cluster.server(leader).expect("the server is up");
+        let (current, future) = (change(0, 2, 10), change(7, 9, 10));
         let answers = tokio::join!(
-            server.submit_command(&order, COMMAND_TIMEOUT),
-            server.submit_command(&early, COMMAND_TIMEOUT),
+            server.submit_command(&current, COMMAND_TIMEOUT),
+            server.submit_command(&future, COMMAND_TIMEOUT),
             server.submit_zone_command(ZONE, true, COMMAND_TIMEOUT)
         );
         assert_eq!(answers.0, Err(Indeterminate::NoMajority));
         assert_eq!(answers.1, Err(Indeterminate::NoMajority));
         assert!(matches!(answers.2, Err(Indeterminate::NoMajority)));
     };
-    run(cut_off);
+    run(test);
 }
 
 #[test]
 fn outcome_comes_from_the_commands_own_entry() {
-    // The leader is cut off with an order in its log that nobody has; another order takes its place there.
+    // The leader is partitioned with a command in its log that no other server has, and another command takes that
+    // command's log index.
     let test = async {
         let cluster = Cluster::new();
         read_state(&cluster).await;
-        let leader = cluster.leader().expect("it leads");
-        let server = cluster.server(leader).expect("it runs");
-        let (lost, wins) = (change(0, 2, 10), change(0, 2, 20));
-        let mut order = std::pin::pin!(server.submit_command(&lost, Duration::from_secs(30)));
+        let leader = cluster.leader().expect("a leader");
+        let server = cluster.server(leader).expect("the server is up");
+        let (lost, winning) = (change(0, 2, 10), change(0, 2, 20));
+        let mut submission = std::pin::pin!(server.submit_command(&lost, Duration::from_secs(30)));
         loop {
-            // Takes the place that the next leader's first entry will have.
+            // Fills the log index that the next leader's first entry will have.
             server.propose_key_changes("s", Vec::new());
             let last = server.log_status().own.last_log_index;
             tokio::select! {
                 biased;
-                verdict = &mut order => panic!("{verdict:?} without a majority"),
+                outcome = &mut submission => panic!("{outcome:?} without a majority"),
                 () = std::future::ready(()) => {}
             }
             if server.log_status().own.last_log_index > last {
@@ -495,15 +522,15 @@
             .extend(others().flat_map(|i| [(leader, i), (i, leader)]));
         let side: Vec<usize> = others().collect();
         let until = Instant::now() + Duration::from_secs(10);
-        let heals = async {
-            assert_eq!(cluster.submit(&side, &wins, until).await, Some(true));
+        let win_and_heal = async {
+            assert_eq!(cluster.submit(&side, &winning, until).await, Some(true));
             cluster.blocked_links.borrow_mut().clear();
             cluster
                 .connection_epoch
                 .set(cluster.connection_epoch.get() + 1);
         };
-        let (verdict, ()) = tokio::join!(order, heals);
-        assert_eq!(verdict, Err(Indeterminate::NoMajority));
+        let (outcome, ()) = tokio::join!(submission, win_and_heal);
+        assert_eq!(outcome, Err(Indeterminate::NoMajority));
         assert_eq!(
             read_state(&cluster).await.check(&lost),
             CommandOutcome::RevisionMismatch { current: 2 }
--- a/crates/control-plane/tests/peer_writer.rs
+++ b/crates/control-plane/tests/peer_writer.rs
@@ -1,4 +1,4 @@
-//! What is written to a peer over a slow link, on paused time.
+//! Tests what is written to a peer over a slow link, on paused time.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Bytes a millisecond on a link of 1 Mbit/s.
+/// Bytes per millisecond on a link of 1 Mbit/s.
 const LINK_BYTES_PER_MS: usize = 125;
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// The log's election time-out.
+/// The election timeout of Raft.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Passes on what comes at one end of a link, at the link's pace.
+/// Forwards bytes in one direction at the bandwidth of the link.
 async fn run_slow_link(mut from: DuplexStream, mut to: DuplexStream) {
     let mut part = vec![0; LINK_BYTES_PER_MS * 10];
     while let Ok(n @ 1..) = from.read(&mut part).await {
@@ -29,14 +29,14 @@
     }
 }
 
-/// A message that is not of the log.
+/// Returns a message that does not belong to Raft.
 fn zone_message(i: usize, bytes: usize) -> PeerMessage {
     PeerMessage::ZoneSnapshotRequest {
         zone: format!("{i}{}", "z".repeat(bytes)),
     }
 }
 
-/// A message of the log.
+/// Returns a Raft heartbeat.
 fn heartbeat(sequence: u64) -> PeerMessage {
     let body = MessageBody::AppendEntries(AppendEntries {
         prev_log_index: 0,
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn heartbeats_pass_a_long_introduction_on_a_slow_link() {
+async fn heartbeats_are_not_delayed_by_a_long_introduction_on_a_slow_link() {
     const ZONES: usize = 40;
     let introduction: Vec<PeerMessage> = (0..ZONES).map(|i| zone_message(i, 15_000)).collect();
     let (mut writer, link) = tokio::io::duplex(16 << 10);
@@ -79,7 +79,7 @@
             wire::receive_message::<PeerMessage>(&mut reader),
         )
         .await;
-        match received.expect("the link stands").expect("a frame") {
+        match received.expect("the link is up").expect("a frame") {
             PeerMessage::ZoneSnapshotRequest { .. } => zones += 1,
             _ => {
                 longest_gap = longest_gap.max(last_heartbeat.elapsed());
@@ -88,27 +88,33 @@
         }
     }
     longest_gap = longest_gap.max(last_heartbeat.elapsed());
-    assert!(begin.elapsed() > Duration::from_secs(4), "the link is slow");
+    assert!(
+        begin.elapsed() > Duration::from_secs(4),
+        "the link is not slow"
+    );
     assert!(
         longest_gap < ELECTION_TIMEOUT,
         "no heartbeat for {longest_gap:?}"
     );
-    assert!(!written.is_finished(), "the connection stands");
+    assert!(!written.is_finished(), "the connection was closed");
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn stalled_link_ends_the_connection_and_other_messages_have_their_turn() {
+async fn stalled_link_ends_the_connection_and_other_messages_are_not_starved() {
     let (mut writer, mut reader) = tokio::io::duplex(1 << 10);
     let (sender, mut queue) = mpsc::channel(256);
-    (0..100).for_each(|sequence| sender.try_send(heartbeat(sequence)).expect("room"));
-    sender.try_send(zone_message(0, 10)).expect("room");
+    (0..100).for_each(|sequence| sender.try_send(heartbeat(sequence)).expect("capacity"));
+    sender.try_send(zone_message(0, 10)).expect("capacity");
     let written = tokio::spawn(async move { write_all(&mut writer, Vec::new(), &mut queue).await });
     let mut before = 0;
     while let PeerMessage::Raft(_) = wire::receive_message(&mut reader).await.expect("a frame") {
         before += 1;
     }
-    assert!(before <= 8, "{before} messages of the log before it");
-    // However much is queued while the link takes little, no more than so much waits.
+    assert!(
+        before <= 8,
+        "{before} Raft messages were sent before the other message"
+    );
+    // The number of waiting messages is bounded, no matter how many are queued while the link is slow.
     let mut queued = 0;
     for _ in 0..20 {
         while sender.try_send(heartbeat(0)).is_ok() {
@@ -119,11 +125,11 @@
             .expect("a frame");
         tokio::task::yield_now().await;
     }
-    assert!(queued < 1000, "{queued} messages were taken in");
-    // Nothing is read from here on.
+    assert!(queued < 1000, "{queued} messages were queued");
+    // From here on the reader is idle, so the link stalls.
     let ended = timeout(Duration::from_secs(10), written)
         .await
-        .expect("it ends")
+        .expect("the writer ends")
         .expect("no panic");
     assert_eq!(
         ended.expect_err("a stalled link").kind(),
