--- a/crates/mutation-testing/src/fault.rs
+++ b/crates/mutation-testing/src/fault.rs
@@ -1,25 +1,27 @@
-//! A deliberate fault: a patch under a header.
+//! Deliberate faults: patches whose headers describe the fault and name the tests that have to catch it.
 
 use std::path::{Path, PathBuf};
 
 use crate::Error;
 
+/// A deliberate fault, read from a patch file.
 pub(crate) struct Fault {
-    /// The file's name without its extension.
+    /// The name of the patch file without its extension.
     pub(crate) name: String,
+    /// The patch file.
     pub(crate) path: PathBuf,
-    /// What is wrong with the patched sources.
+    /// What is wrong in the patched sources.
     pub(crate) description: String,
-    /// The commands that have to catch it, in the order in which they are run.
+    /// The test commands that have to catch the fault, in the order in which they are run.
     pub(crate) tests: Vec<String>,
 }
 
 impl Fault {
-    /// Reads the patches of a directory, sorted by name.
+    /// Reads all patches in a directory, sorted by name.
     ///
     /// # Errors
     ///
-    /// The directory or one of its patches can't be read, or a header lacks a line.
+    /// Returns an error if the directory or a patch can't be read, or if a header lacks a required line.
     pub(crate) fn read_all(directory: &Path) -> Result<Vec<Self>, Error> {
         let file_error = |source| Error::File {
             path: directory.to_path_buf(),
--- a/crates/mutation-testing/src/main.rs
+++ b/crates/mutation-testing/src/main.rs
@@ -1,16 +1,17 @@
 //! Mutation testing with hand-picked faults: `cargo run -p mutation-testing -- AREA [FAULT...]`.
 //!
-//! Each `tests/faults/AREA/FAULT.patch` is a unified diff under a header that says what is wrong with the patched
-//! sources, and names the commands that have to catch it. They are run in turn until one fails:
+//! Each `tests/faults/AREA/FAULT.patch` is a unified diff. Its header describes the fault and lists the test commands
+//! that have to catch it, which are run in order until one fails:
 //!
 //! ```text
 //! Fault: compare no id
 //! Test: cargo test -p data-plane --test model
 //! ```
 //!
-//! The sources are copied to a temporary directory, where every command has to pass at first. Then each patch is
-//! applied, built, tested and reverted. The table goes to `docs/mutation-testing.md`, unless only some of the faults
-//! were asked for. The exit status is 1 if a fault was not caught. The working tree itself is not changed.
+//! The sources are copied to a temporary directory, where every command first has to pass without any fault. Then each
+//! patch is applied, built, tested and reverted. The results are written to `docs/mutation-testing.md`, unless faults
+//! were selected on the command line. The exit status is 1 if a fault was not caught. Apart from that page, the working
+//! tree is not changed.
 
 mod fault;
 mod report;
@@ -23,9 +24,9 @@
 use fault::Fault;
 use source_copy::{SourceCopy, TestResult};
 
-/// Directory of the patches, from the root of the repository.
+/// The directory of the patches, relative to the root of the repository.
 const FAULTS_DIRECTORY: &str = "tests/faults";
-/// The page with the tables of all areas, from the root of the repository.
+/// The page with the results of all areas, relative to the root of the repository.
 const PAGE: &str = "docs/mutation-testing.md";
 
 #[derive(Debug, thiserror::Error)]
@@ -35,37 +36,39 @@
         path: PathBuf,
         source: std::io::Error,
     },
-    #[error("{path}: no `{line}` line in its header")]
+    #[error("{path}: the header has no `{line}` line")]
     MissingHeader { path: PathBuf, line: &'static str },
     /// A command could not be started.
-    #[error("{command}: {source}")]
+    #[error("could not start {command}: {source}")]
     Start {
         command: String,
         source: std::io::Error,
     },
-    /// A command that has to succeed has failed.
-    #[error("{command}: {stderr}")]
+    /// A command that has to succeed failed.
+    #[error("{command} failed: {stderr}")]
     Failed { command: String, stderr: String },
-    #[error("`{0}` fails without any fault")]
-    FailsUnchanged(String),
-    #[error("no fault `{0}` in this area")]
+    #[error("`{0}` fails even without a fault")]
+    FailsWithoutFault(String),
+    #[error("this area has no fault `{0}`")]
     UnknownFault(String),
     #[error("usage: mutation-testing AREA [FAULT...], where AREA is a directory of tests/faults")]
     Usage,
 }
 
-/// What became of a fault.
+/// The result of testing a fault.
 enum Verdict {
+    /// A test command failed.
     Caught {
         /// The command that failed.
         command: String,
-        /// The tests that failed in it.
+        /// The tests that failed; empty if the run ended without naming any.
         tests: Vec<String>,
     },
+    /// All test commands passed.
     Missed,
-    /// The sources have changed: the patch has to be made anew.
+    /// The sources have changed: the patch has to be updated.
     DoesNotApply,
-    /// The compiler rejects it: it is no fault that a test could miss.
+    /// The patched sources do not compile, so the fault says nothing about the tests.
     DoesNotBuild,
 }
 
@@ -80,7 +83,7 @@
     }
 }
 
-/// Tests the faults that the command line names. Returns whether all of them are caught.
+/// Tests the faults selected on the command line. Returns whether all of them were caught.
 fn run() -> Result<bool, Error> {
     let mut arguments = std::env::args().skip(1);
     let area = arguments.next().ok_or(Error::Usage)?;
@@ -106,18 +109,19 @@
     Ok(verdicts.iter().all(|(_, verdict)| verdict.is_caught()))
 }
 
-/// Runs every test command once without any fault: a test that fails anyway catches nothing.
+/// Runs every test command once without a fault: a test that fails anyway would seem to catch every fault.
 fn check_unchanged_sources(sources: &SourceCopy, faults: &[Fault]) -> Result<(), Error> {
     let commands: BTreeSet<&String> = faults.iter().flat_map(|f| &f.tests).collect();
     for command in commands {
-        eprintln!("unchanged: {command}");
+        eprintln!("without a fault: {command}");
         if !matches!(sources.test(command)?, TestResult::Passed) {
-            return Err(Error::FailsUnchanged(command.clone()));
+            return Err(Error::FailsWithoutFault(command.clone()));
         }
     }
     Ok(())
 }
 
+/// Applies a fault, runs its test commands until one fails, and reverts the fault.
 fn test_fault(sources: &SourceCopy, fault: &Fault) -> Result<Verdict, Error> {
     if !sources.apply(fault)? {
         return Ok(Verdict::DoesNotApply);
--- a/crates/mutation-testing/src/report.rs
+++ b/crates/mutation-testing/src/report.rs
@@ -1,4 +1,4 @@
-//! The table of faults, and its place in the page that keeps the tables of all areas.
+//! The results page: one section per area, each with a table of its faults.
 
 use std::fs;
 use std::path::Path;
@@ -6,19 +6,20 @@
 use crate::fault::Fault;
 use crate::{Error, Verdict};
 
-/// The head of a new page.
+/// The beginning of a new page.
 const INTRODUCTION: &str = "# Mutation testing
 
-Each fault is a patch in `tests/faults/AREA`, put into a copy of the sources and held against the tests that its
-header names. A section is made anew by the command under its title; the exit status is 1 if a fault is not caught.
+Each fault is a patch in `tests/faults/AREA` that is applied to a copy of the sources, where the tests named in its
+header have to catch it. The command under a title rewrites that section; its exit status is 1 if a fault is not caught.
 ";
 
 impl Verdict {
+    /// Returns whether a test caught the fault.
     pub(crate) fn is_caught(&self) -> bool {
         matches!(self, Self::Caught { .. })
     }
 
-    /// The verdict as the table shows it.
+    /// Returns the verdict as shown in the table.
     pub(crate) fn text(&self) -> &'static str {
         match self {
             Self::Caught { .. } => "caught",
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The tests that caught the fault; their command where it ended without naming any.
+    /// Returns the tests that caught the fault, or the command if its run ended without naming any.
     fn caught_by(&self) -> String {
         let quoted = |text: &String| format!("`{text}`");
         match self {
@@ -39,7 +40,7 @@
     }
 }
 
-/// The table of one area, in Markdown.
+/// Returns the Markdown table of one area.
 pub(crate) fn table(verdicts: &[(Fault, Verdict)]) -> String {
     let row = |(fault, verdict): &(Fault, Verdict)| {
         let (text, caught_by) = (verdict.text(), verdict.caught_by());
@@ -49,11 +50,11 @@
     format!("| fault | verdict | by |\n| --- | --- | --- |\n{rows}")
 }
 
-/// Replaces the section of an area in the page, or adds it. A page that is missing is begun.
+/// Replaces an area's section in the page, or adds it. Creates the page if it does not exist.
 ///
 /// # Errors
 ///
-/// The page can't be read or written.
+/// Returns an error if the page can't be read or written.
 pub(crate) fn update_page(
     page: &Path,
     area: &str,
@@ -85,6 +86,7 @@
     fs::write(page, text.join("\n\n") + "\n").map_err(file_error)
 }
 
+/// Returns the section of one area: title, command, count and table.
 fn section(title: &str, area: &str, verdicts: &[(Fault, Verdict)]) -> String {
     let caught = verdicts.iter().filter(|(_, v)| v.is_caught()).count();
     let (all, table) = (verdicts.len(), table(verdicts));
--- a/crates/mutation-testing/src/source_copy.rs
+++ b/crates/mutation-testing/src/source_copy.rs
@@ -1,4 +1,4 @@
-//! A copy of the sources that faults are put into, with a target directory of its own.
+//! A copy of the sources, with its own target directory, in which faults are applied and tested.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,26 +7,27 @@
 use crate::Error;
 use crate::fault::Fault;
 
-/// The copy. It is removed when this is dropped; its target directory stays, for the next run.
+/// A copy of the sources in a temporary directory. Dropping it removes the copy, but keeps the target directory so that
+/// the next run builds incrementally.
 pub(crate) struct SourceCopy {
     directory: PathBuf,
     target_directory: PathBuf,
 }
 
-/// How a test command ended.
+/// The result of a test command.
 pub(crate) enum TestResult {
     Passed,
-    /// The tests that failed; none where the run ended without naming any.
+    /// The tests that failed; empty if the run ended without naming any.
     Failed(Vec<String>),
     DoesNotBuild,
 }
 
 impl SourceCopy {
-    /// Copies all files that git tracks or would track, as they are in the working tree.
+    /// Copies all files in the working tree that git tracks or does not ignore, including uncommitted changes.
     ///
     /// # Errors
     ///
-    /// Git does not list the files, or one of them can't be copied.
+    /// Returns an error if git can't list the files, or if a file can't be copied.
     pub(crate) fn new(root: &Path) -> Result<Self, Error> {
         let name = format!("shorefront-mutation-testing-{}", std::process::id());
         let copy = Self {
@@ -44,7 +45,7 @@
         let listed = succeed(list.current_dir(root))?;
         for name in String::from_utf8_lossy(&listed.stdout).split_terminator('\0') {
             let (from, to) = (root.join(name), copy.directory.join(name));
-            // A file that was deleted in the working tree is still listed.
+            // Git also lists files that are deleted in the working tree but still tracked.
             if from.is_file() {
                 copy_file(&from, &to)?;
             }
@@ -52,16 +53,18 @@
         Ok(copy)
     }
 
-    /// Applies the patch of a fault. Returns whether it fits.
+    /// Applies the patch of a fault. Returns whether it applied cleanly.
     pub(crate) fn apply(&self, fault: &Fault) -> Result<bool, Error> {
         Ok(output(&mut self.git_apply(fault, &[]))?.status.success())
     }
 
-    /// Takes the patch of a fault back.
+    /// Reverts the patch of a fault.
     pub(crate) fn revert(&self, fault: &Fault) -> Result<(), Error> {
         succeed(&mut self.git_apply(fault, &["-R"])).map(drop)
     }
 
+    /// Returns the `git apply` command for a fault. `-C1` and `--recount` tolerate changed context
+    /// lines and outdated line counts in hunk headers.
     fn git_apply(&self, fault: &Fault, options: &[&str]) -> Command {
         let mut command = Command::new("git");
         command
@@ -72,7 +75,7 @@
         command
     }
 
-    /// Builds, and then runs a test command: a build that fails is no test that fails.
+    /// Runs a test command. Builds it first, so that a build failure is not taken for a failing test.
     pub(crate) fn test(&self, command: &str) -> Result<TestResult, Error> {
         let (build, arguments) = command.split_once(" -- ").unwrap_or((command, ""));
         if !self.shell(&format!("{build} --no-run"))?.status.success() {
@@ -90,6 +93,7 @@
         Ok(TestResult::Failed(failed.collect()))
     }
 
+    /// Runs a shell command in the copy, with the copy's target directory.
     fn shell(&self, text: &str) -> Result<Output, Error> {
         let mut command = Command::new("sh");
         command
@@ -102,12 +106,12 @@
 
 impl Drop for SourceCopy {
     fn drop(&mut self) {
-        // What is left over in the temporary directory harms nobody.
+        // Files left behind in the temporary directory do no harm.
         let _ = fs::remove_dir_all(&self.directory);
     }
 }
 
-/// Runs a command, and returns its output whatever its status.
+/// Runs a command and returns its output, whatever its exit status.
 fn output(command: &mut Command) -> Result<Output, Error> {
     command.output().map_err(|source| Error::Start {
         command: format!("{command:?}"),
@@ -115,7 +119,7 @@
     })
 }
 
-/// Runs a command that has to succeed.
+/// Runs a command and returns its output, or an error if its exit status is not zero.
 fn succeed(command: &mut Command) -> Result<Output, Error> {
     let output = output(command)?;
     if output.status.success() {
@@ -127,6 +131,7 @@
     })
 }
 
+/// Copies a file and creates the missing directories on its path.
 fn copy_file(from: &Path, to: &Path) -> Result<(), Error> {
     let file_error = |source| Error::File {
         path: from.to_path_buf(),
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,24 +1,26 @@
-//! A model of a machine's disk, as the store of the control plane uses it: one transaction at a time, which takes all
-//! requests that wait by then.
+//! A model of a machine's disk, as the control plane's store uses it: one transaction at a time, which contains all
+//! requests that are waiting when it begins.
 //!
-//! It promises what the real file promises: after a loss of power everything synced is there, and the transaction
-//! under way is there whole or not at all. Requests that wait are lost. That a torn page of the real file is found by
-//! its checksum is shown by the test `disk` of the control plane.
+//! It gives the same guarantees as the real file: after a power failure, everything synced is present, and the
+//! transaction in progress is present completely or not at all. Waiting requests are lost. The `disk` test of the
+//! control plane shows that the real file detects torn pages by their checksums.
 
 use control_plane::store::DiskRequest;
 use raft::{Entry, PersistentState};
 
-/// One machine's disk.
+/// The disk of one machine.
 #[derive(Default)]
 pub(crate) struct Disk {
-    /// What is synced.
+    /// The synced state.
     pub(crate) persisted: PersistentState,
+    /// The requests of the transaction in progress; empty if there is none.
     transaction: Vec<DiskRequest>,
+    /// Requests for the next transaction.
     waiting: Vec<DiskRequest>,
 }
 
 impl Disk {
-    /// A disk with this content.
+    /// Creates a disk with this synced state.
     pub(crate) fn with_state(persisted: PersistentState) -> Self {
         Self {
             persisted,
@@ -26,12 +28,12 @@
         }
     }
 
-    /// Puts a request in the queue for the next transaction.
+    /// Adds a request to the next transaction.
     pub(crate) fn enqueue(&mut self, request: DiskRequest) {
         self.waiting.push(request);
     }
 
-    /// Whether an entry is synced, in the log or as part of the snapshot.
+    /// Returns whether an entry is synced, in the log or as part of the snapshot.
     pub(crate) fn has_entry(&self, entry: &Entry) -> bool {
         let snapshot_index = self.persisted.snapshot.as_ref().map_or(0, |s| s.index);
         entry.index <= snapshot_index
@@ -42,7 +44,7 @@
                 .any(|e| e.index == entry.index && e.term == entry.term)
     }
 
-    /// Entries that wait for the next transaction.
+    /// Returns the entries that wait for the next transaction.
     pub(crate) fn waiting_entries(&self) -> impl Iterator<Item = &Entry> {
         let entries = self.waiting.iter().filter_map(|request| match request {
             DiskRequest::Persist(persist) => Some(&persist.entries),
@@ -51,7 +53,7 @@
         entries.flatten()
     }
 
-    /// Begins the next transaction, unless one is under way or nothing waits. Returns whether it did.
+    /// Begins the next transaction, unless one is in progress or no request is waiting. Returns whether it began.
     pub(crate) fn begin_transaction(&mut self) -> bool {
         if !self.transaction.is_empty() || self.waiting.is_empty() {
             return false;
@@ -60,7 +62,7 @@
         true
     }
 
-    /// Syncs the transaction under way. Returns the sequence number of its last request to persist.
+    /// Syncs the transaction in progress. Returns the sequence number of its last persist request.
     pub(crate) fn complete_transaction(&mut self) -> Option<u64> {
         let mut last_sequence = None;
         for request in std::mem::take(&mut self.transaction) {
@@ -72,7 +74,8 @@
         last_sequence
     }
 
-    /// The process or its power is gone. `is_synced`: the transaction under way had just reached the disk.
+    /// Handles a crash of the process or a power failure. `is_synced` tells whether the transaction in progress still
+    /// reached the disk.
     pub(crate) fn on_crash(&mut self, is_synced: bool) {
         if is_synced {
             self.complete_transaction();
@@ -82,7 +85,7 @@
     }
 }
 
-/// Changes what a disk holds as the store's transaction for the request does.
+/// Applies a request to the state on a disk, as the store's transaction does.
 pub fn apply_request(persisted: &mut PersistentState, request: DiskRequest) {
     match request {
         DiskRequest::Persist(persist) => persisted.apply(persist),
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -1,16 +1,17 @@
-//! The simulated clock's queue: events by time, and in the order in which they were scheduled where times are equal.
+//! The event queue of the simulation, ordered by time. Events at the same time keep the order in which they were
+//! scheduled.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Events that are still to happen.
+/// The pending events.
 pub(crate) struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Scheduled<E>>>,
     next_sequence: u64,
 }
 
 impl<E> EventQueue<E> {
-    /// A queue without events.
+    /// Creates an empty queue.
     pub(crate) fn new() -> Self {
         Self {
             heap: BinaryHeap::new(),
@@ -18,7 +19,7 @@
         }
     }
 
-    /// Adds an event that happens at `at_ms`.
+    /// Schedules an event at `at_ms`.
     pub(crate) fn schedule(&mut self, at_ms: u64, event: E) {
         self.next_sequence += 1;
         self.heap.push(Reverse(Scheduled {
@@ -28,13 +29,13 @@
         }));
     }
 
-    /// Removes the next event, with its time in milliseconds.
+    /// Removes and returns the next event and its time in milliseconds.
     pub(crate) fn pop(&mut self) -> Option<(u64, E)> {
         let Reverse(next) = self.heap.pop()?;
         Some((next.at_ms, next.event))
     }
 
-    /// How many events are still to happen.
+    /// Returns the number of pending events.
     pub(crate) fn len(&self) -> usize {
         self.heap.len()
     }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -1,7 +1,7 @@
-//! What was seen in a run, and the checks of the invariants against it.
+//! Records the observations of a run and checks the invariants against them.
 //!
-//! The world reports each observation to [`History`]. A check that fails is kept as the run's violation, the first one
-//! only. Nothing here draws from the seed or changes what is simulated.
+//! The world reports each observation to [`History`], which keeps the first check that fails as the run's violation.
+//! Nothing here draws random numbers or affects the simulation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -13,25 +13,25 @@
 
 use crate::invariant::Invariant;
 
-/// A violation shows so many characters of a configuration.
-const SHOWN_CHARACTERS: usize = 12;
+/// The number of characters of a configuration that the text of a violation includes.
+const BODY_PREFIX_CHARACTERS: usize = 12;
 
-/// How much a run gave to the checks.
+/// Counts what a run produced for the checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Commands acknowledged to operators.
     pub acknowledged: u64,
-    /// Commands rejected for good.
+    /// Commands that were definitely rejected.
     pub rejected: u64,
     /// Reads served.
     pub reads: u64,
-    /// Changes of the members committed.
+    /// Membership changes committed.
     pub membership_changes: u64,
     /// Snapshots received from a leader and installed.
     pub installed_snapshots: u64,
 }
 
-/// Identifies a command; its text is for readers of a violation.
+/// Identifies a command. The text is a readable form for violations.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CommandKey {
     text: String,
@@ -44,8 +44,8 @@
         let text = match command {
             Command::Replace { base, body } => {
                 (base, body).hash(&mut hasher);
-                let shown: String = body.chars().take(SHOWN_CHARACTERS).collect();
-                format!("{shown} on {base}")
+                let prefix: String = body.chars().take(BODY_PREFIX_CHARACTERS).collect();
+                format!("{prefix} on {base}")
             }
             other => {
                 let text = format!("{other:?}");
@@ -60,46 +60,47 @@
     }
 }
 
-/// Who was elected in a term.
+/// The leader of a term, and when it was first observed.
 #[derive(Clone, Copy)]
 struct Election {
     leader: NodeId,
     at_ms: u64,
 }
 
-/// Up to which index acknowledgements had been given at a time.
+/// The newest index observed by clients at the time of an acknowledgement.
 struct Acknowledgement {
     at_ms: u64,
     index: u64,
 }
 
-/// All that was committed, acknowledged, rejected and read so far.
+/// Everything that was committed, acknowledged, rejected and read so far.
 #[derive(Default)]
 pub(crate) struct History {
+    /// By term.
     elections: BTreeMap<u64, Election>,
-    /// Every entry that was ever written to a log, by index and term.
+    /// Every entry that was written to any log, by index and term.
     written: BTreeMap<(u64, u64), Entry>,
-    /// Committed entries: that of index 1 comes first.
+    /// Committed entries, starting with index 1.
     committed: Vec<Entry>,
-    /// The replicated state after each index, from index 0.
+    /// The replicated state after each index, starting with index 0.
     states: Vec<Rc<ReplicatedState>>,
     /// The index at which each command was applied.
     applied: BTreeMap<CommandKey, u64>,
-    /// The acknowledged command on top of each revision.
+    /// The acknowledged command that builds on each revision.
     successors: BTreeMap<u64, CommandKey>,
     rejected: BTreeSet<CommandKey>,
-    /// The newest index that an acknowledgement or a read has shown to anybody.
-    shown_index: u64,
-    /// In the order of their times.
+    /// The newest index that any client has observed through an acknowledgement or a read.
+    observed_index: u64,
+    /// Ordered by time.
     acknowledgements: Vec<Acknowledgement>,
-    /// The members as of the last committed entry that names them.
+    /// The members as of the last committed membership change.
     members: Members,
     counts: Counts,
     violation: Option<(Invariant, String)>,
 }
 
 impl History {
-    /// A history that begins with these members.
+    /// Creates a history with the initial members.
     pub(crate) fn new(members: Members) -> Self {
         let states = vec![Rc::new(ReplicatedState::default())];
         Self {
@@ -109,53 +110,54 @@
         }
     }
 
-    /// Takes the first violation, if there is one.
+    /// Takes the first violation, if any.
     pub(crate) fn take_violation(&mut self) -> Option<(Invariant, String)> {
         self.violation.take()
     }
 
+    /// Records a violation of the invariant unless `holds` is true or there is a violation already.
     fn check(&mut self, holds: bool, invariant: Invariant, detail: impl FnOnce() -> String) {
         if !holds && self.violation.is_none() {
             self.violation = Some((invariant, detail()));
         }
     }
 
-    /// How much was checked so far.
+    /// Returns how much was checked so far.
     pub(crate) fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The members as last committed.
+    /// Returns the last committed members.
     pub(crate) fn members(&self) -> &Members {
         &self.members
     }
 
-    /// The newest index that anybody has been shown.
-    pub(crate) fn shown_index(&self) -> u64 {
-        self.shown_index
+    /// Returns the newest index that any client has observed.
+    pub(crate) fn observed_index(&self) -> u64 {
+        self.observed_index
     }
 
-    /// The newest term in which a leader was elected; 0 if there is none.
+    /// Returns the newest term in which a leader was elected, or 0 if there is none.
     pub(crate) fn newest_term(&self) -> u64 {
         self.elections.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// The entry committed at an index.
+    /// Returns the entry committed at an index.
     pub(crate) fn committed_entry(&self, index: u64) -> Option<&Entry> {
         self.committed.get(index.checked_sub(1)? as usize)
     }
 
-    /// Whether an index is known to be committed.
+    /// Returns whether an index is known to be committed.
     pub(crate) fn is_committed(&self, index: u64) -> bool {
         index <= self.committed.len() as u64
     }
 
-    /// Whether an entry was written to a log.
+    /// Returns whether an entry was written to any log.
     pub(crate) fn is_written(&self, entry: &Entry) -> bool {
         self.written.contains_key(&(entry.index, entry.term))
     }
 
-    /// Those of `members` that vote, and do not vote as of the last commit.
+    /// Returns the voters of `members` that are not voters of the last committed members.
     pub(crate) fn new_voters(&self, members: &Members) -> Vec<NodeId> {
         let voters = members.voters.keys().copied();
         voters
@@ -165,7 +167,7 @@
 
     // ------------------------------------------------------------- the log
 
-    /// A member is leader of a term. Checks [`Invariant::ElectionSafety`].
+    /// Records that a member is the leader of a term. Checks [`Invariant::ElectionSafety`].
     pub(crate) fn on_leader(&mut self, term: u64, id: NodeId, now_ms: u64) {
         let election = *self.elections.entry(term).or_insert(Election {
             leader: id,
@@ -177,17 +179,19 @@
         });
     }
 
-    /// The leader of a term claims that it led at a time. Checks [`Invariant::LeadershipConfirmation`].
+    /// Records the claim of a term's leader that it was the leader at `at_ms`. Checks
+    /// [`Invariant::LeadershipConfirmation`].
     pub(crate) fn on_leadership_confirmed(&mut self, term: u64, at_ms: u64) {
         let next = self.elections.range(term + 1..).next();
         let next = next.map(|(term, election)| (*term, election.at_ms));
         let holds = next.is_none_or(|(_, elected_ms)| elected_ms >= at_ms);
         self.check(holds, Invariant::LeadershipConfirmation, || {
-            format!("the leader of term {term} led at {at_ms}, and another since {next:?}")
+            format!("term {term} claims leadership at {at_ms}, but the next term and its election: {next:?}")
         });
     }
 
-    /// A member claims quorum contact up to a time, with this much applied. Checks [`Invariant::QuorumContact`].
+    /// Records the claim of a member that it had quorum contact up to `at_ms` and has applied the entries up to the
+    /// index `applied`. Checks [`Invariant::QuorumContact`].
     pub(crate) fn on_quorum_contact(&mut self, id: NodeId, at_ms: u64, applied: u64) {
         let earlier = self.acknowledgements.partition_point(|a| a.at_ms < at_ms);
         let required = earlier
@@ -195,30 +199,33 @@
             .map_or(0, |last| self.acknowledgements[last].index);
         self.check(applied >= required, Invariant::QuorumContact, || {
             format!(
-                "{id} is in contact up to {at_ms} with {applied}, and {required} was acknowledged"
+                "{id} claims quorum contact up to {at_ms} with {applied} applied, but {required} was acknowledged"
             )
         });
     }
 
-    /// A member is about to become a voter; `is_caught_up`: its disk has everything that was shown by now. Checks
-    /// [`Invariant::NewVoterIsCaughtUp`].
+    /// Records that a member is about to become a voter. `is_caught_up` tells whether its disk has everything that was
+    /// observed by now. Checks [`Invariant::NewVoterIsCaughtUp`].
     pub(crate) fn on_new_voter(&mut self, id: NodeId, is_caught_up: bool) {
-        let shown = self.shown_index;
+        let observed = self.observed_index;
         self.check(is_caught_up, Invariant::NewVoterIsCaughtUp, || {
-            format!("{id} becomes a voter, and its disk lacks some of what was shown up to {shown}")
+            format!("{id} becomes a voter, but its disk lacks entries up to {observed}")
         });
     }
 
-    /// An entry is written to a log. Checks [`Invariant::LogMatching`].
+    /// Records that an entry is written to a log. Checks [`Invariant::LogMatching`].
     pub(crate) fn on_written(&mut self, entry: &Entry) {
         let key = (entry.index, entry.term);
         let is_same = self.written.entry(key).or_insert_with(|| entry.clone()) == entry;
         self.check(is_same, Invariant::LogMatching, || {
-            format!("two entries at {} of term {}", entry.index, entry.term)
+            format!(
+                "different entries at index {} of term {}",
+                entry.index, entry.term
+            )
         });
     }
 
-    /// A leader commits an index; `is_synced` tells which voters have it on synced disks. Checks
+    /// Records that a leader commits an index. `is_synced` tells whether a voter has it on its synced disk. Checks
     /// [`Invariant::Durability`].
     pub(crate) fn on_leader_commit(
         &mut self,
@@ -231,24 +238,28 @@
             let voters: Vec<NodeId> = members.voters.keys().copied().collect();
             let synced = voters.iter().copied().filter(|id| is_synced(*id));
             let synced: Vec<NodeId> = synced.collect();
-            format!("{index} is committed and synced at {synced:?} of {voters:?}")
+            format!("{index} is committed, but synced only by {synced:?} of {voters:?}")
         });
     }
 
-    /// A member applies an entry. Checks [`Invariant::LogMatching`], and follows the replicated state where it is the
-    /// first one to apply this index.
+    /// Records that a member applies an entry, and updates the replicated state if no member has applied this index
+    /// before. Checks [`Invariant::LogMatching`].
     pub(crate) fn on_applied(&mut self, entry: &Entry) {
         let position = entry.index as usize - 1;
         if let Some(known) = self.committed.get(position) {
             let is_same = known == entry;
             self.check(is_same, Invariant::LogMatching, || {
-                format!("two entries committed at {}", entry.index)
+                format!("different entries committed at index {}", entry.index)
             });
             return;
         }
         let next = self.committed.len();
         self.check(position == next, Invariant::LogMatching, || {
-            format!("{} committed where {} was next", entry.index, next + 1)
+            format!(
+                "index {} committed, but {} was expected",
+                entry.index,
+                next + 1
+            )
         });
         self.committed.push(entry.clone());
         let mut state = self.states.last().cloned().unwrap_or_default();
@@ -270,76 +281,83 @@
         self.states.push(state);
     }
 
+    /// Records that a command changed the replicated state. Checks [`Invariant::RejectionIsFinal`].
     fn on_command_applied(&mut self, command: &Command, index: u64) {
         let key = CommandKey::new(command);
         let is_rejected = self.rejected.contains(&key);
         self.check(!is_rejected, Invariant::RejectionIsFinal, || {
-            format!("rejected, and applied at {index}: {key:?}")
+            format!("command applied at index {index} after its rejection: {key:?}")
         });
         self.applied.insert(key, index);
     }
 
-    /// A member has installed a snapshot.
+    /// Records that a member installed a snapshot.
     pub(crate) fn on_snapshot_installed(&mut self) {
         self.counts.installed_snapshots += 1;
     }
 
-    /// A member has this state after an index. Checks [`Invariant::StateMachineSafety`].
+    /// Records a member's state after an index. Checks [`Invariant::StateMachineSafety`].
     pub(crate) fn on_state(&mut self, id: NodeId, index: u64, state: &ReplicatedState) {
         let known = self.states.get(index as usize);
         let is_same = known.is_some_and(|known| **known == *state);
         self.check(is_same, Invariant::StateMachineSafety, || {
             let revision = state.revision;
-            format!("{id} has another state at {index}: revision {revision}")
+            format!("the state of {id} at {index} differs from others: revision {revision}")
         });
     }
 
     // ------------------------------------------------------------- clients
 
-    /// A command on top of revision `base` is acknowledged to an operator. Checks
+    /// Records that a command based on revision `base` is acknowledged to an operator. Checks
     /// [`Invariant::AcknowledgedIsApplied`] and [`Invariant::OneSuccessorPerRevision`].
     pub(crate) fn on_acknowledged(&mut self, now_ms: u64, base: u64, command: &Command) {
         self.counts.acknowledged += 1;
         let key = CommandKey::new(command);
         let index = self.applied.get(&key).copied();
         self.check(index.is_some(), Invariant::AcknowledgedIsApplied, || {
-            format!("acknowledged, and not applied: {key:?}")
+            format!("command acknowledged but not applied: {key:?}")
         });
-        self.shown_index = self.shown_index.max(index.unwrap_or(0));
+        self.observed_index = self.observed_index.max(index.unwrap_or(0));
         self.acknowledgements.push(Acknowledgement {
             at_ms: now_ms,
-            index: self.shown_index,
+            index: self.observed_index,
         });
         let successor = self.successors.entry(base).or_insert_with(|| key.clone());
         let successor = successor.clone();
         let is_only = successor == key;
         self.check(is_only, Invariant::OneSuccessorPerRevision, || {
-            format!("two acknowledged on top of {base}: {successor:?} and {key:?}")
+            format!("two acknowledged for base revision {base}: {successor:?} and {key:?}")
         });
     }
 
-    /// A command is rejected for good. Checks [`Invariant::RejectionIsFinal`].
+    /// Records that a command was definitely rejected. Checks [`Invariant::RejectionIsFinal`].
     pub(crate) fn on_rejected(&mut self, command: &Command) {
         self.counts.rejected += 1;
         let key = CommandKey::new(command);
         let is_applied = self.applied.contains_key(&key);
         self.check(!is_applied, Invariant::RejectionIsFinal, || {
-            format!("applied, and rejected: {key:?}")
+            format!("command rejected but applied: {key:?}")
         });
         self.rejected.insert(key);
     }
 
-    /// A read is served at `index`; it began when `shown_index` was the newest index shown. Checks
+    /// Records a read served at `index` that began when `observed_index` was the newest observed index. Checks
     /// [`Invariant::LinearizableReads`].
-    pub(crate) fn on_read(&mut self, shown_index: u64, index: u64) {
+    pub(crate) fn on_read(&mut self, observed_index: u64, index: u64) {
         self.counts.reads += 1;
-        self.check(index >= shown_index, Invariant::LinearizableReads, || {
-            format!("a read saw {index}, and {shown_index} was shown before it began")
-        });
-        self.shown_index = self.shown_index.max(index);
+        self.check(
+            index >= observed_index,
+            Invariant::LinearizableReads,
+            || {
+                format!(
+                    "a read returned {index}, but {observed_index} was observed before it began"
+                )
+            },
+        );
+        self.observed_index = self.observed_index.max(index);
     }
 
-    /// No command was acknowledged in time: breaks [`Invariant::Liveness`].
+    /// Records that no command was acknowledged in time, which violates [`Invariant::Liveness`].
     pub(crate) fn on_stalled(&mut self, detail: String) {
         self.check(false, Invariant::Liveness, || detail);
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,25 +1,26 @@
-//! Deterministic simulation of the control plane: one seeded clock, network and disks, faults from a schedule, and
+//! Deterministic simulation of the control plane: a simulated clock, network and disks, faults from a schedule, and
 //! invariants that are checked after every event.
 //!
-//! A [`schedule::Schedule`] is a seed and a list of faults; [`world::run`] plays it. The same schedule gives the same
-//! run, event by event, so that a failure is replayed from its seed. [`shrink`] removes faults from a failing schedule
-//! for as long as it still violates the same invariant, and prints the rest as a test.
+//! A [`schedule::Schedule`] is a seed and a list of faults, and [`world::run`] runs it. The same schedule always gives
+//! the same sequence of events, so a failure can be reproduced from its seed. [`shrink`] removes faults from a failing
+//! schedule as long as it still violates the same invariant, and prints the remaining schedule as a test.
 //!
-//! Real here: [`raft::RaftNode`], the replicated state ([`control_plane::configuration::ReplicatedState`]) and the
-//! requests to the store ([`control_plane::store::DiskRequest`]). Modelled: the clock, the network, the disks with
-//! their transactions, and the host that connects them. The test `control_plane` of this crate drives the real host,
-//! `control_plane::server::ControlServer`, on paused time.
+//! The simulation uses the real [`raft::RaftNode`], the real replicated state
+//! ([`control_plane::configuration::ReplicatedState`]) and the real storage requests
+//! ([`control_plane::store::DiskRequest`]). The clock, the network, the disks with their transactions, and the host
+//! that connects them are models. The test `control_plane` of this crate runs the real host,
+//! `control_plane::server::ControlServer`, on tokio's paused clock.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | [`schedule`] | faults with their times, generated from a seed |
+//! | [`schedule`] | faults and their times, generated from a seed |
 //! | [`world`] | the event loop and its handlers |
-//! | `event_queue` | what happens next |
-//! | `process` | a control process: the real parts and a model of their host |
-//! | [`disk`], `network` | the models of disks and network |
-//! | `operator` | clients that race to change the configuration |
-//! | `history`, `invariant` | what was seen, and what must hold of it |
-//! | [`shrink`] | smaller schedules that still fail |
+//! | `event_queue` | pending events, ordered by time |
+//! | `process` | a control process: the real Raft node and state, and a model of their host |
+//! | [`disk`], `network` | models of the disks and the network |
+//! | `operator` | clients that concurrently change the configuration |
+//! | `history`, `invariant` | observations of a run, and the properties they must satisfy |
+//! | [`shrink`] | reduction of a failing schedule to fewer faults |
 
 pub mod disk;
 mod event_queue;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays schedules of new seeds, shrinks those that fail and prints them as tests.
+//! Runs the schedules of a range of seeds, shrinks those that fail, and prints them as tests.
 //!
 //! The exit status is 1 if an invariant was violated. `cargo run --release -p simulation -- --help` lists the options.
 
@@ -14,9 +14,9 @@
 use simulation::shrink::{as_test, shrink};
 use simulation::{Invariant, Violation, world};
 
-/// So many failures of each invariant are shrunk and printed.
+/// The number of failures that are shrunk and printed for each invariant.
 const MAX_PRINTED: usize = 2;
-/// So many seeds of each invariant are listed.
+/// The number of failing seeds that are listed for each invariant.
 const MAX_LISTED_SEEDS: usize = 20;
 
 #[derive(Parser)]
@@ -38,34 +38,35 @@
     threads: u64,
 }
 
+/// A seed whose schedule violated an invariant.
 struct Failure {
     seed: u64,
     violation: Violation,
 }
 
-/// What the threads share.
+/// Counters shared by all threads.
 struct Progress {
-    /// Seeds that were begun.
-    begun: AtomicU64,
-    /// Simulated events of all seeds.
+    /// Seeds whose runs were started.
+    seeds_started: AtomicU64,
+    /// Simulated events, over all seeds.
     events: AtomicU64,
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    // A panic is a violation like others here, and is printed as one.
+    // A panic in a run is reported as a violation, so the default panic message is suppressed.
     std::panic::set_hook(Box::new(|_| {}));
-    let began = Instant::now();
-    let deadline = began + Duration::from_secs(60 * arguments.minutes);
+    let started = Instant::now();
+    let deadline = started + Duration::from_secs(60 * arguments.minutes);
     let progress = Progress {
-        begun: AtomicU64::new(0),
+        seeds_started: AtomicU64::new(0),
         events: AtomicU64::new(0),
     };
     let (sender, failures) = mpsc::channel();
     thread::scope(|scope| {
         for _ in 0..arguments.threads {
             let sender = sender.clone();
-            scope.spawn(|| play_seeds(&arguments, deadline, &progress, sender));
+            scope.spawn(|| run_seeds(&arguments, deadline, &progress, sender));
         }
     });
     drop(sender);
@@ -76,10 +77,13 @@
     }
     println!(
         "{} schedules from seed {}, {} events, {:.1} s",
-        progress.begun.load(Ordering::Relaxed).min(arguments.seeds),
+        progress
+            .seeds_started
+            .load(Ordering::Relaxed)
+            .min(arguments.seeds),
         arguments.from,
         progress.events.load(Ordering::Relaxed),
-        began.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     );
     for (invariant, failures) in &mut by_invariant {
         print_failures(*invariant, failures);
@@ -91,19 +95,19 @@
     }
 }
 
-/// One thread: plays the next seed until none is left or the time is over.
+/// Runs one seed after the other until none is left or the deadline has passed.
 #[expect(
     clippy::needless_pass_by_value,
     reason = "each thread drops its sender when it ends"
 )]
-fn play_seeds(
+fn run_seeds(
     arguments: &Arguments,
     deadline: Instant,
     progress: &Progress,
     failures: mpsc::Sender<Failure>,
 ) {
     while Instant::now() < deadline {
-        let n = progress.begun.fetch_add(1, Ordering::Relaxed);
+        let n = progress.seeds_started.fetch_add(1, Ordering::Relaxed);
         if n >= arguments.seeds {
             return;
         }
@@ -118,6 +122,7 @@
     }
 }
 
+/// Prints the seeds that violated an invariant, and shrinks the first of them to tests.
 fn print_failures(invariant: Invariant, failures: &mut [Failure]) {
     failures.sort_by_key(|f| f.seed);
     let seeds = failures.iter().map(|f| f.seed).take(MAX_LISTED_SEEDS);
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,68 +1,71 @@
-//! A model of the network between machines: delays, losses, duplicates, partitions in one or both directions, and
+//! A model of the network between machines: delays, packet loss, duplicates, partitions in one or both directions, and
 //! low-bandwidth links.
 //!
-//! Without [`Network::set_packet_loss`] a connection keeps its order, and what is sent arrives unless there is a
-//! partition or a queue of more than two seconds. Under packet loss messages may overtake each other.
+//! Without packet loss ([`Network::set_packet_loss`]), messages of a connection stay in order, and each one arrives
+//! unless there is a partition or a queue of more than two seconds. With packet loss, messages may be reordered.
 
 use std::collections::BTreeMap;
 
 use oorandom::Rand64;
 use raft::{AppendEntries, Message, MessageBody, Payload};
 
-/// A message takes at least this long, in milliseconds.
+/// The shortest delay of a message, in milliseconds.
 const MIN_DELAY_MS: u64 = 1;
-/// And less than this.
+/// Delays are shorter than this, in milliseconds.
 const MAX_DELAY_MS: u64 = 25;
-/// What each message takes on the wire beside its entries.
+/// The size of a message on the wire without its entries.
 const FRAME_BYTES: u64 = 120;
-/// What an entry takes that carries no command.
+/// The size of an entry that contains no command.
 const SMALL_ENTRY_BYTES: u64 = 32;
-/// A message that would wait longer for a low-bandwidth link is lost: the connection ends, with all that waited.
+/// A message that would wait longer than this for a low-bandwidth link is lost, as if its connection had been closed.
 const MAX_QUEUE_MS: u64 = 2000;
-/// A duplicate comes later by less than this.
+/// A duplicate arrives less than this after the original, in milliseconds.
 const MAX_DUPLICATE_DELAY_MS: u64 = 500;
 
-/// From a slot to a slot.
+/// A direction of a link: the slots of the sender and the receiver.
 type Direction = (usize, usize);
 
+/// An additional delay of all messages of a machine.
 struct Latency {
     max_delay_ms: u64,
     until_ms: u64,
 }
 
+/// A limit on the bandwidth of a machine.
 struct LowBandwidthLink {
     bytes_per_second: u64,
     until_ms: u64,
-    /// When all that was sent so far has passed.
+    /// When all messages sent so far have been transmitted.
     free_at_ms: u64,
 }
 
+/// Random loss and duplication of messages on all links.
 #[derive(Default)]
 struct PacketLoss {
     percent: u64,
     until_ms: u64,
 }
 
-/// All links, and the faults on them.
+/// All links and their faults.
 #[derive(Default)]
 pub(crate) struct Network {
-    /// Until when each direction is cut.
+    /// The time until which each direction is blocked.
     partitioned_until_ms: BTreeMap<Direction, u64>,
     latency: BTreeMap<usize, Latency>,
     low_bandwidth: BTreeMap<usize, LowBandwidthLink>,
     packet_loss: PacketLoss,
-    /// When what was sent last in each direction arrives: nothing later may overtake it.
+    /// The arrival time of the last message in each direction, which no later message may overtake.
     last_arrival_ms: BTreeMap<Direction, u64>,
 }
 
 impl Network {
-    /// Cuts one direction.
+    /// Blocks one direction until `until_ms`.
     pub(crate) fn partition_one_way(&mut self, from: usize, to: usize, until_ms: u64) {
         let known = self.partitioned_until_ms.entry((from, to)).or_default();
         *known = until_ms.max(*known);
     }
 
-    /// Cuts both directions between the machines whose bit in `side` is set and the others.
+    /// Blocks both directions between the machines whose bit in `side` is set and all others.
     pub(crate) fn partition(&mut self, side: u64, machines: usize, until_ms: u64) {
         let is_in_side = |machine: usize| side >> machine & 1 == 1;
         for a in 0..machines {
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Delays what a machine sends and receives by up to `max_delay_ms`.
+    /// Delays each message that a machine sends or receives by up to `max_delay_ms`.
     pub(crate) fn set_latency(&mut self, machine: usize, max_delay_ms: u64, until_ms: u64) {
         self.latency.insert(
             machine,
@@ -83,7 +86,7 @@
         );
     }
 
-    /// Puts a machine behind a low-bandwidth link.
+    /// Limits the bandwidth of a machine, shared by all messages that it sends and receives.
     pub(crate) fn set_bandwidth(&mut self, machine: usize, bytes_per_second: u64, until_ms: u64) {
         self.low_bandwidth.insert(
             machine,
@@ -95,7 +98,7 @@
         );
     }
 
-    /// Loses `percent` of all messages, and delivers as many twice.
+    /// Loses `percent` of all messages and delivers the same share twice.
     pub(crate) fn set_packet_loss(&mut self, percent: u64, until_ms: u64) {
         self.packet_loss = PacketLoss { percent, until_ms };
     }
@@ -111,7 +114,7 @@
             .is_some_and(|until_ms| now_ms < *until_ms)
     }
 
-    /// When a message that is sent now arrives: not at all, once or twice.
+    /// Returns the arrival times of a message that is sent now: none if it is lost, two if it is duplicated.
     pub(crate) fn arrivals(
         &mut self,
         rng: &mut Rand64,
@@ -158,7 +161,7 @@
     }
 }
 
-/// About how many bytes a message takes on the wire.
+/// Returns the approximate size of a message on the wire.
 pub(crate) fn message_bytes(message: &Message) -> u64 {
     let payload_bytes = |payload: &Payload| match payload {
         Payload::Data(data) => data.len() as u64,
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -1,81 +1,86 @@
-//! The workload: operators who race to change one configuration, retry whatever has no definite answer, and follow
-//! redirects to the leader.
+//! The clients of the workload: operators that concurrently change one configuration, retry each request until there is
+//! a definite response, and follow redirects to the leader.
 
 use control_plane::configuration::{Command, CommandOutcome};
 use oorandom::Rand64;
 
-/// Without a response for so long, an operator tries another machine. In milliseconds, as all below.
+/// How long an operator waits for a response before it tries another machine. In milliseconds, like all times below.
 pub(crate) const RESPONSE_TIMEOUT_MS: u64 = 1000;
-/// A request without a definite answer for so long is given up.
+/// A request without a definite response is abandoned after this time.
 const REQUEST_TIMEOUT_MS: u64 = 20_000;
-/// Between two attempts at a request.
+/// The delay between two attempts at a request.
 const RETRY_DELAY_MS: u64 = 60;
-/// Between two requests, at most.
+/// The longest pause between two requests.
 const MAX_PAUSE_MS: u64 = 1200;
-/// One in so many requests has the same body whoever sends it.
+/// One in this many requests has a body that does not depend on the operator.
 const SHARED_BODY_ONE_IN: u64 = 8;
 
-/// A response of a control process.
+/// A response from a control process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Response {
-    /// What became of the command.
+    /// The outcome of the command.
     Outcome(CommandOutcome),
-    /// Another process leads: the slot of its machine, if it is known.
+    /// Another process is the leader. Contains the slot of the leader's machine, if known.
     NotLeader(Option<usize>),
-    /// The command may be applied or not.
+    /// The command may or may not be applied.
     Indeterminate,
 }
 
-/// A change that an operator wants.
+/// A change of the configuration requested by an operator.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    /// The revision that it builds on.
+    /// The revision that the change is based on.
     pub(crate) base: u64,
-    /// The same in each attempt.
+    /// The command, which is the same in every attempt.
     pub(crate) command: Command,
+    /// The revision of the new configuration.
     revision: u64,
     created_ms: u64,
 }
 
-/// What an operator learns from a response.
+/// What a response tells an operator about its request.
 pub(crate) enum Conclusion {
     /// The change was made.
     Acknowledged(Request),
-    /// The change was rejected, and will never be made.
+    /// The change was rejected and will never be made.
     Rejected(Request),
-    /// Nothing yet.
+    /// The response is not definite.
     Undecided,
 }
 
-/// One operator. Its memory is never lost.
+/// An operator. Unlike control processes, it never crashes.
 pub(crate) struct Operator {
-    name: usize,
-    /// The newest revision that it knows of.
+    /// Position among the operators.
+    index: usize,
+    /// The newest revision that it knows.
     known_revision: u64,
+    /// The number of requests created so far.
     requests: u64,
     padding_bytes: usize,
-    /// The slot that it asks next.
+    /// The slot that the next attempt is sent to.
     target: usize,
-    /// Counts attempts, so that a late response is not taken for the one that is awaited.
+    /// Counts attempts, so that a late response is not mistaken for the response to the current attempt.
     pub(crate) attempt: u64,
+    /// The pending request.
     request: Option<Request>,
 }
 
 impl Operator {
-    /// An operator that knows of no revision. Its configurations are longer by `padding_bytes`.
-    pub(crate) fn new(name: usize, padding_bytes: usize) -> Self {
+    /// Creates an operator that knows no revision. Its configurations contain `padding_bytes` of padding.
+    pub(crate) fn new(index: usize, padding_bytes: usize) -> Self {
         Self {
-            name,
+            index,
             known_revision: 0,
             requests: 0,
             padding_bytes,
-            target: name,
+            target: index,
             attempt: 0,
             request: None,
         }
     }
 
-    /// Begins an attempt at the pending request, or at a new one. Returns the slot of the machine and the request.
+    /// Begins an attempt at the pending request, or at a new one if there is none or it has timed out. Returns the slot
+    /// of the machine to contact and the request.
     pub(crate) fn begin_attempt(
         &mut self,
         now_ms: u64,
@@ -92,19 +97,20 @@
         (self.target % machines, request)
     }
 
+    /// Creates a request based on the newest known revision.
     fn new_request(&mut self, now_ms: u64, rng: &mut Rand64) -> Request {
         self.requests += 1;
         let revision = self.known_revision + 1 + rng.rand_range(0..3);
-        // At times both operators send the very same.
+        // Sometimes both operators send identical commands.
         let is_shared = rng.rand_range(0..SHARED_BODY_ONE_IN) == 0;
         let target_ms = if is_shared {
             1
         } else {
-            1 + 100 * (self.name as u64 + 1) + self.requests % 90
+            1 + 100 * (self.index as u64 + 1) + self.requests % 90
         };
-        let note = "-".repeat(self.padding_bytes);
+        let padding = "-".repeat(self.padding_bytes);
         let body = format!(
-            r#"{{"rev": {revision}, "note": "{note}", "services": [{{"name": "s"}}], "routes": [{{"name": "r",
+            r#"{{"rev": {revision}, "note": "{padding}", "services": [{{"name": "s"}}], "routes": [{{"name": "r",
             "host": "h", "path_prefix": "/a/", "type": "mutating", "deadline_ms": 100,
             "target_ms": {target_ms}, "svc": "s", "tries": 2}}]}}"#
         );
@@ -117,12 +123,12 @@
         }
     }
 
-    /// No response came in time: the next machine is asked.
+    /// Handles a missing response: the next attempt goes to another machine.
     pub(crate) fn on_timeout(&mut self) {
         self.target += 1;
     }
 
-    /// A response came. Returns what it says, and after how many milliseconds the next attempt begins.
+    /// Handles a response. Returns its conclusion and the delay until the next attempt, in milliseconds.
     pub(crate) fn on_response(
         &mut self,
         response: &Response,
@@ -148,7 +154,7 @@
                 (Conclusion::Rejected(request), pause_ms)
             }
             Response::Outcome(CommandOutcome::Expired) => {
-                // This says nothing of the command: it may have been applied long ago.
+                // This is not a definite response: the command may have been applied long ago.
                 self.request = None;
                 (Conclusion::Undecided, pause_ms)
             }
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -1,9 +1,9 @@
-//! A control process: the real member of the log and the real replicated state, and a model of their host, which
-//! serves operators and readers as `control_plane::server` does.
+//! A control process: the real Raft node and the real replicated state, with a model of their host that serves commands
+//! and reads as `control_plane::server` does.
 //!
-//! It owns everything that ends with the process: what it has applied, pending commands and reads. Its disk belongs
-//! to the machine ([`Disk`]). It does no I/O: [`Process::handle`] takes an input, [`Process::advance`] carries out
-//! what follows, and what goes beyond the process comes back as [`Effect`]s.
+//! It owns all state that is lost with the process: the applied state, pending commands and pending reads. The disk
+//! ([`Disk`]) belongs to the machine. The process does no I/O: [`Process::handle`] takes an input, [`Process::advance`]
+//! carries out the resulting work of the Raft node, and everything that leaves the process is returned as [`Effect`]s.
 
 use std::collections::BTreeMap;
 
@@ -18,83 +18,84 @@
 use crate::operator::Response;
 use crate::schedule::Schedule;
 
-/// As the control process sets it.
+/// The timing that the real control process uses.
 const TIMING: Timing = Timing {
     heartbeat_interval_ms: 300,
     election_timeout_ms: 1000,
 };
-/// A command that is not decided on for so long gets no response.
+/// A command that is not processed within this time gets no response, in milliseconds.
 const COMMAND_TIMEOUT_MS: u64 = 900;
-/// How often a follower asks the leader to confirm quorum contact.
+/// The interval at which a follower requests quorum contact from the leader, in milliseconds.
 const CONTACT_INTERVAL_MS: u64 = 600;
-/// How often a process that is not a member asks to become one.
+/// The interval at which a process that is not a member requests to join, in milliseconds.
 const JOIN_INTERVAL_MS: u64 = 1000;
 
-/// Something that reaches a process.
+/// An input of a process.
 #[derive(Clone, Debug)]
 pub(crate) enum Input {
-    /// The clock of the log.
+    /// A tick of the Raft clock.
     Tick,
-    /// A message of another member.
+    /// A message from another member.
     Message(Message),
-    /// A machine asks to become a member.
+    /// A request of another machine to become a member.
     Join {
-        /// Its new member's id.
+        /// The id of the new member.
         id: NodeId,
-        /// Where that is reached.
+        /// The address of the new member.
         address: String,
     },
     /// The disk has synced all requests up to this sequence number.
     Persisted(u64),
-    /// The process is to shut down in order.
+    /// A request to shut down gracefully.
     Shutdown,
-    /// A command of an operator.
+    /// A command from an operator.
     Command {
-        /// Where the response goes.
+        /// The attempt to respond to.
         caller: Caller,
-        /// What is to be applied.
+        /// The command to apply.
         command: Command,
     },
-    /// Somebody reads.
+    /// A read of a client.
     Read {
-        /// The newest index that anybody had been shown when the read began.
-        shown_index: u64,
+        /// The newest index that any client had observed when the read began.
+        observed_index: u64,
     },
 }
 
-/// An attempt of an operator.
+/// An operator's attempt to send a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Caller {
     /// Position among the operators.
     pub(crate) operator: usize,
-    /// The operator's count of attempts.
+    /// The number of the attempt.
     pub(crate) attempt: u64,
 }
 
-/// Something that a process does beyond its own state.
+/// An action of a process that affects anything outside it.
 pub(crate) enum Effect {
     /// Sends a message to another member.
     Send(Message),
-    /// Asks all other machines to become a member.
+    /// Sends a join request to all other machines.
     Join,
     /// Responds to an operator.
     Respond(Caller, Response),
     /// Serves a read.
     ServeRead {
-        /// The newest index that anybody had been shown when the read began.
-        shown_index: u64,
-        /// What was applied when the read was served.
+        /// The newest index that any client had observed when the read began.
+        observed_index: u64,
+        /// The last applied index when the read was served.
         index: u64,
     },
-    /// Applied an entry.
+    /// Reports that an entry was applied.
     Applied(Entry),
-    /// Installed a snapshot.
+    /// Reports that a snapshot was installed.
     InstalledSnapshot,
-    /// Has its present state since this index.
+    /// Reports the index of the last entry that its current state includes.
     StateAt(u64),
 }
 
-/// What waits for a confirmed read: commands are decided on only with a state that is known to be current.
+/// A request that waits for its read index. Commands wait as well, because they are checked only against a state that
+/// is known to be current.
 enum PendingRead {
     Command {
         caller: Caller,
@@ -102,33 +103,33 @@
         deadline_ms: u64,
     },
     Read {
-        shown_index: u64,
+        observed_index: u64,
     },
 }
 
-/// A read whose index is confirmed; it is served once that index is applied.
+/// A request whose read index is confirmed. It is served once that index is applied.
 struct ConfirmedRead {
     index: u64,
     read: PendingRead,
 }
 
-/// A command in the log whose caller waits.
+/// A command in the log whose caller waits for a response.
 struct ProposedCommand {
     term: u64,
     caller: Caller,
 }
 
-/// A running process.
+/// A running control process.
 pub(crate) struct Process {
-    /// The member of the log.
+    /// The Raft node.
     pub(crate) raft: RaftNode,
     /// The replicated state as of the last applied entry.
     pub(crate) state: ReplicatedState,
     applied_index: u64,
     compaction_threshold: usize,
-    /// By index.
+    /// By log index.
     proposed_commands: BTreeMap<u64, ProposedCommand>,
-    /// By token.
+    /// By the token of the read request.
     pending_reads: BTreeMap<u64, PendingRead>,
     confirmed_reads: Vec<ConfirmedRead>,
     next_token: u64,
@@ -137,7 +138,7 @@
 }
 
 impl Process {
-    /// Starts a process from what the disk holds.
+    /// Starts a process from the synced state of its disk.
     pub(crate) fn start(
         id: NodeId,
         disk: &Disk,
@@ -157,19 +158,20 @@
             proposed_commands: BTreeMap::new(),
             pending_reads: BTreeMap::new(),
             confirmed_reads: Vec::new(),
-            // Begins anywhere: a response to an earlier process must not pass for one to this.
+            // Starts at a random token, so that responses to an earlier process are not mistaken for responses to this
+            // one.
             next_token: seed,
             join_requested_ms: 0,
             contact_requested_ms: 0,
         }
     }
 
-    /// The index of the last entry that is part of its state.
+    /// Returns the index of the last entry that the state includes.
     pub(crate) fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
-    /// Takes an input. [`Process::advance`] has to be called afterwards.
+    /// Handles an input. [`Process::advance`] must be called afterwards.
     pub(crate) fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         // The process may have been paused since the last tick.
@@ -183,7 +185,7 @@
             Input::Command { caller, command } => {
                 self.handle_command(now_ms, caller, command, &mut effects);
             }
-            Input::Read { shown_index } => self.begin_read(PendingRead::Read { shown_index }),
+            Input::Read { observed_index } => self.begin_read(PendingRead::Read { observed_index }),
         }
         effects
     }
@@ -202,11 +204,13 @@
         }
     }
 
+    /// Returns a new token for a read request.
     fn new_token(&mut self) -> u64 {
         self.next_token = self.next_token.wrapping_add(1);
         self.next_token
     }
 
+    /// Requests the read index for a request.
     fn begin_read(&mut self, read: PendingRead) {
         let token = self.new_token();
         self.pending_reads.insert(token, read);
@@ -221,7 +225,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if self.raft.status().role != Role::Leader {
-            // The world adds the leader's slot.
+            // The world fills in the leader's slot.
             effects.push(Effect::Respond(caller, Response::NotLeader(None)));
             return;
         }
@@ -232,7 +236,7 @@
         });
     }
 
-    /// Carries out what the member of the log asks for, until it asks for nothing.
+    /// Carries out the pending work of the Raft node until there is none left.
     pub(crate) fn advance(&mut self, now_ms: u64, disk: &mut Disk, effects: &mut Vec<Effect>) {
         loop {
             let ready = self.raft.take_ready();
@@ -296,7 +300,7 @@
                     reason: error.to_string(),
                 }),
             };
-            // An entry of another term at this index is another leader's: the command is not decided by it.
+            // An entry of another term at this index was proposed by another leader and does not decide this command.
             if let Some(ProposedCommand { term, caller }) = proposed
                 && term == entry.term
             {
@@ -315,7 +319,7 @@
         }
     }
 
-    /// Serves confirmed reads whose index is applied. Returns whether there were any.
+    /// Serves confirmed reads whose index is applied. Returns whether any were served.
     fn serve_confirmed_reads(&mut self, now_ms: u64, effects: &mut Vec<Effect>) -> bool {
         if self.confirmed_reads.is_empty() {
             return false;
@@ -328,21 +332,21 @@
         let has_served = !servable.is_empty();
         for ConfirmedRead { read, .. } in servable {
             match read {
-                PendingRead::Read { shown_index } => effects.push(Effect::ServeRead {
-                    shown_index,
+                PendingRead::Read { observed_index } => effects.push(Effect::ServeRead {
+                    observed_index,
                     index: applied_index,
                 }),
                 PendingRead::Command { deadline_ms, .. } if now_ms > deadline_ms => {}
                 PendingRead::Command {
                     caller, command, ..
-                } => self.decide(caller, &command, effects),
+                } => self.respond_or_propose(caller, &command, effects),
             }
         }
         has_served
     }
 
-    /// Responds to a command whose outcome is certain by the current state; else proposes it.
-    fn decide(&mut self, caller: Caller, command: &Command, effects: &mut Vec<Effect>) {
+    /// Responds to a command if the current state determines its final outcome, and proposes it otherwise.
+    fn respond_or_propose(&mut self, caller: Caller, command: &Command, effects: &mut Vec<Effect>) {
         let outcome = self.state.check(command);
         if self.state.is_final(command, &outcome) {
             effects.push(Effect::Respond(caller, Response::Outcome(outcome)));
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -1,124 +1,125 @@
 //! Schedules of faults: a seed, the size of the deployment, and the faults with their times.
 //!
-//! A schedule is plain data and all that a run depends on. [`Schedule::from_seed`] generates one; a test may write one
-//! out. All times are milliseconds of simulated time.
+//! A schedule is plain data and determines a run completely. [`Schedule::from_seed`] generates one, and a test may
+//! construct one literally. All times are milliseconds of simulated time.
 
 mod generator;
 
-/// How long a machine still counts as lost after its fault has ended, in milliseconds: it needs that long to catch up.
+/// How long a machine still counts as lost after its fault has ended, in milliseconds, because it needs time to catch
+/// up.
 pub const CATCH_UP_TIME_MS: u64 = 6000;
-/// Time without faults at the end of each schedule, in milliseconds. The liveness invariant must hold within it.
+/// The time without faults at the end of each schedule, in milliseconds. The liveness invariant must hold in it.
 pub const QUIET_TIME_MS: u64 = 18_000;
 
 /// How many faults may coincide, and therefore when the deployment has to make progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// Any number of machines at a time, as long as few enough disks are lost. Progress is required once all faults
-    /// have ended.
+    /// Faults affect any number of machines at a time, but no more disks are lost than the deployment tolerates.
+    /// Progress is required after all faults have ended.
     Chaos,
-    /// Never more machines at a time than the deployment tolerates. Progress is required whenever no fault has begun
-    /// or ended for a while.
+    /// Faults never affect more machines at a time than the deployment tolerates. Progress is required whenever no
+    /// fault has begun or ended for a while.
     Tolerated,
 }
 
-/// A fault. Machines are named by their slot in the deployment, from 0; a replacement takes the slot of the machine
-/// that it replaces.
+/// A fault. Machines are identified by their slot in the deployment, starting with 0. A replacement takes the slot of
+/// the machine that it replaces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process ends, and writes that are not synced may be lost. It is restarted after `duration_ms`.
+    /// The process crashes, and writes that are not synced may be lost. It is restarted after `duration_ms`.
     Crash {
-        /// The slot.
+        /// The slot of the machine.
         machine: usize,
-        /// Until the restart.
+        /// The time until the restart.
         duration_ms: u64,
     },
-    /// The process is suspended while its clock runs on.
+    /// The process is suspended while time advances.
     Pause {
-        /// The slot.
+        /// The slot of the machine.
         machine: usize,
-        /// Until the process goes on.
+        /// The time until the process resumes.
         duration_ms: u64,
     },
-    /// No write completes before the fault is over.
+    /// No write completes until the fault ends.
     StallDisk {
-        /// The slot.
+        /// The slot of the machine.
         machine: usize,
-        /// Length of the fault.
+        /// The duration of the fault.
         duration_ms: u64,
     },
     /// Each write fails, and is retried.
     RejectWrites {
-        /// The slot.
+        /// The slot of the machine.
         machine: usize,
-        /// Length of the fault.
+        /// The duration of the fault.
         duration_ms: u64,
     },
-    /// A network partition in one direction: `from` does not reach `to`; the way back stays open.
+    /// A network partition in one direction: `from` does not reach `to`, but `to` still reaches `from`.
     OneWayPartition {
-        /// The sender.
+        /// The slot of the sender.
         from: usize,
-        /// The receiver.
+        /// The slot of the receiver.
         to: usize,
-        /// Length of the fault.
+        /// The duration of the fault.
         duration_ms: u64,
     },
-    /// A network partition: machines of `side` and the others do not reach each other.
+    /// A network partition: machines of `side` and all others do not reach each other.
     Partition {
-        /// A bit for each machine of one side: bit 0 is slot 0.
+        /// The machines of one side as a bit mask: bit 0 is slot 0.
         side: u64,
-        /// Length of the fault.
+        /// The duration of the fault.
         duration_ms: u64,
     },
-    /// Of all messages, `percent` are lost, and as many are delivered twice.
+    /// `percent` of all messages are lost, and the same share is delivered twice.
     PacketLoss {
-        /// Of a hundred.
+        /// The share of messages, in percent.
         percent: u64,
-        /// Length of the fault.
+        /// The duration of the fault.
         duration_ms: u64,
     },
-    /// Whatever this machine sends and receives is delayed.
+    /// Messages that this machine sends or receives are delayed.
     Latency {
-        /// The slot.
+        /// The slot of the machine.
         machine: usize,
-        /// Longest additional delay of a message.
+        /// The longest additional delay of a message.
         max_delay_ms: u64,
-        /// Length of the fault.
+        /// The duration of the fault.
         duration_ms: u64,
     },
     /// The machine is behind a low-bandwidth link.
     LowBandwidth {
-        /// The slot.
+        /// The slot of the machine.
         machine: usize,
-        /// Shared by all that it sends and receives.
+        /// The bandwidth, shared by all messages that the machine sends and receives.
         bytes_per_second: u64,
-        /// Length of the fault.
+        /// The duration of the fault.
         duration_ms: u64,
     },
-    /// The machine loses its disk and comes back at the same address, as a new member.
+    /// The machine loses its disk and returns as a new member at the same address.
     Wipe {
-        /// The slot.
+        /// The slot of the machine.
         machine: usize,
-        /// Until it comes back.
+        /// The time until it returns.
         duration_ms: u64,
     },
-    /// The machine is gone for good; another one comes at another address.
+    /// The machine is lost permanently. A new one takes its place at another address.
     Replace {
-        /// The slot.
+        /// The slot of the machine.
         machine: usize,
-        /// Until the other one comes.
+        /// The time until the new one starts.
         duration_ms: u64,
     },
-    /// The machine is shut down as planned; another one comes at another address.
+    /// The machine is shut down gracefully. A new one takes its place at another address.
     Leave {
-        /// The slot.
+        /// The slot of the machine.
         machine: usize,
-        /// Until the other one comes.
+        /// The time until the new one starts.
         duration_ms: u64,
     },
 }
 
 impl Fault {
-    /// The machine that counts as lost while the fault lasts, if it is one.
+    /// Returns the machine that counts as lost while the fault lasts, if the fault affects a single machine.
     pub fn machine(&self) -> Option<usize> {
         match self {
             Self::Crash { machine, .. }
@@ -135,7 +136,7 @@
         }
     }
 
-    /// How long the fault lasts, in milliseconds.
+    /// Returns how long the fault lasts, in milliseconds.
     pub fn duration_ms(&self) -> u64 {
         match self {
             Self::Crash { duration_ms, .. }
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Whether a disk is lost with the machine.
+    /// Returns whether the fault includes the loss of a disk.
     pub fn is_disk_loss(&self) -> bool {
         matches!(
             self,
@@ -162,32 +163,32 @@
     }
 }
 
-/// A fault and when it begins.
+/// A fault and the time at which it begins.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledFault {
     /// Milliseconds since the start of the run.
     pub at_ms: u64,
-    /// What goes wrong.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// All that a run depends on.
+/// Everything that determines a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule {
-    /// Seeds everything random outside the faults: delays, losses, what operators do.
+    /// The seed of all randomness except the faults: message delays, losses, the behavior of operators.
     pub seed: u64,
-    /// Number of machines, each with a disk.
+    /// The number of machines, each with a disk.
     pub machines: usize,
-    /// How many of them may be lost at a time.
+    /// The number of machines that may be lost at a time.
     pub tolerable_losses: usize,
     /// How many faults may coincide.
     pub profile: Profile,
     /// A log is compacted once it has more entries than this.
     pub compaction_threshold: usize,
-    /// Each configuration is longer by so many bytes.
+    /// The number of bytes of padding in each configuration.
     pub padding_bytes: usize,
-    /// The faults in the order of their times.
+    /// The faults, ordered by time.
     pub faults: Vec<ScheduledFault>,
-    /// When the run ends, in milliseconds since its start.
+    /// The end of the run, in milliseconds since its start.
     pub end_ms: u64,
 }
--- a/crates/simulation/src/schedule/generator.rs
+++ b/crates/simulation/src/schedule/generator.rs
@@ -1,19 +1,19 @@
-//! Generates the schedule of a seed. The order of the draws is part of the seed's meaning: a change here gives every
-//! seed another schedule.
+//! Generates the schedule of a seed. The schedule depends on the order of the random draws, so a change here gives
+//! every seed a different schedule.
 
 use oorandom::Rand64;
 
 use super::{CATCH_UP_TIME_MS, Fault, Profile, QUIET_TIME_MS, Schedule, ScheduledFault};
 
-/// Scattered faults begin within this time.
+/// Faults at random times begin before this time.
 const FAULT_WINDOW_MS: u64 = 30_000;
-/// No scattered fault begins earlier: a leader is elected by then.
+/// No fault at a random time begins before this time, by which a leader is elected.
 const FIRST_FAULT_MS: u64 = 2000;
-/// Differs from the seed of the run, so that faults and delays are drawn independently.
+/// Makes the generator's seed differ from the run's seed, so that faults and delays are drawn independently.
 const SEED_MASK: u128 = 0x5eed_0000_0000;
 
 impl Schedule {
-    /// The schedule of a seed: always the same one.
+    /// Returns the schedule of a seed, which is always the same.
     pub fn from_seed(seed: u64) -> Self {
         let mut rng = Rand64::new(u128::from(seed) ^ SEED_MASK);
         let (machines, tolerable_losses) =
@@ -31,7 +31,7 @@
         };
         let mut faults = match seed % 4 {
             2 => replacements(&mut rng, machines, tolerable_losses),
-            _ => scattered_faults(&mut rng, machines, profile),
+            _ => random_faults(&mut rng, machines, profile),
         };
         faults.sort_by_key(|scheduled| scheduled.at_ms);
         if profile == Profile::Tolerated {
@@ -56,8 +56,8 @@
     }
 }
 
-/// Any faults at any time.
-fn scattered_faults(rng: &mut Rand64, machines: usize, profile: Profile) -> Vec<ScheduledFault> {
+/// Returns random faults at random times.
+fn random_faults(rng: &mut Rand64, machines: usize, profile: Profile) -> Vec<ScheduledFault> {
     let count = 3 + rng.rand_range(0..16);
     let scheduled = |_| ScheduledFault {
         at_ms: FIRST_FAULT_MS + rng.rand_range(0..FAULT_WINDOW_MS - FIRST_FAULT_MS),
@@ -66,8 +66,10 @@
     (0..count).map(scheduled).collect()
 }
 
-/// Up to five replacements of machines, each as soon after the one before as is allowed, and then the loss of as many
-/// machines as the deployment tolerates, at any time after the last replacement.
+/// Returns up to five replacements of machines, and then crashes of as many machines as the deployment tolerates, at
+/// random times after the last replacement. A replacement begins up to twice [`CATCH_UP_TIME_MS`] after the previous
+/// one has ended, so that some begin as soon as is allowed. Those that begin too soon are removed by
+/// [`retain_tolerable`].
 fn replacements(rng: &mut Rand64, machines: usize, tolerable_losses: usize) -> Vec<ScheduledFault> {
     let mut faults = Vec::new();
     let mut at_ms = 3000;
@@ -105,7 +107,7 @@
     faults
 }
 
-/// Removes faults that would make more machines be lost at a time than the deployment tolerates.
+/// Removes faults that would cause the loss of more machines at a time than the deployment tolerates.
 fn retain_tolerable(faults: &mut Vec<ScheduledFault>, tolerable_losses: usize) {
     let mut lost: Vec<(usize, u64)> = Vec::new();
     faults.retain(|scheduled| {
@@ -124,7 +126,8 @@
     });
 }
 
-/// One fault of any kind. Partitions may cut off more machines than the deployment tolerates: only chaos has them.
+/// Returns a random fault. Partitions may cut off more machines than the deployment tolerates, so only
+/// [`Profile::Chaos`] has them.
 fn random_fault(rng: &mut Rand64, machines: usize, profile: Profile) -> Fault {
     let mut below = |n: u64| rng.rand_range(0..n);
     let machine = below(machines as u64) as usize;
@@ -173,7 +176,7 @@
     }
 }
 
-/// The faults of [`random_fault`] that concern the network: kinds 6 to 9, 14 and 15.
+/// Returns a network fault for [`random_fault`]: kinds 6 to 9, 14 and 15.
 fn random_network_fault(
     rng: &mut Rand64,
     kind: u64,
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,12 +1,12 @@
-//! Reduces a failing schedule: removes faults from it for as long as it still violates the same invariant, and prints
-//! the rest as a test.
+//! Reduces a failing schedule: removes faults as long as it still violates the same invariant, and formats the
+//! remaining schedule as a test.
 
 use crate::Invariant;
 use crate::schedule::Schedule;
 use crate::world::run;
 
-/// The smallest schedule found that still violates this invariant: first halves of the faults are left out, then
-/// smaller chunks, down to single ones.
+/// Returns the smallest schedule found that still violates the invariant. Tries to remove halves of the faults first,
+/// then smaller chunks, down to single faults.
 pub fn shrink(schedule: &Schedule, invariant: Invariant) -> Schedule {
     let is_failing = |s: &Schedule| run(s).violation.is_some_and(|v| v.invariant == invariant);
     let mut smallest = schedule.clone();
@@ -31,7 +31,7 @@
     }
 }
 
-/// The schedule as a test that passes once the invariant holds.
+/// Formats a schedule as a test that passes once the invariant holds.
 pub fn as_test(schedule: &Schedule, invariant: Invariant) -> String {
     let Schedule {
         seed,
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,8 +1,8 @@
-//! A simulated deployment: machines, network, operators and the checks, driven by one event queue.
+//! A simulated deployment: machines, network, operators and checks, driven by one event queue.
 //!
-//! The [`World`] owns all state of a run; the modules below it hold the handlers by concern. Every random choice is
-//! drawn from one generator in the order of the events, which is why a schedule always gives the same run: a change
-//! in the number or order of draws gives every seed another run.
+//! The [`World`] owns all state of a run, and its submodules contain the event handlers. Every random choice is drawn
+//! from one generator in the order of the events, so a schedule always gives the same run. A change in the number or
+//! order of draws gives every seed a different run.
 
 mod checks;
 mod disks;
@@ -27,32 +27,33 @@
 use crate::process::{Caller, Input};
 use crate::schedule::{Profile, QUIET_TIME_MS, Schedule};
 
-/// A run has no more events than this; the longest has about a tenth of them.
+/// The maximum number of events in a run. The longest run has about a tenth of it.
 const MAX_EVENTS: u64 = 300_000;
-/// How many operators there are.
+/// The number of operators.
 const OPERATORS: usize = 2;
-/// Machines start within this time.
+/// Machines start at random times before this one.
 const START_WINDOW_MS: u64 = 500;
-/// When the first operator begins, and when the first read is sent.
+/// The time at which the first operator begins.
 const FIRST_REQUEST_MS: u64 = 1000;
+/// The time at which the first read is sent.
 const FIRST_READ_MS: u64 = 1500;
-/// Members that come later have ids above this.
+/// Members that join later have ids above this.
 const FOUNDER_ID_LIMIT: NodeId = 100;
 
 /// The result of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// The invariant that was broken, if one was.
+    /// The violated invariant, if any.
     pub violation: Option<Violation>,
-    /// A digest of what happened, in its order.
+    /// A digest of the sequence of events.
     pub trace: u64,
     /// How much was checked.
     pub counts: Counts,
-    /// How many events were handled.
+    /// The number of events handled.
     pub events: u64,
 }
 
-/// Plays a schedule until its end, or until an invariant is broken.
+/// Runs a schedule until its end or until an invariant is violated.
 pub fn run(schedule: &Schedule) -> Outcome {
     let mut world = World::new(schedule);
     let violation = catch_unwind(AssertUnwindSafe(|| world.run())).unwrap_or_else(|payload| {
@@ -68,8 +69,8 @@
     }
 }
 
-/// What the clock brings next. Machines are named by slot; `incarnation` counts a machine's processes, and an event
-/// for an earlier one is dropped.
+/// An event in the queue. Machines are identified by slot. `incarnation` counts the processes of a machine, and an
+/// event for an earlier process is dropped.
 enum Event {
     FaultBegins(usize),
     FaultEnds,
@@ -101,14 +102,14 @@
     Read,
 }
 
-/// An orderly shutdown whose time is over.
+/// A graceful shutdown whose grace period has ended.
 struct Shutdown {
     machine: usize,
     incarnation: u64,
     replaced_at_ms: u64,
 }
 
-/// What goes into the digest of a run.
+/// An event in the digest of a run.
 #[derive(Hash)]
 enum TraceEvent {
     Started(usize),
@@ -127,6 +128,7 @@
     },
 }
 
+/// The state of a run.
 struct World<'a> {
     schedule: &'a Schedule,
     rng: Rand64,
@@ -139,11 +141,11 @@
     operators: Vec<Operator>,
     history: History,
     last_id: NodeId,
-    /// Members whose disks are gone: what those had synced counts as synced.
+    /// Members whose disks are lost. For durability they count as having synced every entry.
     lost_members: BTreeSet<NodeId>,
-    /// When a fault last began or ended.
+    /// The last time at which a fault began or ended.
     last_disturbance_ms: u64,
-    /// When a command was last acknowledged.
+    /// The last time at which a command was acknowledged.
     last_acknowledged_ms: u64,
 }
 
@@ -173,7 +175,7 @@
             machines: machines.collect(),
             network: Network::default(),
             operators: (0..OPERATORS)
-                .map(|name| Operator::new(name, schedule.padding_bytes))
+                .map(|index| Operator::new(index, schedule.padding_bytes))
                 .collect(),
             history: History::new(founders),
             last_id: FOUNDER_ID_LIMIT,
@@ -209,7 +211,7 @@
         }
     }
 
-    /// When the time without faults at the end of the schedule begins.
+    /// Returns when the time without faults at the end of the schedule begins.
     fn quiet_from_ms(&self) -> u64 {
         self.schedule.end_ms.saturating_sub(QUIET_TIME_MS)
     }
@@ -222,7 +224,10 @@
             self.now_ms = at_ms;
             self.events += 1;
             if self.events > MAX_EVENTS {
-                let detail = format!("{} events are still to happen", self.queue.len());
+                let detail = format!(
+                    "more than {MAX_EVENTS} events; {} are still pending",
+                    self.queue.len()
+                );
                 return Some(self.violation(Invariant::BoundedMessages, detail));
             }
             self.handle(event);
@@ -269,6 +274,7 @@
         }
     }
 
+    /// Adds an event to the digest of the run.
     fn record(&mut self, event: &TraceEvent) {
         (self.now_ms, event).hash(&mut self.trace);
     }
--- a/crates/simulation/src/world/checks.rs
+++ b/crates/simulation/src/world/checks.rs
@@ -1,16 +1,17 @@
-//! Checks that need more than one machine's state. Checks against what was seen earlier are in `history`.
+//! Checks that need the state of more than one machine. Checks against earlier observations are in `history`.
 
 use raft::{Entry, Members, NodeId, Role};
 
 use super::World;
 use crate::schedule::Profile;
 
-/// A command is acknowledged within this time after the last fault began or ended.
+/// A command has to be acknowledged within this time after the last acknowledgement and the last begin or end of a
+/// fault.
 const PROGRESS_TIMEOUT_MS: u64 = 14_000;
 
 impl World<'_> {
-    /// [`Invariant::Liveness`](crate::Invariant::Liveness): where no more is lost than tolerated, something is
-    /// acknowledged every so often.
+    /// Checks [`Invariant::Liveness`](crate::Invariant::Liveness): commands are acknowledged regularly while no more
+    /// machines are lost than the deployment tolerates.
     pub(super) fn check_liveness(&mut self) {
         let since_ms = self.last_disturbance_ms.max(self.last_acknowledged_ms);
         let is_progress_required =
@@ -26,8 +27,8 @@
         }
     }
 
-    /// A machine has applied an entry. Where it is the leader and the first to apply it, it has just committed it:
-    /// [`Invariant::Durability`](crate::Invariant::Durability).
+    /// Handles an entry applied by a machine. A leader that is the first to apply an entry has just committed it, so
+    /// its durability is checked: [`Invariant::Durability`](crate::Invariant::Durability).
     pub(super) fn check_applied(&mut self, machine: usize, entry: &Entry) {
         self.history.on_written(entry);
         let is_first = !self.history.is_committed(entry.index);
@@ -47,17 +48,17 @@
             .on_leader_commit(entry.index, process.raft.members(), is_synced);
     }
 
-    /// A leader is about to make members voters:
+    /// Checks the members that a leader is about to make voters:
     /// [`Invariant::NewVoterIsCaughtUp`](crate::Invariant::NewVoterIsCaughtUp).
     pub(super) fn check_new_voters(&mut self, members: &Members) {
-        let shown_index = self.history.shown_index();
-        let Some(shown) = self.history.committed_entry(shown_index).cloned() else {
+        let observed_index = self.history.observed_index();
+        let Some(observed) = self.history.committed_entry(observed_index).cloned() else {
             return;
         };
         for id in self.history.new_voters(members) {
-            // The disk of a member that was replaced meanwhile can't be looked at any more.
+            // The disk of a member that has been replaced in the meantime no longer exists.
             if let Some(m) = self.machines.iter().find(|m| m.id == id) {
-                self.history.on_new_voter(id, m.disk.has_entry(&shown));
+                self.history.on_new_voter(id, m.disk.has_entry(&observed));
             }
         }
     }
--- a/crates/simulation/src/world/disks.rs
+++ b/crates/simulation/src/world/disks.rs
@@ -1,17 +1,17 @@
-//! Transactions of the disks, with stalls and rejected writes.
+//! Disk transactions, including stalls and rejected writes.
 
 use raft::{Entry, Payload};
 
 use super::{Event, World};
 use crate::process::Input;
 
-/// A sync takes at most this long.
+/// The longest duration of a sync, in milliseconds.
 const MAX_SYNC_TIME_MS: u64 = 4;
-/// A rejected write is retried after this.
+/// The delay before a rejected write is retried, in milliseconds.
 const WRITE_RETRY_MS: u64 = 250;
 
 impl World<'_> {
-    /// Begins a machine's next transaction, if something waits for it, and checks the entries that wait.
+    /// Begins a machine's next transaction if any requests are waiting, and checks the waiting entries.
     pub(super) fn begin_transaction(&mut self, machine: usize) {
         let sync_time_ms = 1 + self.rng.rand_range(0..MAX_SYNC_TIME_MS);
         let now_ms = self.now_ms;
@@ -23,7 +23,7 @@
         for entry in waiting {
             if let Payload::Members(members) = &entry.payload
                 && !self.history.is_written(&entry)
-                // A leader that was deposed and does not know it yet writes what is never committed.
+                // A deposed leader that does not know it yet writes entries that are never committed.
                 && entry.term == self.history.newest_term()
             {
                 self.check_new_voters(members);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A transaction completes, unless the disk stalls or rejects writes: then it is retried.
+    /// Completes a transaction, or retries it later if the disk is stalled or rejects writes.
     pub(super) fn complete_transaction(&mut self, machine: usize, incarnation: u64) {
         let now_ms = self.now_ms;
         let m = &mut self.machines[machine];
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -1,15 +1,15 @@
-//! Faults: how each begins, and how it ends.
+//! The beginning and end of each fault.
 
 use super::{Event, Shutdown, TraceEvent, World};
 use crate::disk::Disk;
 use crate::process::Input;
 use crate::schedule::{Fault, Profile};
 
-/// A process that is told to shut down goes on for this long.
+/// How long a process continues to run after a request to shut down, in milliseconds.
 const SHUTDOWN_GRACE_MS: u64 = 2000;
 
 impl World<'_> {
-    /// Begins a fault. The loss of a disk that the deployment would not survive becomes a crash.
+    /// Begins a fault. A disk loss that the deployment would not survive is turned into a crash.
     pub(super) fn begin_fault(&mut self, fault: &Fault) {
         self.last_disturbance_ms = self.now_ms;
         let ends_ms = self.now_ms.saturating_add(fault.duration_ms());
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Whether another disk may be lost now. Where losses are counted by time the schedule has seen to it; else no
-    /// more members may be gone than the deployment tolerates.
+    /// Returns whether another disk may be lost now. The generator ensures this for schedules with
+    /// [`Profile::Tolerated`]. Otherwise no more members may be missing than the deployment tolerates.
     fn can_lose_disk(&self, fault: &Fault) -> bool {
         if self.schedule.profile == Profile::Tolerated {
             return true;
@@ -80,7 +80,7 @@
         without_vote.max(voters_without_machine) < self.schedule.tolerable_losses
     }
 
-    /// A process ends, and is restarted at `restart_ms`.
+    /// Crashes a process and schedules its restart at `restart_ms`.
     fn crash(&mut self, machine: usize, restart_ms: u64) {
         let is_synced = self.rng.rand_range(0..2) == 0;
         let m = &mut self.machines[machine];
@@ -97,7 +97,8 @@
         self.queue.schedule(restart_ms, start);
     }
 
-    /// A machine loses its disk. A new member starts in its slot at `restart_ms`, at the same address or a new one.
+    /// Makes a machine lose its disk. A new member starts in its slot at `restart_ms`, at the same address or a new
+    /// one.
     fn lose_disk(&mut self, machine: usize, restart_ms: u64, has_new_address: bool) {
         self.crash(machine, restart_ms);
         self.last_id += 1;
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A process shuts down in order; its machine is replaced `SHUTDOWN_GRACE_MS` after `ends_ms`.
+    /// Begins a graceful shutdown of a process. Its machine is replaced [`SHUTDOWN_GRACE_MS`] after `ends_ms`.
     fn begin_shutdown(&mut self, machine: usize, ends_ms: u64) {
         self.handle_input(machine, Input::Shutdown);
         self.machines[machine].is_shutting_down = true;
@@ -125,7 +126,7 @@
         self.queue.schedule(at_ms, Event::ShutdownEnds(shutdown));
     }
 
-    /// The grace of an orderly shutdown is over: the machine goes, unless its process has crashed meanwhile.
+    /// Ends the grace period of a shutdown: removes the machine, unless its process has crashed in the meantime.
     pub(super) fn end_shutdown(&mut self, shutdown: &Shutdown) {
         let m = &mut self.machines[shutdown.machine];
         m.is_shutting_down = false;
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Ends all faults at once, and starts whatever is down.
+    /// Ends all faults and starts all machines that are down.
     pub(super) fn end_all_faults(&mut self) {
         self.network.heal();
         self.last_disturbance_ms = self.now_ms;
--- a/crates/simulation/src/world/machines.rs
+++ b/crates/simulation/src/world/machines.rs
@@ -1,4 +1,4 @@
-//! Machines: starting their processes, bringing them input, and carrying out what follows from it.
+//! Machines: starts their processes, delivers inputs to them, and carries out the resulting effects.
 
 use raft::{NodeId, PersistentState, Role};
 
@@ -7,31 +7,31 @@
 use crate::network::message_bytes;
 use crate::process::{Effect, Input, Process};
 
-/// Period of the log's clock.
+/// The period of the Raft clock, in milliseconds.
 const TICK_INTERVAL_MS: u64 = 50;
-/// What a request to join takes on the wire.
+/// The size of a join request on the wire.
 const JOIN_REQUEST_BYTES: u64 = 100;
 
-/// A slot of the deployment, with the machine that is in it.
+/// A slot of the deployment and the machine in it.
 pub(super) struct Machine {
     pub(super) id: NodeId,
     pub(super) address: String,
-    /// Counts the processes of this slot: whatever was meant for an earlier one is dropped.
+    /// Counts the processes of this slot. Events for an earlier process are dropped.
     pub(super) incarnation: u64,
-    /// None while the machine is down.
+    /// `None` while the machine is down.
     pub(super) process: Option<Process>,
     pub(super) disk: Disk,
     pub(super) paused_until_ms: u64,
-    /// What arrived during a pause.
+    /// Inputs that arrived during a pause.
     pub(super) inbox: Vec<Input>,
     pub(super) disk_stalled_until_ms: u64,
     pub(super) writes_rejected_until_ms: u64,
-    /// Its orderly shutdown has begun.
+    /// Whether a graceful shutdown has begun.
     pub(super) is_shutting_down: bool,
 }
 
 impl Machine {
-    /// A machine that is down, with a disk that holds this.
+    /// Creates a machine that is down, with this state on its disk.
     pub(super) fn new(id: NodeId, address: String, persisted: PersistentState) -> Self {
         Self {
             id,
@@ -49,7 +49,7 @@
 }
 
 impl World<'_> {
-    /// Starts a machine's process, unless it runs already.
+    /// Starts a machine's process, unless it is already running or `incarnation` is outdated.
     pub(super) fn start(&mut self, machine: usize, incarnation: u64) {
         let seed = self.rng.rand_u64();
         let (now_ms, schedule) = (self.now_ms, self.schedule);
@@ -72,7 +72,7 @@
         self.queue.schedule(self.now_ms + TICK_INTERVAL_MS, tick);
     }
 
-    /// The clock of a machine's process.
+    /// Handles a clock tick of a machine's process.
     pub(super) fn tick(&mut self, machine: usize, incarnation: u64) {
         if self.machines[machine].incarnation != incarnation {
             return;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Something arrives at a machine.
+    /// Delivers an input to a machine. While the machine is paused, the input is queued.
     pub(super) fn deliver(&mut self, to: usize, input: Input) {
         if self.machines[to].paused_until_ms > self.now_ms {
             self.machines[to].inbox.push(input);
@@ -92,7 +92,7 @@
         }
     }
 
-    /// A machine's process takes an input.
+    /// Lets a machine's process handle an input. A message to an earlier member in the slot is dropped.
     pub(super) fn handle_input(&mut self, machine: usize, input: Input) {
         let now_ms = self.now_ms;
         let m = &mut self.machines[machine];
@@ -108,13 +108,13 @@
         self.advance(machine, effects);
     }
 
-    /// The pause of a machine is over, unless another one began meanwhile.
+    /// Ends the pause of a machine, unless another pause has begun in the meantime.
     pub(super) fn resume(&mut self, machine: usize) {
         if self.machines[machine].paused_until_ms > self.now_ms {
             return;
         }
         self.last_disturbance_ms = self.now_ms;
-        // The process may see its clock before or after what arrived during the pause.
+        // The process may see the clock tick before or after the inputs that arrived during the pause.
         if self.rng.rand_range(0..2) == 0 {
             self.handle_input(machine, Input::Tick);
         }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Carries out what follows from an input, and checks what the process claims by then.
+    /// Carries out the effects of an input and checks the claims that the process makes afterwards.
     fn advance(&mut self, machine: usize, mut effects: Vec<Effect>) {
         let now_ms = self.now_ms;
         let m = &mut self.machines[machine];
@@ -157,7 +157,7 @@
     fn carry_out(&mut self, machine: usize, effect: Effect) {
         match effect {
             Effect::Send(message) => {
-                // A message to a member that was replaced gets nowhere.
+                // A message to a member that has been replaced is dropped.
                 if let Some(to) = self.machines.iter().position(|m| m.id == message.to) {
                     let bytes = message_bytes(&message);
                     self.send(machine, to, bytes, &Input::Message(message));
@@ -165,7 +165,10 @@
             }
             Effect::Join => self.send_join_requests(machine),
             Effect::Respond(caller, response) => self.send_response(machine, caller, response),
-            Effect::ServeRead { shown_index, index } => self.history.on_read(shown_index, index),
+            Effect::ServeRead {
+                observed_index,
+                index,
+            } => self.history.on_read(observed_index, index),
             Effect::Applied(entry) => self.check_applied(machine, &entry),
             Effect::InstalledSnapshot => self.history.on_snapshot_installed(),
             Effect::StateAt(index) => {
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Sends something over the network, which may lose, delay or duplicate it.
+    /// Sends an input over the network, which may lose, delay or duplicate it.
     fn send(&mut self, from: usize, to: usize, bytes: u64, input: &Input) {
         let arrivals = self
             .network
--- a/crates/simulation/src/world/workload.rs
+++ b/crates/simulation/src/world/workload.rs
@@ -1,21 +1,21 @@
-//! The workload: commands of operators with their responses, and reads. Requests and responses of operators are lost
-//! at times, whatever the schedule.
+//! The workload: commands of operators with their responses, and reads. Requests and responses of operators are
+//! sometimes lost, independently of the schedule.
 
 use super::{Event, TraceEvent, World};
 use crate::operator::{Conclusion, RESPONSE_TIMEOUT_MS, Response};
 use crate::process::{Caller, Input};
 
-/// Between two reads.
+/// The interval between reads, in milliseconds.
 const READ_INTERVAL_MS: u64 = 400;
-/// What a read takes on its way.
+/// The delay of a read, in milliseconds.
 const READ_DELAY_MS: u64 = 5;
-/// What a request or response of an operator takes on its way, at most.
+/// The longest delay of an operator's request or response, in milliseconds.
 const MAX_DELAY_MS: u64 = 20;
-/// Of a hundred requests or responses of operators, so many are lost.
+/// The percentage of operators' requests and responses that are lost.
 const LOSS_PERCENT: u64 = 8;
 
 impl World<'_> {
-    /// An operator sends its command, for the first time or again.
+    /// Sends an operator's command, for the first time or as a retry.
     pub(super) fn send_command(&mut self, operator: usize) {
         let machines = self.machines.len();
         let sender = &mut self.operators[operator];
@@ -32,13 +32,13 @@
         }
     }
 
-    /// When what an operator sends or is sent now arrives; none if it is lost.
+    /// Returns when a request or response of an operator that is sent now arrives, or `None` if it is lost.
     fn operator_arrival(&mut self) -> Option<u64> {
         let is_lost = self.rng.rand_range(0..100) < LOSS_PERCENT;
         (!is_lost).then(|| self.now_ms + self.rng.rand_range(1..MAX_DELAY_MS))
     }
 
-    /// A process responds to an operator.
+    /// Sends a process's response to an operator.
     pub(super) fn send_response(&mut self, machine: usize, caller: Caller, response: Response) {
         let response = match response {
             Response::NotLeader(_) => {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// An attempt has got no response, unless another one has begun meanwhile.
+    /// Handles the timeout of an attempt, unless another attempt has begun in the meantime.
     pub(super) fn on_response_timeout(&mut self, caller: Caller) {
         let operator = &mut self.operators[caller.operator];
         if operator.attempt == caller.attempt {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// An operator gets a response. One to an earlier attempt is ignored.
+    /// Delivers a response to an operator. A response to an earlier attempt is ignored.
     pub(super) fn on_response(&mut self, caller: Caller, response: &Response) {
         let operator = &mut self.operators[caller.operator];
         if operator.attempt != caller.attempt {
@@ -90,11 +90,11 @@
             .schedule(at_ms, Event::OperatorActs(caller.operator));
     }
 
-    /// Sends a read to any machine.
+    /// Sends a read to a random machine and schedules the next read.
     pub(super) fn send_read(&mut self) {
         let to = self.rng.rand_range(0..self.machines.len() as u64) as usize;
-        let shown_index = self.history.shown_index();
-        let input = Box::new(Input::Read { shown_index });
+        let observed_index = self.history.observed_index();
+        let input = Box::new(Input::Read { observed_index });
         let deliver = Event::Deliver { to, input };
         self.queue.schedule(self.now_ms + READ_DELAY_MS, deliver);
         self.queue
--- a/crates/simulation/tests/control_plane/balancers.rs
+++ b/crates/simulation/tests/control_plane/balancers.rs
@@ -1,5 +1,5 @@
-//! Balancers of the data plane with the real control client, over connections to the real session server of each
-//! control process. What a balancer knows ends with its process.
+//! Data-plane balancers with the real control client, connected to the real session server of each control process. A
+//! balancer's state is lost with its process.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,25 +23,25 @@
 use crate::history::{CONTACT_TIME, History};
 use crate::platform::{DRAIN_NOTICE_TIME, Platform};
 
-/// Addresses of control servers in a settings file.
+/// The number of control server addresses that a balancer starts with, as in its settings file.
 const SEED_ADDRESSES: usize = 3;
-/// Until a connection is established.
+/// The time needed to establish a connection.
 const ROUND_TRIP_TIME: Duration = Duration::from_millis(6);
-/// A connection buffers so much in each direction.
+/// The size of the buffer of a connection in each direction.
 const CONNECTION_BUFFER_BYTES: usize = 1 << 20;
-/// Between two checks of all balancers.
+/// The interval between checks of all balancers.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a balancer's process knows.
+/// The state of a balancer's process.
 struct BalancerState {
     history: Rc<History>,
     started: Instant,
     config_index: Cell<u64>,
     revision: Cell<u64>,
     zones: RefCell<BTreeMap<String, UpstreamList>>,
-    /// Zones for which a difference came that builds on a version that is not here.
+    /// Zones for which an update arrived that is based on a version this balancer does not have.
     incomplete: RefCell<BTreeSet<String>>,
-    /// Upstreams that were seen to drain.
+    /// Upstreams that were observed to be draining.
     drained: RefCell<BTreeSet<String>>,
     fleet: Cell<Option<FleetView>>,
     changes: ChangeNotifier,
@@ -66,7 +66,7 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// All upstreams by id, and whether each drains.
+    /// Returns all upstreams by id, and whether each of them is draining.
     fn upstreams(&self) -> BTreeMap<String, bool> {
         let (zones, now_ms) = (self.zones.borrow(), self.now_ms());
         zones
@@ -76,6 +76,7 @@
             .collect()
     }
 
+    /// Applies a configuration, and checks that it never replaces one with a newer revision.
     fn apply_config(&self, index: u64, config: &Config) {
         self.config_index.set(index);
         let id = config.routes.first().map_or(0, |route| route.target_ms);
@@ -83,11 +84,12 @@
         let revision = config.revision;
         let before = self.revision.replace(revision);
         self.history.require(revision >= before, || {
-            format!("a balancer went back from {before} to {revision}")
+            format!("the revision of a balancer went back from {before} to {revision}")
         });
     }
 
-    /// Applies what an update says of the zones' upstreams. Returns whether some of it builds on a missing version.
+    /// Applies the zone updates of a message. Returns whether any of them is based on a version this balancer does not
+    /// have.
     fn apply_zone_updates(&self, update: &WatchUpdate) -> bool {
         let mut is_base_missing = false;
         for (zone, zone_update) in &update.zone_updates {
@@ -106,8 +108,9 @@
         let mut drained = self.drained.borrow_mut();
         for (id, is_draining) in self.upstreams() {
             let holds = is_draining || !drained.contains(&id);
-            self.history
-                .require(holds, || format!("{id} drained, and is in use again"));
+            self.history.require(holds, || {
+                format!("upstream {id} was draining and is in use again")
+            });
             if is_draining {
                 drained.insert(id);
             }
@@ -140,7 +143,7 @@
         }) = &update.config
         {
             self.history.require(!update.out_of_contact, || {
-                "a configuration came from a server that is out of contact".into()
+                "a server without quorum contact sent a configuration".into()
             });
             if *index > self.config_index.get() {
                 self.apply_config(*index, &config.to_config());
@@ -168,7 +171,7 @@
     }
 }
 
-/// The network between a balancer and the control servers.
+/// The network between balancers and control servers.
 struct SimulatedNetwork(Rc<Deployment>);
 
 impl Network for SimulatedNetwork {
@@ -180,9 +183,9 @@
             return Err(io::ErrorKind::TimedOut.into());
         };
         sleep(ROUND_TRIP_TIME).await;
-        let (near, far) = duplex(CONNECTION_BUFFER_BYTES);
-        self.0.accept(to, far)?;
-        Ok(near)
+        let (client_end, server_end) = duplex(CONNECTION_BUFFER_BYTES);
+        self.0.accept(to, server_end)?;
+        Ok(client_end)
     }
 }
 
@@ -219,21 +222,22 @@
         Rc::new(fleet)
     }
 
+    /// Starts the process of a balancer, with randomly chosen control servers as its first ones.
     fn start(&self, balancer: usize) -> BalancerProcess {
         let state = BalancerState::new(self.history.clone());
-        let me = Balancer {
+        let identity = Balancer {
             node: format!("b{balancer}"),
             zone: "a".into(),
             region: "r".into(),
             http_addr: SocketAddr::from(([10, 0, 1, balancer as u8], 80)),
         };
         let network = SimulatedNetwork(self.deployment.clone());
-        let client = ControlClient::with_network(network, me, state.clone());
-        // A few at first, as a settings file names them: of the core, or any others that serve control.
+        let client = ControlClient::with_network(network, identity, state.clone());
+        // Like a settings file, names only a few of the control servers, with or without a disk.
         let mut seeds = self.deployment.addresses();
         while seeds.len() > SEED_ADDRESSES {
-            let one = self.deployment.random_below(seeds.len() as u64) as usize;
-            seeds.remove(one);
+            let index = self.deployment.random_below(seeds.len() as u64) as usize;
+            seeds.remove(index);
         }
         client.add_seeds(seeds.into_iter());
         BalancerProcess {
@@ -242,14 +246,14 @@
         }
     }
 
-    /// A balancer ends, and starts with nothing.
+    /// Restarts a balancer without any state.
     pub(crate) fn restart(&self, balancer: usize) {
         let process = self.start(balancer);
         self.processes.borrow_mut()[balancer] = process;
     }
 
-    /// Checks every balancer that has been in contact for long enough, again and again.
-    pub(crate) async fn check(self: Rc<Self>) {
+    /// Repeatedly checks all balancers that have been in contact with control servers for long enough.
+    pub(crate) async fn check_balancers(self: Rc<Self>) {
         loop {
             sleep(CHECK_INTERVAL).await;
             let now = Instant::now();
@@ -266,9 +270,10 @@
                     .on_balancer_checked(&format!("b{i}"), state.revision.get());
                 let known = state.upstreams();
                 for id in &draining {
-                    let is_known = known.get(id).is_none_or(|is_draining| *is_draining);
-                    self.history
-                        .require(is_known, || format!("b{i} missed that {id} drains"));
+                    let is_drain_known = known.get(id).is_none_or(|is_draining| *is_draining);
+                    self.history.require(is_drain_known, || {
+                        format!("balancer b{i} does not know that upstream {id} is draining")
+                    });
                 }
             }
         }
--- a/crates/simulation/tests/control_plane/deployment.rs
+++ b/crates/simulation/tests/control_plane/deployment.rs
@@ -1,4 +1,4 @@
-//! Real control servers over a seeded network and disks, on paused time.
+//! Real control servers with a simulated network and simulated disks, on tokio's paused clock.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,17 +24,17 @@
 
 use crate::pause::{Pausable, PauseSwitch};
 
-/// What a message takes on its way.
+/// The delay of a message.
 const MESSAGE_DELAY: Duration = Duration::from_millis(3);
-/// Between two transactions of a disk.
+/// The time between two transactions of a disk.
 const DISK_INTERVAL: Duration = Duration::from_millis(2);
-/// A connection without a message checks so often whether it still stands.
+/// The interval at which an idle connection checks whether both machines are still up and connected.
 const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Unix time at the beginning.
+/// The Unix time at the beginning of a run.
 const EPOCH_MS: u64 = 1_700_000_000_000;
-/// A machine's time of day is off by so much at the most.
+/// The largest difference between a machine's wall clock and the actual time, in either direction.
 const MAX_CLOCK_OFFSET_MS: u64 = 5000;
-/// Members that come later have ids above this.
+/// Members that join later have ids above this.
 const FOUNDER_ID_LIMIT: u64 = 100;
 
 fn settings(octet: u8, has_disk: bool) -> Settings {
@@ -49,24 +49,24 @@
             "zone_map": {{"a": "r", "b": "r"}}, "listen": {{"ctl": "{ip}:70"}},
             "port_range": [7000, 7010]{disk}}}"#
     );
-    Settings::parse(Path::new("boot.json"), text.as_bytes()).expect("good")
+    Settings::parse(Path::new("boot.json"), text.as_bytes()).expect("the settings are valid")
 }
 
-/// A slot of the deployment, with the machine that is in it.
+/// A slot of the deployment and the machine in it.
 struct Machine {
     id: NodeId,
     /// The last octet of its address.
     octet: u8,
-    /// Without a disk it takes no part in the log, and its faults do not disturb the core.
+    /// A machine without a disk is not a member of the log, and its faults do not affect the core.
     has_disk: bool,
-    /// None while the machine is down.
+    /// `None` while the machine is down.
     server: Option<Rc<ControlServer>>,
     pause_switch: Rc<PauseSwitch>,
     persisted: PersistentState,
     disk_stalled_until: Instant,
-    /// Milliseconds beyond the deployment's own time of day, plus [`MAX_CLOCK_OFFSET_MS`].
+    /// The offset of the wall clock in milliseconds: [`MAX_CLOCK_OFFSET_MS`] stands for no offset.
     clock_offset_ms: Rc<Cell<u64>>,
-    /// End with the process.
+    /// Tasks of the process, which end with it.
     tasks: Vec<AbortOnDrop>,
 }
 
@@ -76,15 +76,16 @@
     }
 }
 
+/// All control machines and the network between them.
 pub(crate) struct Deployment {
     machines: RefCell<Vec<Machine>>,
-    /// Ordered pairs that do not reach each other.
+    /// Pairs of machines of which the first does not reach the second.
     partitioned: RefCell<BTreeSet<(usize, usize)>>,
-    /// Changes with every healed partition and restart: connections come up anew.
+    /// Incremented when a partition is healed and when a process starts: all connections are established again.
     connection_generation: Cell<u64>,
     last_id: Cell<u64>,
     began: Instant,
-    /// When a fault last began or ended.
+    /// When a fault of the core last began or ended.
     last_disturbance: Cell<Instant>,
     rng: RefCell<Rand64>,
 }
@@ -94,7 +95,7 @@
 }
 
 impl Deployment {
-    /// Starts `core` machines with a disk, and `diskless` ones that serve control without one.
+    /// Starts `core` machines with a disk and `diskless` machines without one.
     pub(crate) fn new(seed: u64, core: usize, diskless: usize) -> Rc<Self> {
         let size = core + diskless;
         let address = |i: usize| settings(i as u8 + 1, true).internal_addr().to_string();
@@ -130,44 +131,44 @@
         deployment
     }
 
-    /// How many machines there are.
+    /// Returns the number of machines.
     pub(crate) fn size(&self) -> usize {
         self.machines.borrow().len()
     }
 
-    /// A random number below `n`, drawn from the seed.
+    /// Returns a random number below `n`, drawn from the seed.
     pub(crate) fn random_below(&self, n: u64) -> u64 {
         self.rng.borrow_mut().rand_range(0..n)
     }
 
-    /// When a fault of the core last began or ended.
+    /// Returns when a fault of the core last began or ended.
     pub(crate) fn last_disturbance(&self) -> Instant {
         self.last_disturbance.get()
     }
 
-    /// A fault of the core begins or ends.
+    /// Records that a fault of the core begins or ends.
     pub(crate) fn disturb(&self) {
         self.last_disturbance.set(Instant::now());
     }
 
-    /// A fault of a machine begins or ends; it disturbs the core if the machine belongs to it.
+    /// Records that a fault of a machine begins or ends, if the machine belongs to the core.
     fn disturb_by(&self, i: usize) {
         if self.machines.borrow()[i].has_disk {
             self.disturb();
         }
     }
 
-    /// The server of a machine, while it is up.
+    /// Returns the server of a machine, or `None` while the machine is down.
     pub(crate) fn server(&self, i: usize) -> Option<Rc<ControlServer>> {
         self.machines.borrow()[i].server.clone()
     }
 
-    /// Whether a machine stands still.
+    /// Returns whether a machine is paused.
     pub(crate) fn is_paused(&self, i: usize) -> bool {
         self.machines.borrow()[i].pause_switch.is_paused()
     }
 
-    /// The addresses of all machines.
+    /// Returns the addresses of all machines.
     pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
         self.machines
             .borrow()
@@ -176,20 +177,20 @@
             .collect()
     }
 
-    /// The machine at an address.
+    /// Returns the machine at an address.
     pub(crate) fn machine_at(&self, address: SocketAddr) -> Option<usize> {
         let machines = self.machines.borrow();
         machines.iter().position(|m| m.address() == address)
     }
 
-    /// Runs something on a machine: it stands still when the machine does.
+    /// Runs a task on a machine. The task is paused while the machine is.
     pub(crate) fn run_on<F: Future>(&self, i: usize, task: F) -> Pausable<F> {
         Pausable::new(self.machines.borrow()[i].pause_switch.clone(), task)
     }
 
     // ------------------------------------------------------------- processes
 
-    /// Starts a machine's process from what its disk holds.
+    /// Starts a machine's process from the state on its disk.
     pub(crate) fn start(self: &Rc<Self>, i: usize) {
         self.disturb_by(i);
         let (to_disk, disk_requests) = disk::channel();
@@ -219,7 +220,8 @@
         (m.server, m.tasks) = (Some(server), tasks);
     }
 
-    /// What a machine provides, drawn from the seed: its wall clock goes with the paused one, and a little off.
+    /// Returns the environment of a machine: a token drawn from the seed, and a wall clock that follows the paused
+    /// clock with the offset of the machine.
     fn environment(&self, i: usize) -> Environment {
         let (first_token, began) = (self.rng.borrow_mut().rand_u64(), self.began);
         let offset_ms = self.machines.borrow()[i].clock_offset_ms.clone();
@@ -230,7 +232,7 @@
         }
     }
 
-    /// The disk of a machine: syncs what was requested, and tells the server.
+    /// Runs the disk of a machine: applies the requests and reports them to the server as synced.
     async fn run_disk(
         self: Rc<Self>,
         i: usize,
@@ -247,7 +249,7 @@
                 };
                 apply_request(&mut self.machines.borrow_mut()[i].persisted, request);
                 if let Some(sequence) = sequence {
-                    // A server that is gone needs no answer.
+                    // Nobody receives this if the server has ended.
                     let _ = events.send(sequence);
                 }
             }
@@ -269,7 +271,7 @@
 
     // ------------------------------------------------------------- faults
 
-    /// The process ends; its disk is kept.
+    /// Ends a process. Its disk is kept.
     pub(crate) fn kill(&self, i: usize) {
         self.disturb_by(i);
         let m = &mut self.machines.borrow_mut()[i];
@@ -278,7 +280,8 @@
         m.pause_switch.resume();
     }
 
-    /// The process ends and the disk is gone. Whatever starts next is a new member, at this address or another one.
+    /// Ends a process and erases its disk. The next process of the slot is a new member, at the same address or a new
+    /// one.
     pub(crate) fn lose_disk(&self, i: usize, has_new_address: bool) {
         self.kill(i);
         self.last_id.set(self.last_id.get() + 1);
@@ -290,32 +293,32 @@
         }
     }
 
-    /// The machine stands still.
+    /// Pauses a machine.
     pub(crate) fn pause(&self, i: usize) {
         self.disturb_by(i);
         self.machines.borrow()[i].pause_switch.pause();
     }
 
-    /// The machine goes on.
+    /// Resumes a paused machine.
     pub(crate) fn resume(&self, i: usize) {
         self.disturb_by(i);
         let switch = self.machines.borrow()[i].pause_switch.clone();
         switch.resume();
     }
 
-    /// A machine's disk completes nothing for a while. That does not disturb the core.
+    /// Stalls the disk of a machine for a while. This does not count as a fault of the core.
     pub(crate) fn stall_disk(&self, i: usize, duration: Duration) {
         self.machines.borrow_mut()[i].disk_stalled_until = Instant::now() + duration;
     }
 
-    /// The time of day steps on a machine, either way.
+    /// Sets the wall clock of a machine to a random offset in either direction.
     pub(crate) fn step_clock(&self, i: usize) {
         self.disturb_by(i);
         let offset_ms = self.random_below(2 * MAX_CLOCK_OFFSET_MS);
         self.machines.borrow()[i].clock_offset_ms.set(offset_ms);
     }
 
-    /// Nothing gets from one machine to another any more; the way back stays as it is.
+    /// Blocks messages from one machine to another, but not in the opposite direction.
     pub(crate) fn partition_one_way(&self, from: usize, to: usize) {
         self.partitioned.borrow_mut().insert((from, to));
     }
@@ -329,11 +332,11 @@
 
     // ------------------------------------------------------------- connections
 
-    /// A balancer of the data plane connects to a machine.
+    /// Accepts the connection of a data-plane balancer to a machine.
     pub(crate) fn accept(&self, to: usize, stream: DuplexStream) -> io::Result<()> {
         let server = self.server(to).ok_or(io::ErrorKind::ConnectionRefused)?;
         let session = spawn(self.run_on(to, async move {
-            // The balancer sees the end of the connection, whatever ended it.
+            // The balancer notices the end of the connection, whatever its cause.
             let _ = serve_connection(server, stream).await;
         }));
         let tasks = &mut self.machines.borrow_mut()[to].tasks;
@@ -342,21 +345,22 @@
         Ok(())
     }
 
+    /// Makes all servers establish their connections again.
     fn reconnect(&self) {
         self.connection_generation
             .set(self.connection_generation.get() + 1);
     }
 
-    /// Carries the messages of one server to another.
+    /// Delivers the messages of one server to another.
     async fn run_connection(self: Rc<Self>, from: usize, mut request: DialRequest) {
-        // The generation in which the servers introduced themselves; none yet.
+        // The connection generation in which the servers introduced themselves, if they have.
         let mut introduced = None;
         loop {
             let message = timeout(CONNECTION_CHECK_INTERVAL, request.messages.recv()).await;
             let Some(to) = self.machine_at(request.address) else {
                 continue;
             };
-            let (Some(near), Some(far)) = (self.server(from), self.server(to)) else {
+            let (Some(sender), Some(receiver)) = (self.server(from), self.server(to)) else {
                 continue;
             };
             if self.partitioned.borrow().contains(&(from, to)) {
@@ -367,21 +371,21 @@
             if self.is_paused(from) {
                 continue;
             }
-            let near_address = near.control_node.internal_addr;
+            let sender_address = sender.control_node.internal_addr;
             if introduced != Some(self.connection_generation.get()) {
                 introduced = Some(self.connection_generation.get());
                 self.run_on(to, async {
-                    far.on_peer_connected(near.id, near.control_node.clone());
-                    for message in near.introduction_messages() {
-                        far.handle_peer_message(near_address, message);
+                    receiver.on_peer_connected(sender.id, sender.control_node.clone());
+                    for message in sender.introduction_messages() {
+                        receiver.handle_peer_message(sender_address, message);
                     }
                 })
                 .await;
             }
             if let Ok(Some(message)) = message {
-                let handled = async { far.handle_peer_message(near_address, message) };
+                let handled = async { receiver.handle_peer_message(sender_address, message) };
                 if !self.run_on(to, handled).await {
-                    // The server was silent for too long: it has to introduce itself again.
+                    // The sender was silent for too long and has to introduce itself again.
                     introduced = None;
                 }
             }
--- a/crates/simulation/tests/control_plane/faults.rs
+++ b/crates/simulation/tests/control_plane/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the control processes, drawn from the seed.
+//! Random faults of the control machines.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use crate::deployment::Deployment;
 use crate::{CORE, DISKLESS, TOLERABLE_LOSSES};
 
-/// Plays one fault of the core, from its begin to its end.
-pub(crate) async fn of_core(deployment: &Rc<Deployment>, rng: &mut Rand64) {
+/// Injects one random fault of the core and waits until it has ended.
+pub(crate) async fn inject_core_fault(deployment: &Rc<Deployment>, rng: &mut Rand64) {
     let short = Duration::from_millis(300 + rng.rand_range(0..6000));
     let long = Duration::from_millis(14_000 + rng.rand_range(0..6000));
     let count = 1 + rng.rand_range(0..TOLERABLE_LOSSES);
     let first = rng.rand_range(0..CORE as u64) as usize;
-    let some: Vec<usize> = (0..count as usize).map(|i| (first + i) % CORE).collect();
+    let affected: Vec<usize> = (0..count as usize).map(|i| (first + i) % CORE).collect();
     let leader = (0..CORE).find(|i| deployment.server(*i).is_some_and(|s| s.is_leader()));
     let leader_or_first = leader.unwrap_or(first);
     match rng.rand_range(0..11) {
         0 => {
-            some.iter().for_each(|i| deployment.kill(*i));
+            affected.iter().for_each(|i| deployment.kill(*i));
             sleep(short).await;
-            some.iter().for_each(|i| deployment.start(*i));
+            affected.iter().for_each(|i| deployment.start(*i));
         }
         1 => restart(deployment, leader_or_first, short / 10).await,
         2 => {
@@ -37,8 +37,8 @@
             sleep(short).await;
         }
         4 | 5 => {
-            // A minority, with the leader at times; in one direction only at others.
-            let mut side = some.clone();
+            // A minority, sometimes with the leader, and sometimes in one direction only.
+            let mut side = affected.clone();
             if rng.rand_range(0..2) == 0 {
                 side[0] = leader.unwrap_or(side[0]);
             }
@@ -47,16 +47,16 @@
             sleep(long).await;
             deployment.heal();
         }
-        10 => lose_power(deployment, &some, short / 4).await,
+        10 => lose_power(deployment, &affected, short / 4).await,
         9 => {
-            // Halves, whatever the core tolerates: all others reach both.
+            // Half of the core, even if that is more than may be lost. Machines without a disk still reach both sides.
             let half: Vec<usize> = (0..CORE / 2).collect();
             partition(deployment, &half, false);
             sleep(short).await;
             deployment.heal();
         }
         8 => {
-            // The time of day steps, and the process may be restarted under it.
+            // The wall clock steps, and the process may be restarted afterwards.
             deployment.step_clock(first);
             if rng.rand_range(0..2) == 0 {
                 restart(deployment, first, short / 10).await;
@@ -71,13 +71,15 @@
     deployment.disturb();
 }
 
+/// Restarts the process of a machine.
 async fn restart(deployment: &Rc<Deployment>, machine: usize, downtime: Duration) {
     deployment.kill(machine);
     sleep(downtime).await;
     deployment.start(machine);
 }
 
-/// All lose power at the same moment, those without a disk too, and some of the core their disks.
+/// Restarts all machines, including those without a disk, after a simultaneous power failure in which some core
+/// machines also lose their disks.
 async fn lose_power(deployment: &Rc<Deployment>, lost_disks: &[usize], downtime: Duration) {
     let all = 0..CORE + DISKLESS;
     all.clone().for_each(|i| deployment.kill(i));
@@ -88,7 +90,7 @@
     all.for_each(|i| deployment.start(i));
 }
 
-/// A network partition between `side` and the rest of the core. In one direction only, `side` still hears the rest.
+/// Partitions `side` from the rest of the core. If `is_one_way` is true, `side` still receives messages from the rest.
 fn partition(deployment: &Deployment, side: &[usize], is_one_way: bool) {
     deployment.disturb();
     for a in side {
@@ -101,8 +103,8 @@
     }
 }
 
-/// Faults of the machines without a disk, one or all of them, at any time: the core is settled meanwhile.
-pub(crate) async fn of_diskless(deployment: Rc<Deployment>, mut rng: Rand64) {
+/// Repeatedly injects faults of one or more machines without a disk, at random times. They do not affect the core.
+pub(crate) async fn inject_diskless_faults(deployment: Rc<Deployment>, mut rng: Rand64) {
     loop {
         sleep(Duration::from_millis(500 + rng.rand_range(0..8000))).await;
         let count = 1 + rng.rand_range(0..DISKLESS as u64) as usize;
--- a/crates/simulation/tests/control_plane/main.rs
+++ b/crates/simulation/tests/control_plane/main.rs
@@ -1,7 +1,9 @@
-//! The real control server on paused time under faults: operators who race and retry, data-plane balancers with the
-//! real control client that move between control processes, a platform whose upstreams come and go, and invariants
-//! that are checked after every answer. It covers what the schedules of the library can't reach: how a server answers
-//! commands, counts evacuations, and whom it tells what.
+//! Runs the real control server under faults on tokio's paused clock. Operators send conflicting commands and retry
+//! them, data-plane balancers with the real control client move between control processes, the platform adds and drains
+//! upstreams, and invariants are checked after every response.
+//!
+//! This covers what the library's schedules cannot, because they model the host: how a server responds to commands,
+//! counts evacuations, and distributes updates.
 
 mod balancers;
 mod deployment;
@@ -25,21 +27,22 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// Machines with a disk: the members of the log.
+/// The number of machines with a disk, which are the members of the log and are called the core.
 const CORE: usize = 5;
-/// Machines that serve control without a disk.
+/// The number of control machines without a disk.
 const DISKLESS: usize = 3;
-/// Machines of the core that may be lost at a time.
+/// The number of core machines that may be lost at a time.
 const TOLERABLE_LOSSES: u64 = 2;
-/// Balancers of the data plane.
+/// The number of data-plane balancers.
 const BALANCERS: usize = 4;
-/// Seeds of a test run. `SIMULATION_SEEDS=from..to` plays others.
+/// The seeds of a test run. `SIMULATION_SEEDS=from..to` selects others.
 const SEEDS: Range<u64> = 0..6;
-/// Faults of the core in a run.
+/// The number of core faults in a run.
 const FAULTS: u64 = 5;
-/// Time without faults of the core at the end of a run.
+/// The time without core faults at the end of a run.
 const QUIET_TIME: Duration = Duration::from_secs(25);
 
+/// The result of a run, and the simulated time at its end.
 #[derive(Debug, PartialEq)]
 struct Outcome {
     violation: Option<String>,
@@ -47,9 +50,10 @@
     counts: Counts,
 }
 
-async fn play(seed: u64) -> Outcome {
+/// Runs the deployment with its clients and faults until the end or the first violation.
+async fn simulate(seed: u64) -> Outcome {
     let mut rng = Rand64::new(u128::from(seed));
-    let began = Instant::now();
+    let started = Instant::now();
     let deployment = Deployment::new(seed, CORE, DISKLESS);
     let history = Rc::new(History::default());
     let operators = Operators::new(deployment.clone(), history.clone());
@@ -65,17 +69,22 @@
         AbortOnDrop(spawn_local(operators.clone().change_configuration())),
         AbortOnDrop(spawn_local(operators.clone().evacuate_and_return())),
         AbortOnDrop(spawn_local(operators.clone().read())),
-        AbortOnDrop(spawn_local(fleet.clone().check())),
+        AbortOnDrop(spawn_local(fleet.clone().check_balancers())),
     ];
-    tasks.push(AbortOnDrop(spawn_local(platform.clone().change())));
-    let diskless = faults::of_diskless(deployment.clone(), Rand64::new(u128::from(seed) ^ 0xd15c));
+    tasks.push(AbortOnDrop(spawn_local(
+        platform.clone().change_upstreams(),
+    )));
+    let diskless =
+        faults::inject_diskless_faults(deployment.clone(), Rand64::new(u128::from(seed) ^ 0xd15c));
     tasks.push(AbortOnDrop(spawn_local(diskless)));
     for machine in 0..CORE + DISKLESS {
-        tasks.push(AbortOnDrop(spawn_local(platform.clone().poll(machine))));
+        tasks.push(AbortOnDrop(spawn_local(
+            platform.clone().poll_zones(machine),
+        )));
     }
     let outcome = || Outcome {
         violation: history.violation(),
-        at: began.elapsed(),
+        at: started.elapsed(),
         counts: history.counts(),
     };
     for _ in 0..FAULTS {
@@ -83,7 +92,7 @@
         if rng.rand_range(0..2) == 0 {
             fleet.restart(rng.rand_range(0..BALANCERS as u64) as usize);
         }
-        faults::of_core(&deployment, &mut rng).await;
+        faults::inject_core_fault(&deployment, &mut rng).await;
         if history.violation().is_some() {
             return outcome();
         }
@@ -92,7 +101,7 @@
     sleep(QUIET_TIME).await;
     let after = history.counts().acknowledged;
     history.require(after > before, || {
-        "no command acknowledged since all faults ended".into()
+        "no command was acknowledged after all faults had ended".into()
     });
     outcome()
 }
@@ -103,15 +112,15 @@
         .enable_time()
         .start_paused(true)
         .build()
-        .expect("a runtime");
-    LocalSet::new().block_on(&runtime, play(seed))
+        .expect("the runtime can be built");
+    LocalSet::new().block_on(&runtime, simulate(seed))
 }
 
 fn seeds() -> Range<u64> {
-    let asked = std::env::var("SIMULATION_SEEDS").ok();
-    let asked = asked.as_deref().and_then(|s| s.split_once(".."));
-    let asked = asked.and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
-    asked.unwrap_or(SEEDS)
+    let selected = std::env::var("SIMULATION_SEEDS").ok();
+    let selected = selected.as_deref().and_then(|s| s.split_once(".."));
+    let selected = selected.and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
+    selected.unwrap_or(SEEDS)
 }
 
 #[test]
--- a/crates/simulation/tests/control_plane/operators.rs
+++ b/crates/simulation/tests/control_plane/operators.rs
@@ -1,4 +1,5 @@
-//! Operators: configurations that race, evacuations and returns, each retried where its answer was lost; and readers.
+//! Clients of the control servers: operators that send conflicting configurations, an operator that evacuates a
+//! zone and returns it to service, each retrying when a response is lost, and readers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,43 +12,47 @@
 use crate::deployment::Deployment;
 use crate::history::{CommandId, History, command_id_of};
 
-/// How long a server may take over a command, as its HTTP interface sets it.
+/// How long a server may work on a command, as set by its HTTP interface.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(900);
-/// Without an answer for so long, a caller asks another server.
+/// How long a caller waits for a response before it calls another server.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A change of the configuration without a definite answer is given up after this.
+/// A configuration change without a definite response is abandoned after this time.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
-/// An evacuation or return is sent for so long, as the protocol has it.
+/// How long an evacuation or a return to service is retried, as the protocol specifies.
 const EVACUATION_TIMEOUT: Duration = Duration::from_millis(6000);
-/// Of a hundred answers, so many are lost.
+/// The percentage of responses that are lost.
 const LOSS_PERCENT: u64 = 15;
-/// The zone that is evacuated and returned.
+/// The zone that is evacuated and returned to service.
 const ZONE: &str = "b";
 
 type CommandResult = Result<CommandOutcome, Indeterminate>;
 
+/// The clients, which all use the same deployment and history.
 pub(crate) struct Operators {
     deployment: Rc<Deployment>,
     history: Rc<History>,
     last_command_id: Cell<CommandId>,
 }
 
-/// What a caller learns from one call.
+/// The result of one call, as seen by the caller.
 enum Response {
     Definite(CommandOutcome),
-    /// Another machine leads.
+    /// Another machine is the leader.
     Redirect(usize),
+    /// No response, or no definite one.
     None,
 }
 
-/// Whether answers are lost on their way to the caller.
+/// How responses are lost on their way to the caller.
 #[derive(Clone, Copy, PartialEq)]
 enum Losses {
+    /// Responses are lost at random.
     Random,
-    /// The call itself plays what becomes of its answer.
+    /// The call itself simulates lost responses.
     ByCall,
 }
 
+/// Returns the command that replaces the configuration of revision `base`.
 fn replace_command(base: u64, revision: u64, id: CommandId) -> Command {
     let body = format!(
         r#"{{"rev": {revision}, "services": [{{"name": "s"}}], "routes": [{{"name": "r", "host": "h",
@@ -67,6 +72,7 @@
         })
     }
 
+    /// Waits for a random time.
     async fn pause(&self, max_ms: u64) {
         let pause_ms = 50 + self.deployment.random_below(max_ms);
         sleep(Duration::from_millis(pause_ms)).await;
@@ -77,7 +83,7 @@
         self.deployment.random_below(machines) as usize
     }
 
-    /// What comes of a call to one machine.
+    /// Makes a call to one machine.
     async fn call_once(
         &self,
         machine: usize,
@@ -98,14 +104,14 @@
             Ok(Err(Indeterminate::NotLeader(leader))) => {
                 let leader = leader.and_then(|address| self.deployment.machine_at(address));
                 self.history.require(leader != Some(machine), || {
-                    format!("{machine} redirects to itself")
+                    format!("machine {machine} redirects to itself")
                 });
                 leader.map_or(Response::None, Response::Redirect)
             }
         }
     }
 
-    /// Calls one machine after the other, until there is a definite answer. None if there is none in time.
+    /// Calls one machine after the other until there is a definite response. Returns `None` if there is none in time.
     async fn call<F: Future<Output = CommandResult>>(
         &self,
         losses: Losses,
@@ -129,7 +135,7 @@
         None
     }
 
-    /// An operator who changes the configuration again and again.
+    /// Repeatedly changes the configuration.
     pub(crate) async fn change_configuration(self: Rc<Self>) {
         let mut known_revision = 0;
         loop {
@@ -157,20 +163,22 @@
         }
     }
 
-    /// The only operator who evacuates the zone, and who returns it after each evacuation: no more than one stands.
+    /// Repeatedly evacuates the zone and returns it to service. Only one operator does this, so there is never more
+    /// than one evacuation in effect.
     pub(crate) async fn evacuate_and_return(self: Rc<Self>) {
         loop {
             self.pause(3000).await;
             if self.send_zone_command(true).await.is_some() {
                 self.check_evacuations(true).await;
             }
-            // A zone is also returned where its evacuation was never answered clearly, until that is answered.
+            // The zone is also returned to service if the evacuation had no definite response, and this is retried
+            // until there is one.
             while self.send_zone_command(false).await.is_none() {}
             self.check_evacuations(false).await;
         }
     }
 
-    /// Evacuates the zone, or returns it.
+    /// Evacuates the zone or returns it to service. Returns `None` if there is no definite response in time.
     async fn send_zone_command(&self, is_evacuation: bool) -> Option<CommandOutcome> {
         self.call(Losses::ByCall, EVACUATION_TIMEOUT, |server| async move {
             let mut acknowledgement = server
@@ -183,12 +191,12 @@
             }
             acknowledgement.mark_sent();
             if chance < 2 * LOSS_PERCENT {
-                // It breaks while the answer is on its way.
+                // The connection breaks while the response is being sent.
                 acknowledgement.mark_connection_broken().await;
                 return Err(Indeterminate::NoMajority);
             }
             if is_evacuation && chance < 3 * LOSS_PERCENT {
-                // The answer is read, and lost after that.
+                // The response is delivered, but the caller loses it afterwards.
                 acknowledgement.confirm().await;
                 return Err(Indeterminate::NoMajority);
             }
@@ -198,7 +206,7 @@
         .await
     }
 
-    /// Checks how often the zone counts as evacuated.
+    /// Checks that the zone counts as evacuated once or not at all.
     async fn check_evacuations(&self, is_evacuated: bool) {
         let Some(state) = self.read_once().await else {
             return;
@@ -209,13 +217,16 @@
             .map_or(0, |(_, count)| count);
         self.history
             .require(count == usize::from(is_evacuated), || {
-                format!("evacuated {is_evacuated}, and it counts {count} times")
+                format!(
+                    "expected evacuated = {is_evacuated}, but the zone counts {count} evacuations"
+                )
             });
     }
 
+    /// Reads the replicated state from a random machine, and checks it.
     async fn read_once(&self) -> Option<ReplicatedState> {
         let machine = self.random_machine();
-        // A server without a disk has nothing to read: it points elsewhere.
+        // A server without a disk has no replicated state and redirects reads.
         let server = self
             .deployment
             .server(machine)
@@ -232,7 +243,7 @@
         Some(state)
     }
 
-    /// Reads from any machine, again and again.
+    /// Repeatedly reads from random machines.
     pub(crate) async fn read(self: Rc<Self>) {
         loop {
             self.pause(400).await;
--- a/crates/simulation/tests/control_plane/pause.rs
+++ b/crates/simulation/tests/control_plane/pause.rs
@@ -1,11 +1,11 @@
-//! Pauses of a machine: its tasks are not polled while it stands still.
+//! Pausing of machines: the tasks of a paused machine are not polled.
 
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
-/// Whether a machine stands still; its tasks wait here.
+/// Pauses and resumes a machine. Holds the wakers of tasks that were polled during a pause.
 #[derive(Default)]
 pub(crate) struct PauseSwitch {
     is_paused: Cell<bool>,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A task of a machine: it makes progress only while the machine does.
+/// A task of a machine, which makes progress only while the machine is not paused.
 pub(crate) struct Pausable<F> {
     switch: Rc<PauseSwitch>,
     task: Pin<Box<F>>,
--- a/crates/simulation/tests/control_plane/platform.rs
+++ b/crates/simulation/tests/control_plane/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's list of upstreams, which lags, and the servers' calls for it. Upstreams drain and go, and others
-//! come in their place.
+//! The platform's list of upstreams and the servers that poll it. The list is slightly outdated. Upstreams drain, are
+//! removed, and are replaced by new ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,18 +14,19 @@
 
 const ZONES: [&str; 2] = ["a", "b"];
 const UPSTREAMS_PER_ZONE: usize = 4;
-/// The list shows the upstreams as they were up to this long ago.
+/// The list may be outdated by up to this time.
 const MAX_LAG: Duration = Duration::from_millis(800);
-/// An upstream is listed as draining for so long before it is gone.
+/// How long an upstream is listed as draining before it is removed.
 const DRAIN_TIME: Duration = Duration::from_millis(4500);
-/// A balancer in contact knows of a drain after so long.
+/// The time within which a balancer in contact has to learn that an upstream is draining.
 pub(crate) const DRAIN_NOTICE_TIME: Duration = Duration::from_millis(4000);
-/// Between two calls of a server.
+/// The interval at which a server polls the list.
 const POLL_INTERVAL: Duration = Duration::from_millis(400);
 
-struct Listed {
+/// An upstream in the list.
+struct ListedUpstream {
     upstream: Upstream,
-    /// When it began to drain.
+    /// When the upstream began to drain, if it has.
     draining_since: Option<Instant>,
 }
 
@@ -33,8 +34,8 @@
 pub(crate) struct Platform {
     deployment: Rc<Deployment>,
     next_number: Cell<u32>,
-    zones: RefCell<BTreeMap<String, Vec<Listed>>>,
-    /// Everything that ever drained, and since when.
+    zones: RefCell<BTreeMap<String, Vec<ListedUpstream>>>,
+    /// All upstreams that ever began to drain, and when.
     draining_since: RefCell<BTreeMap<String, Instant>>,
 }
 
@@ -57,7 +58,7 @@
         Rc::new(platform)
     }
 
-    fn new_upstream(&self) -> Listed {
+    fn new_upstream(&self) -> ListedUpstream {
         let number = self.next_number.replace(self.next_number.get() + 1);
         let upstream = Upstream {
             id: format!("i-{number}"),
@@ -67,13 +68,13 @@
             draining: false,
             warmup_remaining_ms: 0,
         };
-        Listed {
+        ListedUpstream {
             upstream,
             draining_since: None,
         }
     }
 
-    /// The upstreams that were surely listed as draining by this time.
+    /// Returns the upstreams that were certainly listed as draining by this time.
     pub(crate) fn draining_by(&self, at: Instant) -> Vec<String> {
         let draining_since = self.draining_since.borrow();
         draining_since
@@ -83,12 +84,12 @@
             .collect()
     }
 
-    /// A zone as the platform shows it: as of a moment ago.
+    /// Returns the list of a zone as the platform reports it, which may be outdated by up to [`MAX_LAG`].
     fn list(&self, zone: &str) -> Vec<Upstream> {
         let lag_ms = self.deployment.random_below(MAX_LAG.as_millis() as u64);
         let lag = Duration::from_millis(lag_ms);
         let as_of = Instant::now().checked_sub(lag).unwrap_or_else(Instant::now);
-        let as_listed = |listed: &Listed| Upstream {
+        let as_listed = |listed: &ListedUpstream| Upstream {
             draining: listed.draining_since.is_some_and(|since| since <= as_of),
             ..listed.upstream.clone()
         };
@@ -98,8 +99,8 @@
             .map_or_else(Vec::new, |all| all.iter().map(as_listed).collect())
     }
 
-    /// Upstreams come and go, for good.
-    pub(crate) async fn change(self: Rc<Self>) {
+    /// Repeatedly drains and replaces upstreams, and removes those that have drained.
+    pub(crate) async fn change_upstreams(self: Rc<Self>) {
         loop {
             let pause_ms = 300 + self.deployment.random_below(2500);
             sleep(Duration::from_millis(pause_ms)).await;
@@ -112,18 +113,18 @@
                     .draining_since
                     .is_none_or(|since| now < since + DRAIN_TIME)
             });
-            let one = self.deployment.random_below(all.len() as u64) as usize;
-            if all[one].draining_since.is_none() && all.len() < 2 * UPSTREAMS_PER_ZONE {
-                all[one].draining_since = Some(now);
-                let id = all[one].upstream.id.clone();
+            let index = self.deployment.random_below(all.len() as u64) as usize;
+            if all[index].draining_since.is_none() && all.len() < 2 * UPSTREAMS_PER_ZONE {
+                all[index].draining_since = Some(now);
+                let id = all[index].upstream.id.clone();
                 self.draining_since.borrow_mut().insert(id, now);
                 all.push(self.new_upstream());
             }
         }
     }
 
-    /// The calls of a machine for the zones that its server manages, for good.
-    pub(crate) async fn poll(self: Rc<Self>, machine: usize) {
+    /// Repeatedly passes the lists of the zones that a machine's server manages to the server.
+    pub(crate) async fn poll_zones(self: Rc<Self>, machine: usize) {
         loop {
             sleep(POLL_INTERVAL).await;
             let server = self.deployment.server(machine);
--- a/crates/simulation/tests/schedules.rs
+++ b/crates/simulation/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Ten thousand schedules of faults with fixed seeds, and that a seed gives the same run again.
+//! Runs ten thousand schedules of faults with fixed seeds, and checks that a seed always gives the same run.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
@@ -10,10 +10,10 @@
 
 const SCHEDULES: u64 = 10_000;
 const THREADS: usize = 4;
-/// Of so many failing seeds the numbers are shown.
+/// The number of failing seeds that are listed.
 const MAX_LISTED_SEEDS: usize = 50;
 
-/// What some of the schedules came to.
+/// The results of several schedules.
 #[derive(Default)]
 struct Tally {
     violations: Vec<(u64, Violation)>,
@@ -21,6 +21,7 @@
 }
 
 impl Tally {
+    /// Adds the results of other schedules.
     fn add(&mut self, other: Self) {
         self.violations.extend(other.violations);
         let (all, more) = (&mut self.counts, other.counts);
@@ -32,8 +33,8 @@
     }
 }
 
-/// Plays schedules until none is left.
-fn play_schedules(next_seed: &AtomicU64) -> Tally {
+/// Runs schedules until none is left.
+fn run_schedules(next_seed: &AtomicU64) -> Tally {
     let mut tally = Tally::default();
     loop {
         let seed = next_seed.fetch_add(1, Ordering::Relaxed);
@@ -55,10 +56,10 @@
     let mut tally = Tally::default();
     thread::scope(|scope| {
         let threads: Vec<_> = (0..THREADS)
-            .map(|_| scope.spawn(|| play_schedules(&next_seed)))
+            .map(|_| scope.spawn(|| run_schedules(&next_seed)))
             .collect();
         for thread in threads {
-            tally.add(thread.join().expect("no panic"));
+            tally.add(thread.join().expect("the thread does not panic"));
         }
     });
     let Tally {
@@ -75,7 +76,7 @@
         let count = violations.len();
         panic!("{count} failed: {seeds:?}; seed {seed}: {violation}\n{test}");
     }
-    // The schedules do make progress, and reach what they are to check: else they would show nothing.
+    // The schedules have to make progress and reach the situations that they check, or they would prove nothing.
     let Counts {
         acknowledged,
         rejected,
