--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -1,10 +1,11 @@
-//! Connections between our own processes: a control process dials every other one and speaks on the connection that it
-//! dialled only; balancers of the data plane dial control processes and watch for updates.
+//! Connections between our own processes. A control process dials every other one and sends messages only on the
+//! connections that it dialled. Balancers of the data plane dial control processes and watch for updates.
 //!
-//! **State.** What a connection needs while it stands, nothing else: what it brings goes to [`ControlServer`].
-//! **Neighbours.** A caller that is silent, or takes nothing, for a few seconds is disconnected and has to dial again. A
-//! peer that does not answer is dialled on, for good. What was in flight when a connection ends is lost: a new one begins
-//! with an introduction.
+//! **State.** Only the state of each open connection. Received messages are passed to [`ControlServer`].
+//!
+//! **Failures.** A caller that sends nothing, or accepts no data, for a few seconds is disconnected and has to dial
+//! again. A peer that does not answer is redialled indefinitely. Messages in flight are lost when a connection ends; a
+//! new connection begins with an introduction.
 
 mod dialer;
 mod watch_session;
@@ -23,19 +24,19 @@
 use self::watch_session::WatchSession;
 use crate::server::{ControlServer, SESSION_SYNC_INTERVAL};
 
-/// A caller sends its handshake at once; without one for so long it is disconnected.
+/// A caller that has sent no handshake after this time is disconnected. Callers send it immediately.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// A peer that has said nothing for so long is disconnected: three of its heartbeats are missing.
+/// A peer that has been silent for this long, which is three missed heartbeats, is disconnected.
 const PEER_IDLE_TIMEOUT: Duration = SESSION_SYNC_INTERVAL.saturating_mul(3);
-/// Between two tries to accept a connection, or to dial a peer, after one that failed.
+/// The delay before retrying after a failed accept, or after a connection to a peer that failed or ended.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A connection: the machine's own, or one of a test.
+/// A byte stream: a TCP connection, or a simulated one in tests.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {}
 
 impl<S: AsyncRead + AsyncWrite + Unpin + 'static> Stream for S {}
 
-/// Accepts connections of peers and of the data plane, for good.
+/// Accepts connections from peers and from the data plane. Never returns.
 pub async fn accept_connections(server: Rc<ControlServer>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -44,23 +45,24 @@
                 data_plane::control_client::configure_socket(&stream);
                 tokio::task::spawn_local(async move {
                     if let Err(error) = serve_connection(server, stream).await {
-                        tracing::debug!(%from, %error, "an accepted connection has ended");
+                        tracing::debug!(%from, %error, "an accepted connection was closed");
                     }
                 });
             }
             Err(error) => {
-                tracing::warn!(%error, "accepting a connection failed; trying again");
+                tracing::warn!(%error, "accepting a connection failed; retrying");
                 sleep(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// Serves one connection, of a peer or of a balancer, until it ends.
+/// Serves a connection from a peer or a balancer until it ends.
 ///
 /// # Errors
-/// Why it has ended: the caller hung up, was silent for too long, took nothing, or broke the protocol
-/// (`Unsupported`: it speaks another version; `InvalidData`: a balancer that does not begin with a watch request).
+/// Always returns the reason for the end: the caller hung up, was silent for too long, accepted no data, or violated
+/// the protocol (`Unsupported`: it uses another protocol version; `InvalidData`: the first message of a balancer was
+/// not a watch request).
 pub async fn serve_connection(
     server: Rc<ControlServer>,
     mut stream: impl Stream,
@@ -76,7 +78,7 @@
     if *protocol_version != PROTOCOL_VERSION {
         tracing::warn!(
             protocol_version,
-            "a caller that speaks another protocol version is disconnected"
+            "disconnecting a caller that uses another protocol version"
         );
         return Err(io::ErrorKind::Unsupported.into());
     }
--- a/crates/control-plane/src/connections/dialer.rs
+++ b/crates/control-plane/src/connections/dialer.rs
@@ -1,4 +1,4 @@
-//! Dials peers and sends them what waits for them.
+//! Dials peers and sends them the messages queued for them.
 
 use std::io;
 use std::rc::Rc;
@@ -15,10 +15,11 @@
 use crate::peer_writer;
 use crate::server::{ControlServer, DialRequest};
 
-/// The kernel takes so many bytes of a connection beyond what it has sent: an eighth of a second on a link of 1 Mbit/s.
+/// The number of unsent bytes that the kernel may buffer per connection: an eighth of a second on a link of 1 Mbit/s.
 const MAX_UNSENT_BYTES: u32 = 16 << 10;
 
-/// Dials the peers that are requested, each for good.
+/// Starts a task for each requested peer that keeps a connection to it open. Returns when the channel of requests
+/// closes.
 pub async fn dial_peers(
     server: Rc<ControlServer>,
     mut requests: mpsc::UnboundedReceiver<DialRequest>,
@@ -28,9 +29,11 @@
     }
 }
 
+/// Dials a peer and sends it messages; redials whenever the connection fails. Never returns.
 async fn keep_connected(server: Rc<ControlServer>, mut request: DialRequest) {
     loop {
-        // The peer's own connection shows that it is there: no use in waiting for an old try of ours.
+        // The peer has connected to this process, so it is reachable: redial instead of waiting for a dial that was
+        // started earlier.
         let dialled = tokio::select! {
             dialled = connect(request.address) => dialled,
             () = request.connected.notified() => continue,
@@ -40,7 +43,7 @@
             Err(error) => Err(error),
         };
         if let Err(error) = ended {
-            tracing::debug!(peer = %request.address, %error, "not connected to a peer; trying again");
+            tracing::debug!(peer = %request.address, %error, "not connected to a peer; redialling");
         }
         tokio::select! {
             () = sleep(RETRY_INTERVAL) => {}
@@ -49,13 +52,14 @@
     }
 }
 
-/// Introduces this process and sends what the queue brings, until the connection ends.
+/// Introduces this process, then sends the messages from the queue until the connection ends.
 async fn send_messages(
     server: &ControlServer,
     stream: TcpStream,
     queue: &mut mpsc::Receiver<PeerMessage>,
 ) -> io::Result<()> {
-    // What the kernel holds goes before any heartbeat: it is to be little. Where the option is unknown it holds more.
+    // Data buffered by the kernel is sent before any later heartbeat, so the buffer is kept small. Where the option is
+    // not supported, the kernel buffers more.
     let _ = SockRef::from(&stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES);
     let (mut reader, writer) = stream.into_split();
     let mut writer = BufWriter::new(writer);
@@ -64,10 +68,10 @@
         node_id: server.id,
         control_node: server.control_node.clone(),
     };
-    // What waits by now is older than the introduction; the log sends its own again.
+    // Messages queued so far are older than the introduction. Raft resends its own messages.
     while queue.try_recv().is_ok() {}
     peer_writer::write_frame(&mut writer, &wire::encode_frame(&handshake)?).await?;
-    // An end from the other side is noticed by reading: nothing else ever comes.
+    // Reading detects that the peer has closed the connection; the peer never sends messages on it.
     let closed = async {
         loop {
             wire::receive_message::<PeerMessage>(&mut reader).await?;
--- a/crates/control-plane/src/connections/watch_session.rs
+++ b/crates/control-plane/src/connections/watch_session.rs
@@ -1,8 +1,8 @@
-//! A session of a data-plane balancer: it says what it has, and is sent what it lacks.
+//! A session of a data-plane balancer, which reports the versions that it has and is sent what is newer.
 //!
-//! A balancer keeps two sessions with different control processes. The second one (`is_secondary`) holds updates back for
-//! a moment: most have come by the first one then, and the balancer has said so. Right before anything is handed out it is
-//! looked whether this process is in quorum contact: it may have stood still.
+//! A balancer keeps two sessions with different control processes. The secondary one (`is_secondary`) delays updates
+//! briefly: by then most have arrived on the primary session, and the balancer has reported them. Quorum contact is
+//! checked immediately before anything is sent, because this process may have been suspended.
 
 use std::io;
 use std::rc::Rc;
@@ -18,46 +18,47 @@
 use super::Stream;
 use crate::server::{ControlServer, SessionId};
 
-/// A balancer that takes no update for so long is disconnected.
+/// A balancer that does not accept an update within this time is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// A balancer that opens its session waits so long for a majority to confirm what it is told. It moves on then: another
-/// control process may be in contact.
+/// How long a new session waits for a majority to confirm the state before it reports that this process is out of
+/// contact. The balancer can then turn to another control process, which may be in contact.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The same where there was no contact before either: the time that a majority across regions takes to answer.
+/// The same if this process was out of contact before: the time that a majority across regions takes to answer.
 const CONFIRM_TIMEOUT_OUT_OF_CONTACT: Duration = Duration::from_millis(250);
-/// What the balancer's first session brings is sent on a second one only after so long: a moment for it to arrive there
-/// and to be said here. Short compared with any bound on updates.
+/// How long a secondary session delays an update, so that it can arrive on the primary session and be reported here.
+/// Short compared with any bound on the delay of updates.
 const SECONDARY_DELAY: Duration = Duration::from_millis(600);
-/// So many messages of the balancer wait at most; it is read no further then.
+/// The capacity of the queue of received messages. While it is full, nothing more is read from the balancer.
 const QUEUE_MESSAGES: usize = 8;
 
-/// What happens next on a session.
+/// The next action of a session.
 enum Step {
-    /// This update is sent.
+    /// Send this update.
     Send(Box<WatchUpdate>),
-    /// Nothing, until this moment.
+    /// Send nothing before this time.
     WaitUntil(Instant),
 }
 
-/// A balancer's session. Registered from when it is opened until it is dropped.
+/// A balancer's session. It is registered at the server from [`WatchSession::open`] until it is dropped.
 pub(super) struct WatchSession {
     server: Rc<ControlServer>,
     id: SessionId,
     session: Session,
-    /// What the balancer has, or was sent.
-    has: WatchRequest,
+    /// What the balancer has reported to have, or was sent since.
+    reported: WatchRequest,
     opened_at: Instant,
-    /// What was acknowledged before the session opened is applied here: it is among the first that it is sent.
+    /// Whether everything that was acknowledged before the session opened is known to be applied here.
     is_confirmed: bool,
-    /// Whether it was last sent that this process is in contact.
+    /// The quorum contact that was last reported to the balancer.
     reported_contact: Option<bool>,
+    /// When the last update or heartbeat was sent.
     sent_at: Instant,
-    /// Since when there is something to send that a second session holds back.
+    /// Since when there has been an update to send. A secondary session delays it.
     pending_since: Option<Instant>,
 }
 
 impl WatchSession {
-    /// Registers the session; the balancer counts as not ready until it says otherwise.
+    /// Opens and registers a session. The balancer counts as not ready until it reports otherwise.
     pub(super) fn open(server: Rc<ControlServer>, balancer: Balancer) -> Self {
         let session = Session {
             balancer,
@@ -69,7 +70,7 @@
             server,
             id,
             session,
-            has: WatchRequest::default(),
+            reported: WatchRequest::default(),
             opened_at: Instant::now(),
             is_confirmed: false,
             reported_contact: None,
@@ -83,7 +84,8 @@
         let (reader, writer) = tokio::io::split(stream);
         let mut writer = BufWriter::new(writer);
         let (sender, mut messages) = mpsc::channel(QUEUE_MESSAGES);
-        // Reading has a task of its own: a frame half read must not be dropped. Its end closes the channel.
+        // Messages are read in a separate task, because cancelling a read would lose a partly read frame. The channel
+        // closes when the task ends.
         let _reading = AbortOnDrop(tokio::task::spawn_local(read_messages(reader, sender)));
         let first = messages.recv().await.ok_or(io::ErrorKind::UnexpectedEof)?;
         let SessionMessage::Watch(request) = first else {
@@ -106,7 +108,8 @@
                 Step::WaitUntil(next) => next,
             };
             tokio::select! {
-                // In this order, so that a simulation plays the same each time; each turn of the loop sends what is new.
+                // The fixed order makes simulations reproducible. It can't starve updates: each iteration sends those
+                // due.
                 biased;
                 message = messages.recv() => match message.ok_or(io::ErrorKind::UnexpectedEof)? {
                     SessionMessage::Watch(request) => self.handle_watch_request(request),
@@ -119,56 +122,58 @@
         }
     }
 
-    /// The balancer says what it has, and how it is.
+    /// Records the versions that the balancer has, and whether it is ready and draining.
     fn handle_watch_request(&mut self, request: WatchRequest) {
         (self.session.ready, self.session.draining) = (request.ready, request.draining);
         self.server.update_session(self.id, self.session.clone());
         self.server.observe_zone_versions(&request.zone_versions);
-        self.has = request;
+        self.reported = request;
     }
 
-    /// Waits until what was acknowledged before the session opened is applied here, for a while.
+    /// Waits, for a limited time, until everything that was acknowledged before the session opened is applied here.
     async fn confirm(&mut self) {
         self.opened_at = Instant::now();
-        let patience = if self.server.has_quorum_contact() {
+        let confirm_timeout = if self.server.has_quorum_contact() {
             CONFIRM_TIMEOUT
         } else {
             CONFIRM_TIMEOUT_OUT_OF_CONTACT
         };
-        self.is_confirmed = self.server.wait_until_current(patience).await;
+        self.is_confirmed = self.server.wait_until_current(confirm_timeout).await;
         self.sent_at = Instant::now() - HEARTBEAT_INTERVAL;
     }
 
-    /// Whether what is agreed on may be sent.
+    /// Whether the replicated state may be sent.
     fn is_in_contact(&mut self) -> bool {
         let age = self.server.quorum_contact_age();
         self.is_confirmed |= age.is_some_and(|age| age < self.opened_at.elapsed());
         self.is_confirmed && self.server.has_quorum_contact()
     }
 
-    /// What is to be sent by now: an update, a change of contact, or a heartbeat.
+    /// Returns what is due now: an update, a change of quorum contact, or a heartbeat.
     fn next_step(&mut self) -> Step {
         let in_contact = self.is_in_contact();
-        let mut has_then = self.has.clone();
+        let mut new_reported = self.reported.clone();
         let node = &self.session.balancer.node;
-        let mut update = self.server.watch_update(node, &mut has_then, in_contact);
+        let mut update = self
+            .server
+            .watch_update(node, &mut new_reported, in_contact);
         self.pending_since = update
             .as_ref()
             .map(|_| self.pending_since.unwrap_or_else(Instant::now));
-        let held_until = self
+        let delayed_until = self
             .pending_since
-            .filter(|_| self.has.is_secondary)
+            .filter(|_| self.reported.is_secondary)
             .map(|since| since + SECONDARY_DELAY);
-        if held_until.is_some_and(|until| Instant::now() < until) {
+        if delayed_until.is_some_and(|until| Instant::now() < until) {
             update = None;
         }
         let is_due = self.sent_at.elapsed() >= HEARTBEAT_INTERVAL;
         if update.is_none() && self.reported_contact == Some(in_contact) && !is_due {
             let heartbeat_at = self.sent_at + HEARTBEAT_INTERVAL;
-            return Step::WaitUntil(held_until.map_or(heartbeat_at, |at| at.min(heartbeat_at)));
+            return Step::WaitUntil(delayed_until.map_or(heartbeat_at, |at| at.min(heartbeat_at)));
         }
         if update.is_some() {
-            (self.has, self.pending_since) = (has_then, None);
+            (self.reported, self.pending_since) = (new_reported, None);
         }
         (self.sent_at, self.reported_contact) = (Instant::now(), Some(in_contact));
         Step::Send(Box::new(WatchUpdate {
@@ -185,7 +190,7 @@
     }
 }
 
-/// Reads the balancer's messages until it hangs up, is silent for too long, or the session has ended.
+/// Forwards the balancer's messages until it hangs up, is silent for too long, or the session ends.
 async fn read_messages(reader: impl AsyncRead + Unpin, messages: mpsc::Sender<SessionMessage>) {
     let mut reader = BufReader::new(reader);
     loop {
--- a/crates/control-plane/src/discovery.rs
+++ b/crates/control-plane/src/discovery.rs
@@ -1,7 +1,9 @@
-//! Discovery of upstreams: the platform's list, asked for zone by zone by the one process that manages a zone.
+//! Discovery of upstreams: polls the platform's list of each zone. Only the process that manages a zone polls it.
 //!
-//! **State.** None of its own: lists go to [`ControlServer`]. **Neighbours.** While the platform does not answer, the last
-//! list stays in force. A process that is gone has its zone managed, and so asked for, by the next one.
+//! **State.** None. The lists are passed to [`ControlServer`].
+//!
+//! **Failures.** While the platform does not answer, the last list stays in effect. If a process fails, another one
+//! takes over its zone and polls it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,17 +16,18 @@
 
 use crate::server::ControlServer;
 
-/// A zone is asked for this many times within the time that a drain leaves.
+/// How many times a zone is polled during the time that a draining upstream keeps serving.
 const REQUESTS_PER_DRAIN: u32 = 4;
-/// A drain is taken to leave this at least, in ms.
+/// The lower bound of the drain time that the polling interval is derived from, in ms.
 const MIN_DRAIN_MS: u64 = 400;
-/// A call to the platform is given up after this.
+/// The timeout of a call to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A list that has more pages than this is not read.
+/// A list with more pages than this is rejected.
 const MAX_PAGES: usize = 1000;
-/// The platform's time until an instance is warm is cut to this, in ms.
+/// The upper bound of the remaining warm-up time that the platform reports, in ms.
 const MAX_WARM_LEFT_MS: f64 = 1e9;
 
+/// A page of the platform's list of instances.
 #[derive(Deserialize)]
 struct Page {
     instances: Vec<Instance>,
@@ -32,6 +35,7 @@
     next_token: Option<String>,
 }
 
+/// An instance of a service, as the platform describes it.
 #[derive(Deserialize)]
 struct Instance {
     id: String,
@@ -58,7 +62,8 @@
     }
 }
 
-/// Asks for the zones that this process manages, for good. Where that fails the last list stays in force.
+/// Polls the zones that this process manages. If a call fails, the zone keeps its last list. Returns only if the
+/// settings have no `cloud_api`.
 pub async fn run(server: Rc<ControlServer>) {
     let Some(platform) = server.settings.cloud_api.clone() else {
         tracing::warn!("the settings have no `cloud_api`: no upstreams are discovered");
@@ -75,7 +80,7 @@
                 Err(error) => tracing::info!(
                     zone,
                     %error,
-                    "the platform's list of upstreams could not be read; the last one stays in force"
+                    "reading the platform's list of upstreams failed; the last list stays in effect"
                 ),
             }
         }
@@ -83,7 +88,7 @@
     }
 }
 
-/// All pages of the platform's list of a zone.
+/// Reads all pages of the platform's list of a zone.
 async fn list_zone(client: &HttpClient, zone: &str) -> Result<Vec<Upstream>, HttpClientError> {
     let (mut upstreams, mut token) = (Vec::new(), None::<String>);
     for _ in 0..MAX_PAGES {
@@ -99,7 +104,7 @@
         if token.is_none() {
             return Ok(upstreams);
         }
-        // A long list must not keep the other tasks of the thread waiting.
+        // Yields, so that a long list does not block the other tasks on this thread.
         sleep(Duration::ZERO).await;
     }
     Err(HttpClientError::TooManyPages)
--- a/crates/control-plane/src/http_api.rs
+++ b/crates/control-plane/src/http_api.rs
@@ -1,8 +1,9 @@
-//! The HTTP interface of a control process: operators' calls on the address `ctl`, clients' directory on `dir`.
+//! The HTTP interface of a control process: the operators' calls on the address `ctl`, and the clients' directory on
+//! `dir`.
 //!
-//! It owns no replicated state: calls that change something go to the [`ControlServer`](crate::server::ControlServer),
-//! and answers are made of what that has. JSON field names, statuses and texts are held by
-//! `crates/shorefront/tests/outside_view.rs`.
+//! It owns no replicated state: calls that change something are passed to the
+//! [`ControlServer`](crate::server::ControlServer), and responses are built from its state. The JSON field names,
+//! status codes and texts are fixed by `crates/shorefront/tests/outside_view.rs`.
 
 mod directory_api;
 mod operator_api;
--- a/crates/control-plane/src/http_api/directory_api.rs
+++ b/crates/control-plane/src/http_api/directory_api.rs
@@ -1,15 +1,17 @@
-//! The directory (`dir`): tells clients the addresses of balancers that are ready.
+//! The directory (`dir`), in which clients look up the addresses of balancers that are ready.
 //!
 //! | call | answer |
 //! | --- | --- |
-//! | `GET /-/resolve?zone=Z&region=R` | 200 `{"addrs": [..], "ttl_s": seconds}`, at most 64 addresses: those of the zone; with fewer than two there, those of the region; with none there, all |
-//! | the same, while no balancer is ready | 503 with `Retry-After` |
+//! | `GET /-/resolve?zone=Z&region=R` | 200 `{"addrs": [..], "ttl_s": seconds}`, at most 64 addresses: those in the zone; if there are fewer than two, those in the region; if there are none, all |
+//! | the same call, while no balancer is ready | 503 with `Retry-After` |
 //! | anything else | 404, no body |
 //!
-//! **State.** Answers by zone and region, kept while the sessions are the same. Nothing of it is stored or replicated:
-//! any control process answers, also one that is out of contact with the others, with the sessions it knows of. When
-//! a peer is silent for too long, its balancers are not named any more; when all are, so is nobody, and clients go on
-//! with the addresses they have.
+//! **State.** A cache of answers by zone and region, valid while the sessions are unchanged. Nothing is stored or
+//! replicated: every control process answers from the sessions that it knows, even if it is out of contact with the
+//! others.
+//!
+//! **Failures.** The balancers of a peer that is silent for too long are no longer listed. If no balancer is left,
+//! clients keep using the addresses that they have.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -29,37 +31,38 @@
 use super::responses::raw_json_response;
 use crate::server::ControlServer;
 
-/// Part of `grace_s` that an answer may be used for. Some clients ask three times as late as they are told, and a
-/// balancer that drains has `grace_s` for all of them to hear of it.
+/// The part of `grace_s` for which an answer is valid. Some clients refresh only after three times the TTL, and all of
+/// them have to learn of a draining balancer within `grace_s`.
 const TTL_PER_GRACE: f64 = 1.0 / 3.0;
-/// An answer is used for so long at least.
+/// The lower bound of the TTL of an answer.
 const MIN_TTL_S: f64 = 0.5;
-/// Addresses in an answer at most.
+/// The maximum number of addresses in an answer.
 const MAX_ADDRESSES: usize = 64;
-/// Zones and regions that answers are kept for: more than any site has.
+/// The cache is cleared when it has more entries than this, which is more than the zones and regions of any deployment.
 const MAX_CACHED_ANSWERS: usize = 1000;
-/// With fewer balancers than this in the client's own zone, those of its region are named too: one loss must leave it
-/// somewhere to go.
+/// If the client's zone has fewer balancers than this, those of its region are listed too, so that the client has an
+/// alternative when one fails.
 const MIN_ZONE_BALANCERS: usize = 2;
-/// A client without an answer asks again after this.
+/// The `Retry-After` for clients when no balancer is ready.
 const RETRY_AFTER: Span = Span(1_000_000);
 
-/// Answers clients.
+/// Answers the clients' look-ups.
 pub struct DirectoryApi {
     server: Rc<ControlServer>,
     cache: RefCell<AnswerCache>,
 }
 
-/// Answers by zone and region, for as long as the sessions are the same.
+/// Cached answers by zone and region, valid for one list of sessions.
 #[derive(Default)]
 struct AnswerCache {
+    /// The sessions that the answers were built from.
     sessions: Rc<Vec<Session>>,
-    /// `None` where no balancer is ready.
+    /// Encoded bodies; `None` if no balancer is ready.
     answers: BTreeMap<(String, String), Option<Bytes>>,
 }
 
 impl DirectoryApi {
-    /// The directory of what this process knows.
+    /// Creates a directory that answers from this process's sessions.
     pub fn new(server: Rc<ControlServer>) -> Self {
         Self {
             server,
@@ -67,13 +70,14 @@
         }
     }
 
-    /// The body of an answer, or `None` where no balancer is ready.
+    /// Returns the body of an answer, or `None` if no balancer is ready.
     fn resolve(&self, zone: &str, region: &str) -> Option<Bytes> {
-        // This process may have stood still: balancers that were last heard of too long ago are not named.
+        // This process may have been suspended, in which case balancers may be listed that have been silent for too
+        // long.
         self.server.expire_silent_peers();
         let sessions = self.server.all_sessions();
         let mut cache = self.cache.borrow_mut();
-        // With the whole fleet walked and written out for each client, look-ups took over a second.
+        // Look-ups took over a second when each one iterated over the whole fleet and encoded the answer anew.
         if !Rc::ptr_eq(&cache.sessions, &sessions) || cache.answers.len() > MAX_CACHED_ANSWERS {
             *cache = AnswerCache {
                 sessions: sessions.clone(),
@@ -114,6 +118,7 @@
     }
 }
 
+/// Returns the value of the first field of this name in a query string.
 fn query_field<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
@@ -122,8 +127,8 @@
         .map(|(_, value)| value)
 }
 
-/// The balancers that a client is sent to: those of its zone, of its region if these are too few, all if
-/// there are none. Only those that are ready and do not drain.
+/// Returns the addresses of the balancers for a client: those in its zone; if these are too few, those in its region;
+/// if there are none, all. Only balancers that are ready and not draining are included.
 fn nearest_balancers(sessions: &[Session], zone: &str, region: &str) -> Vec<SocketAddr> {
     let ready: Vec<&Session> = sessions.iter().filter(|s| s.ready && !s.draining).collect();
     let select = |is_near: &dyn Fn(&Session) -> bool| -> Vec<SocketAddr> {
--- a/crates/control-plane/src/http_api/directory_api/tests.rs
+++ b/crates/control-plane/src/http_api/directory_api/tests.rs
@@ -1,4 +1,4 @@
-//! Which balancers a client is sent to.
+//! Tests of the selection of balancers for a client.
 
 use protocol::wire::Balancer;
 
@@ -36,6 +36,14 @@
             .collect()
     };
     assert_eq!(ports("a", "r"), [1, 2]);
-    assert_eq!(ports("b", "r"), [1, 2, 3], "one alone is too few");
-    assert_eq!(ports("c", "q"), [1, 2, 3], "none there is ready");
+    assert_eq!(
+        ports("b", "r"),
+        [1, 2, 3],
+        "a single balancer in the zone is too few"
+    );
+    assert_eq!(
+        ports("c", "q"),
+        [1, 2, 3],
+        "no balancer in the region is ready"
+    );
 }
--- a/crates/control-plane/src/http_api/operator_api.rs
+++ b/crates/control-plane/src/http_api/operator_api.rs
@@ -1,26 +1,25 @@
-//! Operators' calls (`ctl`).
+//! The operators' calls (`ctl`).
 //!
 //! | call | answer |
 //! | --- | --- |
-//! | `GET /-/Config.Read` | 200 and the configuration, as current as a majority knows; 404 before the first one |
-//! | `GET /-/Status` | 200 and what this process knows, also without a majority |
-//! | `GET /-/metrics` | 200 and the metrics, as Prometheus reads them |
-//! | `POST /-/Config.Replace`, `POST /-/Config.Amend`, with the header `Base-Version` | 200 `{"rev": current}` once a majority has synced it, also if it was accepted before |
-//! | `POST /-/Drain.Begin/ZONE`, `POST /-/Drain.Finish/ZONE` | 200 `{"zone", "evacuations"}`; the connection closes behind it. 404 for a zone that the settings don't have |
+//! | `GET /-/Config.Read` | 200 and the configuration (a linearizable read); 404 before the first one |
+//! | `GET /-/Status` | 200 and the state of this process, also without a majority |
+//! | `GET /-/metrics` | 200 and the metrics in the Prometheus format |
+//! | `POST /-/Config.Replace`, `POST /-/Config.Amend`, with the header `Base-Version` | 200 `{"rev": current}` once a majority has synced it, also if it had been accepted before |
+//! | `POST /-/Drain.Begin/ZONE`, `POST /-/Drain.Finish/ZONE` | 200 `{"zone", "evacuations"}`; the connection closes after it. 404 for a zone that is not in the settings |
 //! | anything else | 404 `{"err"}` |
 //!
-//! A change of the configuration is refused for good with 400 (header, body, or a rule that it breaks; the text names
-//! the field), 412 (another revision is current) or 413 (larger than half a frame). 408 means that its body took longer
-//! than 10 s.
+//! A change of the configuration is rejected permanently with 400 (an invalid header or body, or a violated rule; the
+//! text names the field), 412 (another revision is current) or 413 (larger than half a frame). 408 means that its body
+//! took longer than 10 s.
 //!
-//! Every call but `Status` and `metrics` may get 307 (another process leads: `Location`) or 503 (no majority within
-//! 950 ms, or a command too old to tell). A 503 leaves open what becomes of the command: it may be applied later. The
-//! caller sends it again, unchanged, until its answer is definite ([`crate::operator_client`]).
+//! Every call except `Status` and `metrics` may get 307 (another process leads; its address is in `Location`) or 503
+//! (no majority within 950 ms, or a command so old that its outcome is no longer known). After a 503 the outcome is
+//! unknown: the command may still be applied later. The caller resends it unchanged until it gets a definite answer
+//! ([`crate::operator_client`]). Resent calls are detected by [`crate::replicated_state`].
 //!
-//! **Where a call that is sent again is recognized:** see [`crate::replicated_state`].
-//!
-//! **State.** None of its own. A caller that goes away ends nothing: the command stands in the log or it doesn't. A
-//! task for each acknowledgement of an evacuation or return watches how its connection ends, for 1 s at most.
+//! **State.** None. A caller that disconnects cancels nothing: its command is either in the log or not. For each
+//! acknowledgement of an evacuation or return, a task observes for at most 1 s how its connection ends.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -44,20 +43,21 @@
 use crate::command::{Command, CommandOutcome};
 use crate::server::{Acknowledgement, CALLER_WAIT, ControlServer, Indeterminate, LogStatus};
 
-/// The revision that a change of the configuration builds on.
+/// The header with the revision that a change of the configuration is based on.
 pub const BASE_VERSION_HEADER: HeaderName = HeaderName::from_static("base-version");
-/// A caller moves on after a second of silence: a command that has no majority by then is indeterminate.
+/// The timeout of a command, after which its outcome is indeterminate. Callers try another process after a second
+/// without an answer.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(950);
-/// A large configuration may take so long to come.
+/// The timeout for receiving a body, which allows for a large configuration.
 const BODY_READ_TIMEOUT: Duration = Duration::from_millis(10_000);
-/// The largest configuration: a frame has to carry it, and a log entry.
+/// The maximum size of a configuration, which has to fit into a frame and a log entry.
 const MAX_BODY_BYTES: usize = MAX_FRAME_BYTES / 2;
-/// Told with 503.
+/// The error text of responses with status 503.
 const NO_MAJORITY: &str = "no majority of the control balancers";
 
-/// Answers operators.
+/// Answers the operators' calls.
 pub struct OperatorApi {
-    /// The process that it speaks for.
+    /// The process whose state is read and changed.
     pub server: Rc<ControlServer>,
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl OperatorApi {
-    /// `Config.Read`: as current as a majority knows.
+    /// Handles `Config.Read`, a linearizable read.
     async fn read_configuration(&self) -> ClientResponse {
         if !self.server.control_node.has_disk {
             let redirect = self.server.redirect_target().await;
@@ -121,7 +121,7 @@
         )
     }
 
-    /// `Config.Replace` and `Config.Amend`.
+    /// Handles `Config.Replace` and `Config.Amend`.
     async fn change_configuration(
         &self,
         request: Request<Incoming>,
@@ -138,19 +138,19 @@
         }
     }
 
-    /// `Drain.Begin` and `Drain.Finish`. The connection is closed behind the acknowledgement, so that it shows whether
-    /// the caller has read it.
+    /// Handles `Drain.Begin` and `Drain.Finish`. The connection is closed after the acknowledgement, because the way in
+    /// which it ends shows whether the caller has read the acknowledgement.
     async fn change_zone(
         &self,
         request: &Request<Incoming>,
         zone: &str,
-        begin: bool,
+        is_evacuation: bool,
         arrived: Instant,
     ) -> ClientResponse {
         let receipts = request.extensions().get::<DeliveryReceipt>().cloned();
         let submitted = self
             .server
-            .submit_zone_command(zone, begin, COMMAND_TIMEOUT)
+            .submit_zone_command(zone, is_evacuation, COMMAND_TIMEOUT)
             .await;
         let mut acknowledgement = match submitted {
             Ok(acknowledgement) => acknowledgement,
@@ -170,7 +170,7 @@
         response
     }
 
-    /// `Status`: what this process knows, whether or not it is in contact with a majority.
+    /// Handles `Status`: returns the state of this process, whether or not it is in quorum contact.
     fn status(&self) -> ClientResponse {
         let LogStatus {
             own,
@@ -207,6 +207,7 @@
         )
     }
 
+    /// Converts the outcome of a configuration change into a response.
     fn outcome_response(&self, outcome: CommandOutcome) -> ClientResponse {
         match outcome {
             CommandOutcome::Applied | CommandOutcome::AlreadyApplied => {
@@ -224,14 +225,14 @@
                 StatusCode::SERVICE_UNAVAILABLE,
                 "too old to tell whether it was taken; see `/-/Config.Read`",
             ),
-            // No change of the configuration ends so; if one did, it would have to be sent again.
+            // Changes of the configuration never have this outcome. If one did, it would have to be resent.
             CommandOutcome::Conflict => {
                 error_response(StatusCode::SERVICE_UNAVAILABLE, NO_MAJORITY)
             }
         }
     }
 
-    /// Points the caller to the leader, or has it send the call again later.
+    /// Redirects the caller to the leader or, if none is known, asks it to retry later.
     fn indeterminate_response(&self, path: &str, error: &Indeterminate) -> ClientResponse {
         match error {
             Indeterminate::NotLeader(Some(leader)) => {
@@ -251,64 +252,67 @@
     }
 }
 
-/// Why a change of the configuration can't be read from its request.
+/// A request from which no change of the configuration can be read. The messages are part of the responses.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-enum UnreadableChange {
+enum InvalidChangeRequest {
     #[error("Base-Version: expected a whole number")]
     InvalidBase,
     #[error("the configuration is too large")]
     TooLarge,
     #[error("the body was cut short")]
-    CutShort,
+    Truncated,
     #[error("the body took too long")]
     TimedOut,
     #[error("the body is not UTF-8")]
     NotUtf8,
 }
 
-impl UnreadableChange {
+impl InvalidChangeRequest {
     fn status(self) -> StatusCode {
         match self {
-            Self::InvalidBase | Self::CutShort | Self::NotUtf8 => StatusCode::BAD_REQUEST,
+            Self::InvalidBase | Self::Truncated | Self::NotUtf8 => StatusCode::BAD_REQUEST,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::TimedOut => StatusCode::REQUEST_TIMEOUT,
         }
     }
 }
 
-/// The base and the body of a change of the configuration.
-async fn read_change(request: Request<Incoming>) -> Result<(u64, String), UnreadableChange> {
+/// Reads the base revision and the body of a change of the configuration.
+async fn read_change(request: Request<Incoming>) -> Result<(u64, String), InvalidChangeRequest> {
     let base = request
         .headers()
         .get(BASE_VERSION_HEADER)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.trim().parse::<u64>().ok())
-        .ok_or(UnreadableChange::InvalidBase)?;
+        .ok_or(InvalidChangeRequest::InvalidBase)?;
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
     let body = match timeout(BODY_READ_TIMEOUT, body).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-            return Err(UnreadableChange::TooLarge);
+            return Err(InvalidChangeRequest::TooLarge);
         }
-        Ok(Err(_)) => return Err(UnreadableChange::CutShort),
-        Err(_) => return Err(UnreadableChange::TimedOut),
+        Ok(Err(_)) => return Err(InvalidChangeRequest::Truncated),
+        Err(_) => return Err(InvalidChangeRequest::TimedOut),
     };
-    let body = String::from_utf8(body.into()).map_err(|_| UnreadableChange::NotUtf8)?;
+    let body = String::from_utf8(body.into()).map_err(|_| InvalidChangeRequest::NotUtf8)?;
     Ok((base, body))
 }
 
+/// Describes a balancer's session for `Status`.
 fn session_status(session: &Session) -> Value {
     json!({"node": session.balancer.node, "zone": session.balancer.zone,
         "http": session.balancer.http_addr, "ready": session.ready, "leaving": session.draining})
 }
 
+/// Describes a member of the log for `Status`.
 fn member_status(member: &MemberReport) -> Value {
     json!({"address": member.address, "id": format!("{:016x}", member.id), "voter": member.voter,
         "in_contact": member.in_contact, "silence_ms": member.silence_ms,
         "behind": member.entries_behind})
 }
 
-/// How many ranges a service has, how many of them each upstream owns, and how many nobody does.
+/// Describes a service's key ranges for `Status`: their number, how many each upstream owns, and how many are without
+/// an owner.
 fn keys_status(ranges: &KeyRangeMap) -> Value {
     let (mut owned, mut unassigned) = (BTreeMap::<&str, u32>::new(), 0);
     for (_, range) in ranges.iter() {
@@ -320,8 +324,8 @@
     json!({"slices": ranges.iter().count(), "leaving": unassigned, "held": owned})
 }
 
-/// Records what the end of its connection tells of an acknowledgement: a caller that has read it closes at once, and
-/// one that has not stays until it gives up.
+/// Records whether an acknowledgement was read, as shown by how its connection ends: a caller that has read it closes
+/// the connection immediately, other callers keep it open until they time out.
 async fn record_delivery(
     acknowledgement: Acknowledgement,
     mut receipt: DeliveryReceipt,
--- a/crates/control-plane/src/http_api/responses.rs
+++ b/crates/control-plane/src/http_api/responses.rs
@@ -1,4 +1,4 @@
-//! Responses in JSON.
+//! JSON responses.
 
 use bytes::Bytes;
 use data_plane::headers::ClientResponse;
@@ -7,11 +7,12 @@
 use hyper::{Response, StatusCode};
 use serde_json::json;
 
+/// Builds a response with a JSON body.
 pub(super) fn json_response(status: StatusCode, body: &serde_json::Value) -> ClientResponse {
     raw_json_response(status, Bytes::from(body.to_string()))
 }
 
-/// A response whose body is JSON already.
+/// Builds a response from a body that is already encoded as JSON.
 pub(super) fn raw_json_response(status: StatusCode, body: Bytes) -> ClientResponse {
     let mut response = Response::new(Full::from(body));
     *response.status_mut() = status;
@@ -21,7 +22,7 @@
     response
 }
 
-/// `{"err": why}`.
-pub(super) fn error_response(status: StatusCode, why: &str) -> ClientResponse {
-    json_response(status, &json!({"err": why}))
+/// Builds a response with the body `{"err": message}`.
+pub(super) fn error_response(status: StatusCode, message: &str) -> ClientResponse {
+    json_response(status, &json!({"err": message}))
 }
--- a/crates/control-plane/src/key_leases.rs
+++ b/crates/control-plane/src/key_leases.rs
@@ -1,10 +1,11 @@
-//! Leases on keys: where upstreams divide a service's keys, the leader of the log decides who is to hold which, and grants
-//! and releases what is agreed on. `placement` plans without I/O; here are the calls.
+//! Key leases. For services whose keys are sharded among their upstreams, the leader of the log assigns key ranges to
+//! upstreams, and grants and releases leases accordingly. `placement` plans without I/O; this module makes the calls.
 //!
-//! **State.** The plans of one term and connections to upstreams, all in memory: a new leader plans anew from the
-//! replicated state, once whatever its predecessor may have sent has run out. **Neighbours.** An upstream that does not
-//! answer is given nothing for a while; one that is gone loses its keys when its lease has run out. A leader that is cut
-//! off stops its calls after `LEADER_STALENESS_MS`.
+//! **State.** The plans of one term and the connections to upstreams, all in memory. A new leader plans anew from the
+//! replicated state, after all leases that its predecessor may have granted have expired.
+//!
+//! **Failures.** An upstream that does not answer is assigned no keys for a while; one that has disappeared loses its
+//! keys when its lease expires. A leader that is partitioned off stops making calls after `LEADER_STALENESS_MS`.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -26,27 +27,30 @@
 
 use crate::server::{ControlServer, ELECTION_TIMEOUT_MS, KnownUpstream};
 
-/// Keys are granted for so long, or for as long as the platform allows: an election takes up to two of its
-/// time-outs, and what was renewed last a third of this ago must outlive it.
+/// The duration of a lease, unless the platform allows only a shorter one. A lease that was renewed a third of this
+/// duration ago must outlast an election, which takes up to two election timeouts.
 const LEASE_MS: u64 = 5000;
 const _: () = assert!(LEASE_MS - LEASE_MS / 3 > 2 * ELECTION_TIMEOUT_MS);
-/// A grant is given up after so long: twice across regions and a busy moment at either end.
+/// The timeout of a grant: two trips across regions, with some allowance for load at either end.
 const GRANT_TIMEOUT_MS: u64 = 800;
-/// A release is answered once what ran on the keys has ended.
+/// The timeout of a release, which is answered only when all work on the keys has ended.
 const RELEASE_TIMEOUT_MS: u64 = 3000;
-/// A leader sends grants for so long after a majority last followed it: some heartbeats.
+/// How long a leader keeps sending grants after a majority last confirmed it: a few heartbeats.
 const LEADER_STALENESS_MS: u64 = 1000;
-/// Between two calls after one that failed.
+/// The delay before a failed call is retried.
 const RETRY_INTERVAL_MS: u64 = 200;
-/// Keys are divided once no upstream has come for so long: two calls to the platform in each zone.
+/// Keys are assigned once no new upstream has appeared for this long, which allows for two polls of the platform in
+/// each zone.
 const STABILIZATION_MS: u64 = 2500;
-/// Plans are made this often.
+/// The interval at which plans are updated.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
-/// Plans are made this long after a call has ended: with the others that end just then.
+/// The delay between the end of a call and the next plan, so that one plan covers all calls that end at about the same
+/// time.
 const PLAN_DELAY_AFTER_CALL: Duration = Duration::from_millis(10);
-/// Calls that may be under way at once.
+/// The maximum number of concurrent calls.
 const MAX_CALLS: usize = 64;
 
+/// The planner of a service's keys, and the load on them.
 struct ServicePlan {
     planner: Planner,
     load: KeyLoad,
@@ -54,29 +58,31 @@
 
 /// The plans of one term, and the connections to upstreams.
 ///
-/// Invariant: `calls_under_way` counts the spawned calls that have not ended, of whichever term. Plans are those of
-/// `term`: what a call of an earlier term brings is not shown to them.
+/// Invariants: `calls_in_flight` counts the spawned calls of all terms that have not ended. The plans belong to `term`;
+/// outcomes of calls from earlier terms are not reported to them.
 #[derive(Default)]
 struct LeaseManager {
     term: u64,
+    /// Log index of the configuration that the list of services was taken from; 0 if there is none yet.
     config_index: u64,
+    /// By service.
     plans: BTreeMap<String, ServicePlan>,
-    /// By upstream.
+    /// Connections by upstream id.
     clients: BTreeMap<String, Rc<HttpClient>>,
-    calls_under_way: usize,
+    calls_in_flight: usize,
 }
 
-/// A call that is to be made.
+/// A call to be made.
 struct PlannedCall {
     service: String,
     call: LeaseCall,
     /// The term of the plan.
     term: u64,
-    /// When it was planned: it must not arrive later than the plan reckons with.
+    /// When it was planned. Its timeout counts from then, because the plan limits how late it may arrive.
     planned_at: Instant,
 }
 
-/// Keeps the keys of all services leased while this process leads, for good.
+/// Keeps the keys of all sharded services leased while this process leads. Never returns.
 pub async fn run(server: Rc<ControlServer>) {
     let manager = Rc::new(RefCell::new(LeaseManager::default()));
     let call_ended = Rc::new(Notify::new());
@@ -86,7 +92,7 @@
             let (server, manager, call_ended) =
                 (server.clone(), manager.clone(), call_ended.clone());
             tokio::task::spawn_local(async move {
-                carry_out(&server, &manager, call).await;
+                execute_call(&server, &manager, call).await;
                 call_ended.notify_one();
             });
         }
@@ -97,9 +103,9 @@
 }
 
 impl LeaseManager {
-    /// Puts changes that are due into the log, and returns the calls that are due.
+    /// Proposes the changes that are due, and returns the calls that are due.
     fn plan(&mut self, server: &ControlServer) -> Vec<PlannedCall> {
-        // What is planned now must not arrive later than was reckoned with, however late its turn comes.
+        // Taken first, so that the timeouts of the planned calls include every delay until they are sent.
         let planned_at = Instant::now();
         let Some(leadership) = server.confirmed_leadership() else {
             self.plans.clear();
@@ -120,12 +126,12 @@
             plan.load.record(counts.loads(service));
             plan.load.refresh(now_ms);
             let free_calls = if may_call {
-                MAX_CALLS.saturating_sub(self.calls_under_way)
+                MAX_CALLS.saturating_sub(self.calls_in_flight)
             } else {
                 0
             };
             let planned = plan.next_calls(server, service, &upstreams, now_ms, free_calls);
-            self.calls_under_way += planned.len();
+            self.calls_in_flight += planned.len();
             calls.extend(planned.into_iter().map(|call| PlannedCall {
                 service: service.clone(),
                 call,
@@ -138,7 +144,7 @@
         calls
     }
 
-    /// Begins anew in a new term, and follows the services that the configuration names.
+    /// Discards all plans in a new term, and adds and removes plans as the configuration changes.
     fn update_services(&mut self, server: &ControlServer, term: u64, now_ms: u64) {
         if self.term != term {
             (self.term, self.config_index) = (term, 0);
@@ -165,7 +171,7 @@
         }
     }
 
-    /// The connection to an upstream. One that is dropped is reset.
+    /// Returns the connection to an upstream. It is reset when it is dropped.
     fn client(&mut self, holder: &LeaseHolder) -> Rc<HttpClient> {
         self.clients
             .entry(holder.id.clone())
@@ -173,9 +179,9 @@
             .clone()
     }
 
-    /// A call has ended. The plans of a later term did not ask for it, and are not told.
+    /// Handles the end of a call. Its outcome is ignored if the term has changed since it was planned.
     fn on_call_ended(&mut self, now_ms: u64, planned: &PlannedCall, outcome: LeaseCallOutcome) {
-        self.calls_under_way -= 1;
+        self.calls_in_flight -= 1;
         if self.term == planned.term
             && let Some(plan) = self.plans.get_mut(&planned.service)
         {
@@ -186,7 +192,8 @@
 }
 
 impl ServicePlan {
-    /// Puts changes of the service's key ranges into the log, and returns the calls that are due, `free_calls` at most.
+    /// Proposes the changes of the service's key ranges that are due, and returns the calls that are due, `free_calls`
+    /// at most.
     fn next_calls(
         &mut self,
         server: &ControlServer,
@@ -210,7 +217,7 @@
                 changes = changes.len(),
                 candidates = candidates.len(),
                 accepting = candidates.iter().filter(|c| c.accepts_keys).count(),
-                "key ranges are to be reassigned"
+                "proposing changes of key ranges"
             );
             server.propose_key_changes(service, changes);
         }
@@ -218,6 +225,7 @@
     }
 }
 
+/// Converts an upstream into a candidate for key ranges.
 fn candidate(known: &KnownUpstream) -> Candidate {
     let KnownUpstream {
         upstream,
@@ -234,7 +242,12 @@
     }
 }
 
-async fn carry_out(server: &ControlServer, manager: &RefCell<LeaseManager>, planned: PlannedCall) {
+/// Makes a planned call and reports its outcome to the plan.
+async fn execute_call(
+    server: &ControlServer,
+    manager: &RefCell<LeaseManager>,
+    planned: PlannedCall,
+) {
     let call = &planned.call;
     let client = manager.borrow_mut().client(&call.holder);
     let outcome = send_call(&client, call, planned.planned_at).await;
@@ -245,7 +258,7 @@
             first_key = call.first,
             request = ?call.request,
             ?outcome,
-            "a call about key leases was not carried out"
+            "a key lease call failed"
         );
     }
     manager
@@ -253,7 +266,7 @@
         .on_call_ended(server.uptime_ms(), &planned, outcome);
 }
 
-/// Makes the call; it is given up when its time, counted from `planned_at`, has passed.
+/// Sends a call to its upstream. The timeout counts from `planned_at`.
 async fn send_call(client: &HttpClient, call: &LeaseCall, planned_at: Instant) -> LeaseCallOutcome {
     let mut body =
         json!({"since": call.first, "target_rev": call.last, "fence": call.fencing_token});
@@ -272,18 +285,19 @@
         .header("target-instance", &call.holder.id)
         .body(Full::new(Bytes::from(body.to_string())));
     let Ok(request) = request else {
-        // Its id can't stand in a header.
+        // The upstream's id is not a valid header value.
         return LeaseCallOutcome::NoResponse;
     };
     let deadline = planned_at + Duration::from_millis(within_ms);
     match client.call(request, deadline).await {
-        Ok(response) => outcome_of(&response),
+        Ok(response) => call_outcome(&response),
         Err(HttpClientError::Connect(_)) => LeaseCallOutcome::NotSent,
         Err(_) => LeaseCallOutcome::NoResponse,
     }
 }
 
-fn outcome_of<B>(response: &Response<B>) -> LeaseCallOutcome {
+/// Derives a call's outcome from the upstream's response.
+fn call_outcome<B>(response: &Response<B>) -> LeaseCallOutcome {
     match response.status() {
         StatusCode::OK => {
             let handoff = response.headers().get("handoff");
@@ -293,7 +307,7 @@
         StatusCode::CONFLICT => LeaseCallOutcome::Fenced,
         StatusCode::MISDIRECTED_REQUEST => LeaseCallOutcome::AddressReused,
         status => {
-            tracing::info!(%status, "an upstream answered a call about key leases with an unknown status");
+            tracing::info!(%status, "an upstream answered a key lease call with an unexpected status");
             LeaseCallOutcome::NoResponse
         }
     }
--- a/crates/control-plane/src/metrics.rs
+++ b/crates/control-plane/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics of a control process, made of its state each time they are read. Their names, labels and help texts are part
-//! of the operators' interface.
+//! The metrics of a control process, computed from its state on each scrape. Their names, labels and help texts are
+//! part of the operators' interface.
 
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
@@ -8,10 +8,10 @@
 
 use crate::server::{ControlServer, LogStatus};
 
-/// A gauge by one label, such as the zone.
+/// A family of gauges, keyed by label names and values.
 type LabelledGauge = Family<Vec<(String, String)>, Gauge>;
 
-/// All metrics in the text format of Prometheus.
+/// Returns all metrics in the Prometheus text format.
 pub fn text(server: &ControlServer) -> String {
     let LogStatus {
         own,
@@ -29,13 +29,14 @@
     data_plane::metrics::encode_text(&registry)
 }
 
+/// Registers a gauge without labels.
 fn register_gauge(registry: &mut Registry, name: &str, help: &str, value: u64) {
     let gauge: Gauge = Gauge::default();
     gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
     registry.register(name, help, gauge);
 }
 
-/// This process's member of the log.
+/// Registers the metrics of this process's Raft node.
 fn register_log(registry: &mut Registry, server: &ControlServer, own: &Status, members: &Members) {
     let mut register = |name, help, value| register_gauge(registry, name, help, value);
     let leads = u64::from(own.role == Role::Leader);
@@ -93,7 +94,7 @@
     );
 }
 
-/// What the leader alone knows: how far each member is behind, and for how long it has been silent.
+/// Registers the metrics that only the leader has: how far each member is behind, and how long it has been silent.
 fn register_members(registry: &mut Registry, report: &MembershipReport) {
     let silent = report.members.iter().filter(|m| !m.in_contact).count();
     register_gauge(
--- a/crates/control-plane/src/operator_client.rs
+++ b/crates/control-plane/src/operator_client.rs
@@ -1,23 +1,23 @@
-//! An operator's side of the HTTP interface ([`crate::http_api`]): sends a call to the control processes until one gives
-//! a definite answer.
+//! The client of the operators' HTTP interface ([`crate::http_api`]): sends a call to the control processes until one
+//! of them gives a definite answer.
 //!
-//! **When it sends again.** A call goes to one address after the other, unchanged: so the control plane recognizes it
-//! as the same command ([`crate::replicated_state`]).
+//! **Retries.** A call is sent to one address after another. It is not changed in between, so that the control plane
+//! recognizes it as the same command ([`crate::replicated_state`]).
 //!
-//! | what comes back | what happens |
+//! | response | reaction |
 //! | --- | --- |
-//! | 2xx, 4xx but 408 and 429 | definite: the command is accepted, or never will be. It is the result. |
-//! | 307 with a `Location` | the same attempt goes on there, twice at most |
-//! | 307 without one, a third one, another 3xx | indefinite: the next address |
-//! | 408, 429, 5xx | indefinite: the next address. The command may be applied later. |
-//! | no connection, a broken one, no answer in time | the same |
+//! | 2xx, 4xx except 408 and 429 | Definite: the command is accepted, or never will be. Returned to the caller. |
+//! | 307 with a `Location` | The attempt continues there; at most two redirects are followed. |
+//! | 307 without a `Location`, a third 307, another 3xx | Indefinite: tries the next address. |
+//! | 408, 429, 5xx | Indefinite: tries the next address. The command may still be applied. |
+//! | connection refused or broken, or no response in time | Indefinite, as above. |
 //!
-//! After the last address it waits (100 ms, doubled each time up to 1.6 s) and begins anew, until
-//! [`OperatorClient::timeout`] has passed; an attempt that has begun is waited for. Then the result is
-//! [`OperatorError::Indeterminate`]: the command may be applied or not, and the caller has to say so. A second call with
-//! the same content is again the same command.
+//! After the last address the client waits (100 ms, doubled each time up to 1.6 s) and starts again, until
+//! [`OperatorClient::timeout`] has passed; an attempt in progress is completed. The result is then
+//! [`OperatorError::Indeterminate`]: the command may or may not have been applied, and the caller has to report that. A
+//! later call with the same content is still the same command.
 //!
-//! **State.** None: each attempt opens a connection of its own.
+//! **State.** None. Each attempt opens its own connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -32,31 +32,31 @@
 
 use crate::http_api::BASE_VERSION_HEADER;
 
-/// Redirects that are followed: to the leader, and to the next one where that has changed.
+/// The maximum number of redirects in an attempt: one to the leader, and one more in case the leader has changed.
 const MAX_REDIRECTS: usize = 2;
-/// A process that says nothing for so long is left for another one.
+/// The timeout of an attempt, after which the next process is tried.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The timeout is as much longer for each such piece of the body: on a narrow link it takes its time.
+/// For each body part of this size the timeout is extended by [`ATTEMPT_TIMEOUT`], to allow for slow links.
 const BODY_BYTES_PER_TIMEOUT: usize = 64 << 10;
-/// Between two rounds over all addresses, at first and at most.
+/// The initial and the maximum delay between two rounds over all addresses.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(1600);
 
-/// A call, as it is sent each time.
+/// A call, which is sent unchanged in every attempt.
 #[derive(Clone, Debug)]
 pub struct OperatorRequest {
     /// GET or POST.
     pub method: Method,
-    /// Such as `/-/Config.Read`.
+    /// The path, such as `/-/Config.Read`.
     pub path: String,
-    /// The revision that a change of the configuration builds on.
+    /// The revision that a change of the configuration is based on.
     pub base: Option<u64>,
     /// JSON, or empty.
     pub body: Bytes,
 }
 
 impl OperatorRequest {
-    /// A call that reads.
+    /// Creates a call that reads.
     pub fn get(path: &str) -> Self {
         Self {
             method: Method::GET,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// A call that changes something.
+    /// Creates a call that changes something.
     pub fn post(path: &str, base: Option<u64>, body: Bytes) -> Self {
         Self {
             method: Method::POST,
@@ -81,52 +81,52 @@
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
     /// [`OperatorClient::addresses`] is empty.
-    #[error("no address of a control balancer")]
+    #[error("no control balancer address is known")]
     NoAddress,
-    /// The time is up; the command may be applied or not.
+    /// There was no definite answer in time; the command may or may not have been applied.
     #[error(
-        "no clear answer within {within:?}, and it may be taken or not; the last, of {at}: {source}"
+        "no definite answer within {within:?}; the command may or may not have been applied; last attempt, at {at}: {source}"
     )]
     Indeterminate {
-        /// How long it was sent again.
+        /// How long the call was retried.
         within: Duration,
         /// The address of the last attempt.
         at: SocketAddr,
-        /// What came of the last attempt.
-        source: IndefiniteAnswer,
+        /// How the last attempt failed.
+        source: AttemptError,
     },
 }
 
-/// What came of an attempt that settles nothing.
+/// How an attempt ended without a definite answer.
 #[derive(Debug, thiserror::Error)]
-pub enum IndefiniteAnswer {
-    /// An answer that promises nothing.
+pub enum AttemptError {
+    /// The response was indefinite.
     #[error("{status} {body}")]
     Status {
-        /// Its status.
+        /// The status of the response.
         status: StatusCode,
-        /// What it says.
+        /// The body of the response.
         body: String,
     },
-    /// No answer.
+    /// There was no response.
     #[error(transparent)]
-    NoAnswer(#[from] HttpClientError),
+    NoResponse(#[from] HttpClientError),
 }
 
-/// Calls the control processes.
+/// A client for the control processes.
 pub struct OperatorClient {
     /// Their `ctl` addresses.
     pub addresses: Vec<SocketAddr>,
-    /// Calls are sent again for so long.
+    /// How long a call is retried.
     pub timeout: Duration,
 }
 
 impl OperatorClient {
-    /// The definite answer to a call.
+    /// Sends a call until it gets a definite answer.
     ///
     /// # Errors
     ///
-    /// [`OperatorError`]: there is none. A refusal is an answer.
+    /// Returns an [`OperatorError`] if there is no definite answer. A rejection is a definite answer.
     pub async fn call(&self, request: &OperatorRequest) -> Result<Response<Bytes>, OperatorError> {
         let deadline = Instant::now() + self.timeout;
         let mut backoff = MIN_BACKOFF;
@@ -155,27 +155,28 @@
     }
 }
 
-/// Whether an answer of this status settles what becomes of the command.
+/// Whether a response with this status determines the outcome of the command.
 fn is_definite(status: StatusCode) -> bool {
     let indefinite = [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS];
     !status.is_server_error() && !status.is_redirection() && !indefinite.contains(&status)
 }
 
-/// One attempt: the definite answer of the process at this address, or of the one it points to.
+/// Makes one attempt at this address, following redirects. Returns the response if it is definite.
 async fn attempt(
     at: SocketAddr,
     request: &OperatorRequest,
-) -> Result<Response<Bytes>, IndefiniteAnswer> {
+) -> Result<Response<Bytes>, AttemptError> {
     let response = send_following_redirects(at, request).await?;
     if is_definite(response.status()) {
         return Ok(response);
     }
-    Err(IndefiniteAnswer::Status {
+    Err(AttemptError::Status {
         status: response.status(),
         body: String::from_utf8_lossy(response.body()).into_owned(),
     })
 }
 
+/// Sends a call, and resends it to the address of each redirect. Returns the last response if there are too many.
 async fn send_following_redirects(
     mut at: SocketAddr,
     request: &OperatorRequest,
@@ -195,7 +196,7 @@
     send_once(at, &path, request, within).await
 }
 
-/// The address and path that a redirect names.
+/// Returns the address and path of a redirect.
 fn redirect_location(response: &Response<Bytes>) -> Option<(SocketAddr, String)> {
     let location = response.headers().get(LOCATION)?.to_str().ok()?;
     let uri = location.parse::<Uri>().ok()?;
@@ -203,6 +204,7 @@
     Some((at, uri.path_and_query()?.as_str().to_string()))
 }
 
+/// Sends a call to one address, on a new connection.
 async fn send_once(
     at: SocketAddr,
     path: &str,
--- a/crates/control-plane/src/operator_client/tests.rs
+++ b/crates/control-plane/src/operator_client/tests.rs
@@ -1,4 +1,4 @@
-//! Which answers end a call, and which have it sent again.
+//! Tests of which responses end a call and which cause a retry.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,19 +9,20 @@
 
 use super::*;
 
-/// A server that gives these responses in turn, the last again and again, and records the requests.
+/// Starts a server that returns these responses in turn, repeats the last one, and records the requests.
 async fn fake_server(answers: Vec<String>) -> (SocketAddr, Rc<RefCell<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
     let seen: Rc<RefCell<Vec<String>>> = Rc::default();
-    let kept = seen.clone();
+    let recorded = seen.clone();
     tokio::task::spawn_local(async move {
         let mut n = 0;
         while let Ok((mut stream, _)) = listener.accept().await {
-            let mut asked = vec![0; 4096];
-            let read = stream.read(&mut asked).await.unwrap_or(0);
-            kept.borrow_mut()
-                .push(String::from_utf8_lossy(&asked[..read]).into_owned());
+            let mut buffer = vec![0; 4096];
+            let read = stream.read(&mut buffer).await.unwrap_or(0);
+            recorded
+                .borrow_mut()
+                .push(String::from_utf8_lossy(&buffer[..read]).into_owned());
             let answer = &answers[n.min(answers.len() - 1)];
             n += 1;
             let _ = stream.write_all(answer.as_bytes()).await;
@@ -37,9 +38,10 @@
 #[tokio::test]
 async fn request_is_resent_unchanged_until_definite() {
     let test = async {
-        let (leader, led) = fake_server(vec![response("503 x", ""), response("200 OK", "")]).await;
-        let points = format!("Location: http://{leader}/-/Config.Replace\r\n");
-        let (follower, followed) = fake_server(vec![response("307 x", &points)]).await;
+        let (leader, leader_requests) =
+            fake_server(vec![response("503 x", ""), response("200 OK", "")]).await;
+        let location = format!("Location: http://{leader}/-/Config.Replace\r\n");
+        let (follower, follower_requests) = fake_server(vec![response("307 x", &location)]).await;
         let request =
             OperatorRequest::post("/-/Config.Replace", Some(4), Bytes::from("{\"rev\":5}"));
         let answer = OperatorClient {
@@ -50,10 +52,15 @@
         .await
         .expect("definite");
         assert_eq!(answer.status(), StatusCode::OK);
-        assert_eq!(followed.borrow().len(), 2, "the 503 was no answer");
-        let led = led.borrow();
+        assert_eq!(
+            follower_requests.borrow().len(),
+            2,
+            "the call was resent after the 503"
+        );
+        let leader_requests = leader_requests.borrow();
         assert!(
-            led.iter()
+            leader_requests
+                .iter()
                 .all(|l| l.contains("base-version: 4") && l.contains("\"rev\":5"))
         );
     };
@@ -63,7 +70,7 @@
 #[tokio::test]
 async fn rejection_is_definite_and_timeout_is_indeterminate() {
     let test = async {
-        let (at, asked) = fake_server(vec![response("412 x", "")]).await;
+        let (at, requests) = fake_server(vec![response("412 x", "")]).await;
         let operator = OperatorClient {
             addresses: vec![at],
             timeout: Duration::from_secs(60),
@@ -73,8 +80,8 @@
             .await
             .expect("definite");
         assert_eq!(answer.status(), StatusCode::PRECONDITION_FAILED);
-        assert_eq!(asked.borrow().len(), 1);
-        // Nobody listens there: nothing is known.
+        assert_eq!(requests.borrow().len(), 1);
+        // Nothing listens on this port, so the outcome is unknown.
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let gone = listener.local_addr().expect("an address");
         drop(listener);
@@ -85,8 +92,13 @@
         let error = operator
             .call(&OperatorRequest::get("/-/Status"))
             .await
-            .expect_err("nobody is there");
-        assert!(error.to_string().contains("taken or not"), "{error}");
+            .expect_err("nothing listens there");
+        assert!(
+            error
+                .to_string()
+                .contains("may or may not have been applied"),
+            "{error}"
+        );
         let operator = OperatorClient {
             addresses: Vec::new(),
             timeout: Duration::ZERO,
--- a/crates/control-plane/src/peer_writer.rs
+++ b/crates/control-plane/src/peer_writer.rs
@@ -1,8 +1,8 @@
-//! The order and pace of what is written to a peer: messages of the log first, and beside them those about sessions and
-//! zones. A slow link ends a connection only when it takes nothing for a while, however much there is to write.
+//! Writes messages to a peer. Raft messages take precedence over those about sessions and zones, without starving them.
+//! A slow link may take any time for its messages, as long as it never stalls.
 //!
-//! **State.** The messages of one connection that were taken from the peer's queue and are not written yet; they are lost
-//! with the connection, and what they said is sent again. What is in flight of the log is bounded by the log itself: see
+//! **State.** The messages of one connection that were taken from the peer's queue but are not written yet. They are
+//! lost with the connection, and their content is sent again. Raft itself bounds its messages in flight: see
 //! `docs/design/0011-replica-catch-up.md`.
 
 use std::collections::VecDeque;
@@ -14,52 +14,53 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// A link that takes no chunk of a frame for so long is dead.
+/// A link that does not accept a chunk of a frame within this time is considered dead.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Frames are written in chunks of so many bytes: on a link of 1 Mbit/s one takes an eighth of a second.
+/// The size of the chunks in which frames are written. A chunk takes an eighth of a second on a link of 1 Mbit/s.
 const WRITE_CHUNK_BYTES: usize = 16 << 10;
-/// After so many messages of the log another one has its turn, if one waits.
-const MAX_CONSECUTIVE_LOG_MESSAGES: usize = 8;
-/// So many messages wait here at most: those that come then wait in the queue, which refuses what is too much.
+/// After this many consecutive Raft messages, one other message is written, if any is waiting.
+const MAX_CONSECUTIVE_RAFT_MESSAGES: usize = 8;
+/// The capacity of the outbox. Further messages stay in the peer's queue, which rejects messages when it is full.
 const MAX_OUTBOX_MESSAGES: usize = 256;
 
-/// What waits to be written.
+/// The messages waiting to be written.
 #[derive(Default)]
 struct Outbox {
-    log: VecDeque<PeerMessage>,
+    raft: VecDeque<PeerMessage>,
     other: VecDeque<PeerMessage>,
-    /// Messages of the log that were written since the last other one.
-    consecutive_log_messages: usize,
+    /// The number of Raft messages taken since the last other message.
+    consecutive_raft_messages: usize,
 }
 
 impl Outbox {
     fn has_room(&self) -> bool {
-        self.log.len() + self.other.len() < MAX_OUTBOX_MESSAGES
+        self.raft.len() + self.other.len() < MAX_OUTBOX_MESSAGES
     }
 
     fn push(&mut self, message: PeerMessage) {
         match message {
-            PeerMessage::Raft(_) => self.log.push_back(message),
+            PeerMessage::Raft(_) => self.raft.push_back(message),
             _ => self.other.push_back(message),
         }
     }
 
+    /// Takes the next message to write.
     fn pop(&mut self) -> Option<PeerMessage> {
-        let is_others_turn =
-            self.consecutive_log_messages >= MAX_CONSECUTIVE_LOG_MESSAGES && !self.other.is_empty();
-        if !is_others_turn && let Some(message) = self.log.pop_front() {
-            self.consecutive_log_messages += 1;
+        let is_other_due = self.consecutive_raft_messages >= MAX_CONSECUTIVE_RAFT_MESSAGES
+            && !self.other.is_empty();
+        if !is_other_due && let Some(message) = self.raft.pop_front() {
+            self.consecutive_raft_messages += 1;
             return Some(message);
         }
-        self.consecutive_log_messages = 0;
+        self.consecutive_raft_messages = 0;
         self.other.pop_front()
     }
 }
 
-/// Writes one frame, however long that takes while the link takes chunks of it.
+/// Writes one frame. There is no limit on the total time, only on the time for each chunk.
 ///
 /// # Errors
-/// `TimedOut` where the link takes nothing for 2 s; else as the writer.
+/// Returns `TimedOut` if a chunk is not accepted within 2 s, or the error of the writer.
 pub async fn write_frame(writer: &mut (impl AsyncWrite + Unpin), frame: &[u8]) -> io::Result<()> {
     for chunk in frame.chunks(WRITE_CHUNK_BYTES) {
         timeout(STALL_TIMEOUT, writer.write_all(chunk)).await??;
@@ -67,10 +68,10 @@
     Ok(())
 }
 
-/// Writes the introduction and all that the queue brings, until the link or the queue ends.
+/// Writes the introduction, then the messages from the queue, until writing fails or the queue is closed.
 ///
 /// # Errors
-/// Always: as [`write_frame`]; `BrokenPipe` where the queue has ended.
+/// Always returns an error: one of [`write_frame`], or `BrokenPipe` if the queue is closed.
 pub async fn write_all(
     writer: &mut (impl AsyncWrite + Unpin),
     introduction: Vec<PeerMessage>,
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -1,9 +1,12 @@
-//! A control process: puts the parts together, and ends in order.
+//! Assembles a control process from its parts, runs it and shuts it down.
 //!
-//! **State.** Tasks of one thread and the channels between them; what lasts is in `store`. **Promises.** A process that is
-//! told to stop hands leadership over first, then ends its callers' connections in order. A disk whose file is damaged is
-//! never read again: the machine joins as a new member. **Neighbours.** A disk that does not answer is tried for good
-//! before the process serves, and ends it afterwards.
+//! **State.** The tasks of one thread and the channels between them. Persistent state is in `store`.
+//!
+//! **Guarantees.** A process that is asked to stop hands over leadership first, then closes its callers' connections
+//! gracefully. A damaged file on disk is never read again: the machine joins as a new member.
+//!
+//! **Failures.** At startup, opening the store is retried until the disk works. A disk that fails permanently later
+//! ends the process.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -29,83 +32,85 @@
 use crate::store::{DiskRequest, Store, StoreError, WRITE_RETRY_INTERVAL, quarantine};
 use crate::{connections, discovery, key_leases};
 
-/// Heads of operators' and directory's calls are small.
+/// The maximum size of a request's headers. Calls of operators and of the directory have small ones.
 const MAX_HEADER_BYTES: usize = 16 << 10;
-/// Callers of `ctl` and `dir` may take and stay idle for so long.
+/// The timeouts of connections to `ctl` and `dir`: for receiving a request's headers, and for staying idle.
 const CLIENT_TIMEOUTS: ClientTimeouts = ClientTimeouts {
     header: Duration::from_secs(3),
     idle: Duration::from_secs(15),
 };
-/// Calls that are under way when the process ends may take so long.
+/// How long calls in progress may take to complete when the process shuts down.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
-/// A leader that ends hands over within round trips; an election in its place takes as long as this at least.
+/// How long a leader that shuts down tries to hand over leadership. A hand-over takes a few round trips; without one,
+/// an election takes at least this long.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(ELECTION_TIMEOUT_MS);
-/// File descriptors that are no caller's.
+/// File descriptors reserved for purposes other than callers' connections.
 const RESERVED_FDS: usize = 300;
-/// Callers' descriptors are taken for this many at least.
+/// The lower bound of the number of file descriptors available to callers.
 const MIN_CALLER_FDS: usize = 16;
-/// Each of the two listeners takes this part of the callers' descriptors at most.
+/// Each of the two listeners may use one over this number of the callers' file descriptors.
 const LISTENER_FD_SHARE: usize = 4;
 
-/// Why a control process ends, or can't start.
+/// An error that prevents a control process from starting or ends it.
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
-    /// An address can't be listened on.
-    #[error("{listener} on {address}: {source}")]
+    /// Listening on an address failed.
+    #[error("cannot listen on {address} for `{listener}`: {source}")]
     Bind {
-        /// What was to listen: `peers`, `ctl` or `dir`.
+        /// The listener: `peers`, `ctl` or `dir`.
         listener: &'static str,
-        /// Where.
+        /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// What is on the disk is of another build.
+    /// The store was written by another build, in a format that this one does not support.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The thread that writes can't be started.
-    #[error("disk thread: {0}")]
+    /// The disk thread can't be started.
+    #[error("cannot start the disk thread: {0}")]
     DiskThread(std::io::Error),
-    /// A write has failed for good.
-    #[error("the disk failed")]
+    /// A write has failed permanently.
+    #[error("writing to the disk failed permanently")]
     DiskFailed,
-    /// The log holds what this build can't read.
+    /// The log contains data that this build can't read.
     #[error(transparent)]
     Log(#[from] FatalError),
 }
 
-/// The open store, with who this machine is in the log and what it has promised there.
+/// The open store, with this machine's node id and the persistent Raft state that was loaded from it.
 struct OpenStore {
     store: Store,
     id: NodeId,
     stored: PersistentState,
 }
 
-/// This machine's place in the log, and the way to its disk.
+/// This machine's node id and persistent Raft state, and the channels to the disk thread.
 struct Persistence {
     id: NodeId,
     stored: PersistentState,
     disk: disk::Sender<DiskRequest>,
-    /// Sequence numbers of writes that are synced; ends when the disk fails.
+    /// Sequence numbers of synced writes. The channel closes when the disk fails.
     synced: mpsc::UnboundedReceiver<u64>,
-    /// Without a disk nothing is ever synced, and `synced` must not end.
-    _keeps_open: Option<mpsc::UnboundedSender<u64>>,
+    /// Keeps `synced` open in a process without a disk, where nothing is ever synced.
+    _synced_sender: Option<mpsc::UnboundedSender<u64>>,
 }
 
-/// The listeners of a process; those that the settings don't name are absent.
+/// The listeners of a process. Those that are not in the settings are `None`.
 struct Listeners {
     peers: Option<TcpListener>,
     operators: Option<TcpListener>,
     directory: Option<TcpListener>,
 }
 
+/// Returns a random id for a new node.
 fn random_id() -> NodeId {
     RandomState::new().build_hasher().finish()
 }
 
-/// Makes this machine a member on its disk. The founders of the log are the seeds of the very first start, the same on
-/// all machines; each knows the others' ids by their addresses. Whoever comes later, or comes back without its disk
-/// (`is_replacement`), is new.
+/// Writes this machine's identity to a new store. The founders of the log are the seeds of the very first start, which
+/// are the same on all machines; their ids are derived from their addresses, so each founder knows those of the others.
+/// A machine that joins later, or returns without its disk (`is_replacement`), gets a new id.
 fn initialize_store(
     store: &Store,
     settings: &Settings,
@@ -127,12 +132,12 @@
     store.initialize(id, &founders)
 }
 
-/// Opens the store, and initializes it where it is new. Tries until the disk gives an answer; a damaged file is set
-/// aside, and a new one is begun.
-async fn open_store(settings: &Settings, folder: &Path) -> Result<OpenStore, StoreError> {
+/// Opens the store, and initializes it if it is new. Retries until the disk works. A damaged file is quarantined and
+/// replaced by a new one.
+async fn open_store(settings: &Settings, dir: &Path) -> Result<OpenStore, StoreError> {
     let mut is_replacement = false;
     loop {
-        let error = match Store::open(folder) {
+        let error = match Store::open(dir) {
             Ok((store, Some((id, stored)))) => return Ok(OpenStore { store, id, stored }),
             Ok((store, None)) => match initialize_store(&store, settings, is_replacement) {
                 Ok(()) => continue,
@@ -146,46 +151,48 @@
         if error.is_corrupted() {
             tracing::error!(
                 %error,
-                "the stored file is damaged: it is set aside, and this machine joins as a new member"
+                "the stored file is damaged: quarantining it and joining as a new member"
             );
             is_replacement = true;
-            if quarantine(folder).is_ok() {
+            if quarantine(dir).is_ok() {
                 continue;
             }
         }
-        tracing::warn!(%error, "the disk refused; trying again");
+        tracing::warn!(%error, "opening the store failed; retrying");
         sleep(WRITE_RETRY_INTERVAL).await;
     }
 }
 
 impl Persistence {
     /// Opens the store and starts the thread that writes it.
-    async fn open(settings: &Settings, folder: &Path) -> Result<Self, RuntimeError> {
-        let OpenStore { store, id, stored } = open_store(settings, folder).await?;
+    async fn open(settings: &Settings, dir: &Path) -> Result<Self, RuntimeError> {
+        let OpenStore { store, id, stored } = open_store(settings, dir).await?;
         let (disk, synced) = store.spawn_writer().map_err(RuntimeError::DiskThread)?;
         Ok(Self {
             id,
             stored,
             disk,
             synced,
-            _keeps_open: None,
+            _synced_sender: None,
         })
     }
 
-    /// Without a disk the process is no member of the log: it redirects callers to those that are.
+    /// Creates the substitute for a process without a disk, which is not a member of the log and redirects callers to
+    /// its members.
     fn none() -> Self {
         let (disk, _) = disk::channel();
-        let (keeps_open, synced) = mpsc::unbounded_channel();
+        let (synced_sender, synced) = mpsc::unbounded_channel();
         Self {
             id: random_id(),
             stored: PersistentState::default(),
             disk,
             synced,
-            _keeps_open: Some(keeps_open),
+            _synced_sender: Some(synced_sender),
         }
     }
 }
 
+/// Binds a listener, if it has an address.
 async fn bind(
     listener: &'static str,
     address: Option<SocketAddr>,
@@ -211,11 +218,11 @@
     }
 }
 
-/// Serves until `stop`, then ends in order. `reloads` brings the settings each time that their file was read anew; of
-/// these only the seeds count.
+/// Runs a control process until `stop` completes, then shuts it down gracefully. `reloads` receives the settings each
+/// time their file is reloaded; only their seeds are used.
 ///
 /// # Errors
-/// Where the process can't start or can't go on.
+/// Returns an error if the process can't start or can't continue.
 pub async fn run(
     settings: Settings,
     reloads: mpsc::UnboundedReceiver<Settings>,
@@ -224,8 +231,8 @@
     let listeners = Listeners::bind(&settings).await?;
     tokio::pin!(stop);
     let persistence = match settings.data_dir.clone() {
-        Some(folder) => tokio::select! {
-            opened = Persistence::open(&settings, &folder) => opened?,
+        Some(dir) => tokio::select! {
+            opened = Persistence::open(&settings, &dir) => opened?,
             () = &mut stop => return Ok(()),
         },
         None => Persistence::none(),
@@ -262,7 +269,7 @@
     Ok(())
 }
 
-/// Starts what runs for as long as the process does.
+/// Starts the tasks that run for the whole lifetime of the process.
 fn spawn_tasks(
     server: &Rc<ControlServer>,
     peers: Option<TcpListener>,
@@ -282,6 +289,7 @@
     });
 }
 
+/// Returns the limits for each of the listeners `ctl` and `dir`.
 fn listener_limits(settings: &Settings) -> ListenerLimits {
     let caller_fds = settings.limits.max_fds.saturating_sub(RESERVED_FDS);
     let max_connections = caller_fds.max(MIN_CALLER_FDS) / LISTENER_FD_SHARE;
@@ -296,56 +304,57 @@
     }
 }
 
-/// The HTTP interfaces of a process.
+/// The HTTP interfaces of a process, while they are served.
 struct Apis {
-    ending: watch::Sender<bool>,
+    stop_sender: watch::Sender<bool>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Apis {
-    /// Serves those that there is a listener for.
+    /// Starts serving the interfaces that have a listener.
     fn start(
         server: &Rc<ControlServer>,
         operators: Option<TcpListener>,
         directory: Option<TcpListener>,
     ) -> Self {
         let limits = listener_limits(&server.settings);
-        let (ending, ended) = watch::channel(false);
+        let (stop_sender, stopping) = watch::channel(false);
         let mut tasks = Vec::new();
         if let Some(listener) = operators {
             let api = OperatorApi {
                 server: server.clone(),
             };
-            tasks.push(serve_api(api, limits, listener, ended.clone()));
+            tasks.push(serve_api(api, limits, listener, stopping.clone()));
         }
         if let Some(listener) = directory {
             let api = DirectoryApi::new(server.clone());
-            tasks.push(serve_api(api, limits, listener, ended));
+            tasks.push(serve_api(api, limits, listener, stopping));
         }
-        Self { ending, tasks }
+        Self { stop_sender, tasks }
     }
 
-    /// Ends them in order: callers whose calls are under way get their answers, for a while.
+    /// Stops the interfaces gracefully. Calls in progress get their responses if they complete within
+    /// [`DRAIN_TIMEOUT`].
     async fn stop(self) {
-        // Without a receiver there is no interface that would have to end.
-        let _ = self.ending.send(true);
+        // Sending fails only if there is no interface to stop.
+        let _ = self.stop_sender.send(true);
         for task in self.tasks {
-            // One that panicked has ended too.
+            // A task that panicked has stopped as well.
             let _ = task.await;
         }
     }
 }
 
-/// Serves an interface until `ended` says so.
+/// Starts serving an interface, until `stopping` becomes true.
 fn serve_api<H: RequestHandler>(
     handler: H,
     limits: ListenerLimits,
     listener: TcpListener,
-    mut ended: watch::Receiver<bool>,
+    mut stopping: watch::Receiver<bool>,
 ) -> JoinHandle<()> {
     let stop = async move {
-        // An error says that the process has ended without a word: stop as well.
-        let _ = ended.wait_for(|ended| *ended).await;
+        // An error means that `Apis` was dropped, so serving stops as well.
+        let _ = stopping.wait_for(|stopping| *stopping).await;
     };
     spawn_local(Listener::new(Rc::new(handler), limits).serve(listener, stop))
 }
--- a/crates/control-plane/src/snapshot.rs
+++ b/crates/control-plane/src/snapshot.rs
@@ -1,21 +1,22 @@
-//! The replicated state as it stands in a snapshot of the log.
+//! The encoding of the replicated state in a snapshot of the log.
 //!
-//! A snapshot's data is one CBOR map `{form, agreed}`; `form` says how `agreed` is to be read.
+//! A snapshot's data is one CBOR map `{form, agreed}`, where `form` is the version of the encoding of `agreed`.
 //!
-//! | form | written by | how it is read |
+//! | form | written by | how it is decoded |
 //! | --- | --- | --- |
-//! | 4 | this build | as [`ReplicatedState`] |
-//! | 3 | the build before | evacuations were counted: each becomes one whose acknowledgement is unknown, under the ids 0, 1, .., which stand before every index of the log. Full digests are cut to the length of today's. If it held its 1,024 revisions, older ones count as expired. |
-//! | 2 | the one before that | as form 3, with no ranges of keys |
-//! | others | a later build, or none | [`SnapshotError::UnsupportedForm`]: the process ends, since it must not pass over what it can't read |
+//! | 4 | this build | As [`ReplicatedState`]. |
+//! | 3 | the previous build | It only has the number of evacuations of each zone. Each becomes an evacuation with unknown acknowledgement, with the ids 0, 1, .., which are lower than every index of the log. Full digests are truncated to the current length. If it has all 1,024 revisions, older ones count as expired. |
+//! | 2 | the build before that | As form 3, without key ranges. |
+//! | others | a later build, or none | [`SnapshotError::UnsupportedForm`]: the process ends, because it must not ignore data that it can't read. |
 //!
-//! **What is synced when.** This module does no I/O. The data becomes part of a `raft::Snapshot`, which is stored in two
-//! ways (see [`crate::store`]): one made here, when the log has grown ([`DiskRequest::Compact`](crate::store::DiskRequest)),
-//! in the transaction that drops the entries up to it; and one received from the leader, in the transaction that drops
-//! the whole log ([`DiskRequest::Persist`](crate::store::DiskRequest)).
+//! **Durability.** This module does no I/O. The data becomes part of a `raft::Snapshot`, which is stored in one of two
+//! ways (see [`crate::store`]). A snapshot taken by this process when the log has grown is stored in the transaction
+//! that removes the entries that it covers ([`DiskRequest::Compact`](crate::store::DiskRequest)). A snapshot received
+//! from the leader is stored in the transaction that removes the whole log
+//! ([`DiskRequest::Persist`](crate::store::DiskRequest)).
 //!
-//! **What it may lose.** Nothing: a crash leaves the earlier snapshot and its entries, or the new one. Damaged data
-//! gives [`SnapshotError::Unreadable`].
+//! **Failures.** A crash loses nothing: it leaves either the previous snapshot with its entries or the new one. Damaged
+//! data results in [`SnapshotError::Unreadable`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -28,37 +29,40 @@
 use crate::replicated_state::ReplicatedState;
 
 /// The form that this build writes.
-const FORM: u32 = 4;
-/// Counted a zone's evacuations, and held nothing on their acknowledgements.
-const FORM_OF_COUNTS: u32 = 3;
-/// Had no keys besides; it is read as having none.
+const CURRENT_FORM: u32 = 4;
+/// The form with only the number of evacuations of each zone, and no state of their acknowledgements.
+const FORM_WITH_EVACUATION_COUNTS: u32 = 3;
+/// The form that additionally has no key ranges.
 const FORM_WITHOUT_KEYS: u32 = 2;
-/// So many accepted changes were remembered by builds before form 4.
+/// The number of accepted revisions that builds before form 4 remembered.
 const MAX_REMEMBERED_REVISIONS_BEFORE_FORM_4: usize = 1024;
 
-/// Why a snapshot can't be written or read.
+/// An error of encoding or decoding a snapshot.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
     /// The state can't be serialized.
-    #[error("a snapshot that can't be written: {0}")]
+    #[error("cannot encode a snapshot: {0}")]
     Unwritable(#[source] ciborium::ser::Error<std::io::Error>),
     /// The data is damaged.
-    #[error("a snapshot that can't be read: {0}")]
+    #[error("cannot decode a snapshot: {0}")]
     Unreadable(#[source] ciborium::de::Error<std::io::Error>),
-    /// Another build wrote it, in a form that this one doesn't know.
-    #[error("a snapshot of form {form}, and this build reads {FORM}")]
+    /// The snapshot was written by another build, in a form that this one does not support.
+    #[error(
+        "unsupported snapshot form {form}; this build reads {FORM_WITHOUT_KEYS} to {CURRENT_FORM}"
+    )]
     UnsupportedForm {
-        /// Its form.
+        /// The form of the snapshot.
         form: u32,
     },
 }
 
-/// What data of every form begins with.
+/// The part that all forms have in common.
 #[derive(Deserialize)]
 struct Header {
     form: u32,
 }
 
+/// The data of a snapshot, for encoding.
 #[derive(Serialize)]
 struct SnapshotRef<'a> {
     form: u32,
@@ -66,13 +70,14 @@
     state: &'a ReplicatedState,
 }
 
+/// The state in a snapshot's data, for decoding.
 #[derive(Deserialize)]
 struct SnapshotBody<T> {
     #[serde(rename = "agreed")]
     state: T,
 }
 
-/// The state in forms 2 and 3, under the names that were written.
+/// The state in forms 2 and 3, with its field names as stored.
 #[derive(Serialize, Deserialize)]
 struct StateBeforeForm4 {
     rev: u64,
@@ -87,34 +92,39 @@
     taken: BTreeMap<u64, [u8; 32]>,
 }
 
-/// The state as a snapshot's data, in the form of this build.
+/// Encodes the state as a snapshot's data, in the form of this build.
 ///
 /// # Errors
 ///
-/// [`SnapshotError::Unwritable`]; writing to memory gives none in practice.
+/// Returns [`SnapshotError::Unwritable`] if encoding fails, which does not happen in practice when writing to memory.
 pub fn encode(state: &ReplicatedState) -> Result<Vec<u8>, SnapshotError> {
     let mut data = Vec::new();
-    let snapshot = SnapshotRef { form: FORM, state };
+    let snapshot = SnapshotRef {
+        form: CURRENT_FORM,
+        state,
+    };
     ciborium::into_writer(&snapshot, &mut data).map_err(SnapshotError::Unwritable)?;
     Ok(data)
 }
 
-/// The state that a snapshot's data holds, of any form that this build reads.
+/// Decodes the state from a snapshot's data, in any form that this build supports.
 ///
 /// # Errors
 ///
-/// [`SnapshotError::Unreadable`] for damaged data, [`SnapshotError::UnsupportedForm`] for that of another build.
+/// Returns [`SnapshotError::Unreadable`] for damaged data, and [`SnapshotError::UnsupportedForm`] for an unsupported
+/// form.
 pub fn decode(data: &[u8]) -> Result<ReplicatedState, SnapshotError> {
     let Header { form } = ciborium::from_reader(data).map_err(SnapshotError::Unreadable)?;
     match form {
-        FORM => decode_body(data),
-        FORM_OF_COUNTS | FORM_WITHOUT_KEYS => {
+        CURRENT_FORM => decode_body(data),
+        FORM_WITH_EVACUATION_COUNTS | FORM_WITHOUT_KEYS => {
             decode_body::<StateBeforeForm4>(data).map(ReplicatedState::from)
         }
         form => Err(SnapshotError::UnsupportedForm { form }),
     }
 }
 
+/// Decodes the state from a snapshot's data, as a type that fits its form.
 fn decode_body<T: serde::de::DeserializeOwned>(data: &[u8]) -> Result<T, SnapshotError> {
     ciborium::from_reader(data)
         .map(|body: SnapshotBody<T>| body.state)
@@ -124,7 +134,7 @@
 impl From<StateBeforeForm4> for ReplicatedState {
     fn from(before: StateBeforeForm4) -> Self {
         let first_known = before.taken.keys().next().copied().unwrap_or(0);
-        // Only a full list has lost revisions.
+        // Older revisions were dropped only if the list is full.
         let has_expired = before.taken.len() >= MAX_REMEMBERED_REVISIONS_BEFORE_FORM_4;
         let accepted_revisions = before
             .taken
@@ -155,7 +165,7 @@
     }
 }
 
-/// So many evacuations, under ids that stand before whatever the log may hold behind the snapshot.
+/// Creates this many evacuations, with ids that are lower than the index of any log entry after the snapshot.
 fn evacuations_from_count(count: u32) -> ZoneEvacuations {
     let evacuations = (0..u64::from(count))
         .map(|id| (id, AcknowledgementState::Unknown))
--- a/crates/control-plane/src/snapshot/golden_tests.rs
+++ b/crates/control-plane/src/snapshot/golden_tests.rs
@@ -1,4 +1,4 @@
-//! Compatibility of snapshots: fixtures of each form that is read, and of the one that is written.
+//! Compatibility of snapshots: a fixture for each supported form.
 
 use std::net::SocketAddr;
 
@@ -16,7 +16,7 @@
     std::array::from_fn(|i| n.wrapping_add(i as u8))
 }
 
-/// Ranges with each kind of ownership.
+/// Returns key ranges with each kind of ownership.
 fn key_ranges() -> KeyRangeMap {
     let holder = |n: u8| {
         let addr = SocketAddr::from(([10, 0, 0, n], 8080));
@@ -34,7 +34,7 @@
     let mut ranges = KeyRangeMap::default();
     for (n, ownership) in (0..).zip(ownerships) {
         match ownership {
-            // A new variant needs a range above.
+            // A new variant must be added to the list above.
             Ownership::Unowned | Ownership::Assigned(..) | Ownership::Releasing(_) => {}
         }
         let change = KeyRangeChange {
@@ -48,7 +48,7 @@
     ranges
 }
 
-/// Evacuations and returns with each state of acknowledgement.
+/// Returns evacuations and returns with each state of an acknowledgement.
 fn zone_evacuations() -> ZoneEvacuations {
     let sent = AcknowledgementState::Sent(AcknowledgementAttempt {
         term: 3,
@@ -62,7 +62,7 @@
     ];
     for state in states {
         match state {
-            // A new variant needs a state above.
+            // A new variant must be added to the list above.
             AcknowledgementState::NotSent
             | AcknowledgementState::Sent(_)
             | AcknowledgementState::ConnectionBroken
@@ -107,7 +107,7 @@
     }
 }
 
-/// The state of form 2, as it was written: without keys.
+/// The state in form 2, which has no keys.
 #[derive(Serialize)]
 struct StateOfForm2 {
     rev: u64,
@@ -124,7 +124,7 @@
     agreed: T,
 }
 
-fn without_keys() -> StateOfForm2 {
+fn state_of_form_2() -> StateOfForm2 {
     let StateBeforeForm4 {
         rev,
         config_index,
@@ -144,7 +144,7 @@
     }
 }
 
-/// A snapshot of an earlier form is read as the state that the form-4 fixture holds.
+/// Checks that a snapshot of an earlier form is decoded as the state in the form 4 fixture.
 fn check_earlier_form(name: &str, sample: &[u8], as_form_4: &str) {
     let fixture = fixture::bytes(name, sample);
     assert_eq!(sample, fixture, "{name}: encoded");
@@ -172,7 +172,7 @@
 #[test]
 fn form_3_is_read_as_form_4() {
     let sample = Sample {
-        form: FORM_OF_COUNTS,
+        form: FORM_WITH_EVACUATION_COUNTS,
         agreed: state_before_form_4(),
     };
     let sample = fixture::encode(&sample);
@@ -183,7 +183,7 @@
 fn form_2_is_read_as_form_4() {
     let sample = Sample {
         form: FORM_WITHOUT_KEYS,
-        agreed: without_keys(),
+        agreed: state_of_form_2(),
     };
     let sample = fixture::encode(&sample);
     check_earlier_form("snapshot_form_2.cbor", &sample, "snapshot_form_2_as_4.cbor");
--- a/crates/control-plane/src/snapshot/tests.rs
+++ b/crates/control-plane/src/snapshot/tests.rs
@@ -1,10 +1,10 @@
-//! Snapshots of earlier and later forms.
+//! Tests of decoding earlier and later forms.
 
 use super::*;
 use crate::command::{Command, CommandOutcome};
 
 #[test]
-fn earlier_forms_are_read_and_later_ones_refused() {
+fn earlier_forms_are_decoded_and_later_ones_rejected() {
     #[derive(Serialize)]
     struct WrittenSnapshot {
         form: u32,
@@ -16,7 +16,11 @@
         let parts: [&[u8]; 3] = [&[0], &0u64.to_be_bytes(), body.as_bytes()];
         sha2::Sha256::digest(parts.concat()).into()
     };
-    for form in [FORM_OF_COUNTS, FORM_WITHOUT_KEYS, FORM + 1] {
+    for form in [
+        FORM_WITH_EVACUATION_COUNTS,
+        FORM_WITHOUT_KEYS,
+        CURRENT_FORM + 1,
+    ] {
         let state = StateBeforeForm4 {
             rev: 5,
             config_index: 1,
@@ -37,7 +41,7 @@
         )
         .expect("written");
         let read = decode(&data);
-        if form > FORM {
+        if form > CURRENT_FORM {
             assert!(read.is_err_and(|error| error.to_string().contains("form 5")));
             continue;
         }
@@ -48,7 +52,7 @@
             body: body.into(),
         };
         assert_eq!(state.check(&again), CommandOutcome::AlreadyApplied);
-        // A command in the log behind it, as that build wrote it.
+        // A log entry after the snapshot, written by the same build.
         let returned = Command::LegacyReturn {
             zone: "a".into(),
             expected_index: 4,
--- a/crates/control-plane/src/store.rs
+++ b/crates/control-plane/src/store.rs
@@ -1,29 +1,33 @@
-//! What a control process keeps on disk, in one `redb` file (`control.redb` in its data folder).
+//! The persistent state of a control process, in one `redb` file (`control.redb` in its data directory).
 //!
-//! **State and owner.** The file holds, each as a record with a checksum (`store::record`): the format, the member's
-//! identity, its term and vote, the last snapshot, and the entries of the log behind it. The disk thread (`store::writer`)
-//! owns the open file; nothing else writes to it. The member of the log in memory is rebuilt from it at a start.
+//! **State and owner.** The file contains the format, the node's identity, its term and vote, the last snapshot, and
+//! the log entries after it, each as a record with a checksum (`store::record`). The disk thread (`store::writer`) owns
+//! the open file; nothing else writes to it. The Raft node in memory is restored from it at startup.
 //!
-//! **What is synced when.** Every transaction ends with a sync (`redb`'s immediate durability) before it is reported:
+//! **Durability.** Every transaction ends with a sync (`redb`'s immediate durability) before it is reported:
 //!
-//! - the file's name, by a sync of its folder, each time it is opened;
-//! - identity, format, founders' snapshot: in one transaction at the first start ([`Store::initialize`]), before the
-//!   member sends or answers anything;
-//! - a [`DiskRequest::Persist`]: term, vote, entries, and a received snapshot in the place of the whole log, in one
-//!   transaction with all other requests that wait. Its `sequence` is reported after the sync; a vote, an
-//!   acknowledgement of entries and the own copy of the leader wait for that report;
-//! - a [`DiskRequest::Compact`]: the snapshot and the removal of the entries up to it, in one transaction. Nothing
+//! - The file's name is made durable by a sync of its directory each time the file is opened.
+//! - Identity, format and the founders' snapshot are written in one transaction at the first start
+//!   ([`Store::initialize`]), before the node sends or answers anything.
+//! - A [`DiskRequest::Persist`] has the term, the vote, entries, and a received snapshot, which replaces the whole log.
+//!   It is written in one transaction with all other waiting requests, and its `sequence` is reported after the sync. A
+//!   node's votes and acknowledgements of entries wait for that report, and a leader counts its own copy of an entry
+//!   only then.
+//! - A [`DiskRequest::Compact`] stores a snapshot and removes the entries up to its index, in one transaction. Nothing
 //!   waits for it.
 //!
-//! **What a crash may lose.** Requests that were not reported, as a whole transaction: never half of one, and nothing
-//! that was reported. A lost `Compact` costs nothing, since the entries that it would have removed are still there.
+//! **Failures.**
 //!
-//! **A disk that stalls** holds up reports alone; its requests pile up and go into one transaction. **One that refuses**
-//! (full, an error) is tried again until it takes the write. **A damaged file** (checksum, structure, a gap in the log) is
-//! renamed by [`quarantine`] and never read again: the machine comes back as a new member, since under its old identity
-//! it might vote twice in one term. **A wiped disk** is the same as a new machine.
+//! - A crash may lose requests that were not reported, but only whole transactions and nothing that was reported. A
+//!   lost `Compact` does no harm, because the entries that it would have removed are still there.
+//! - A stalled disk delays only the reports. Requests queue up and are written in one transaction.
+//! - A write that fails (disk full, I/O error) is retried until it succeeds.
+//! - A damaged file (checksum, structure, a gap in the log) is renamed by [`quarantine`] and never read again. The
+//!   machine rejoins as a new member, because with its old identity it might vote twice in one term.
+//! - A machine with a wiped disk is treated as a new machine.
 //!
-//! **Formats.** The file's own format is 2; a file of another one is refused and left as it is. The replicated state within the snapshot has forms of its own (2, 3 and 4): see [`crate::snapshot`].
+//! **Formats.** The file's format is 2; a file of any other format is rejected and left unchanged. The replicated state
+//! within the snapshot has its own versions (forms 2, 3 and 4): see [`crate::snapshot`].
 
 mod error;
 mod record;
@@ -41,10 +45,11 @@
 
 /// The file's format.
 const FORMAT: u64 = 2;
-/// The file; and what a damaged one is called from then on.
+/// The name of the file.
 const FILE_NAME: &str = "control.redb";
+/// The name to which a damaged file is renamed.
 const QUARANTINED_FILE_NAME: &str = "control.redb.damaged";
-/// `redb` keeps so much of the file in memory: all of it, as small as it is kept.
+/// The size of `redb`'s cache. It is meant to hold the whole file, which compaction keeps small.
 const CACHE_BYTES: usize = 2 << 20;
 
 /// Records by name: `format`, `id`, `vote` (term and vote), `snapshot`.
@@ -55,37 +60,38 @@
 type MetaTable<'txn> = redb::Table<'txn, &'static str, &'static [u8]>;
 type EntryTable<'txn> = redb::Table<'txn, u64, &'static [u8]>;
 
-/// Opens the file, or makes it. Tests put a disk with faults here.
+/// Opens the file, or creates it. Tests substitute a disk with faults.
 type Opener = fn(&Path) -> Result<Database, redb::DatabaseError>;
 
-/// What a file holds that is not new: the member's identity and its part of the log.
+/// The contents of an initialized file: the node's identity and its persistent Raft state.
 type StoredMember = (NodeId, PersistentState);
 
+/// The [`Opener`] for ordinary files.
 fn open_database(path: &Path) -> Result<Database, redb::DatabaseError> {
     Database::builder().set_cache_size(CACHE_BYTES).create(path)
 }
 
-/// A name in a folder lasts only once the folder is synced.
-fn sync_folder(folder: &Path) -> std::io::Result<()> {
-    std::fs::File::open(folder).and_then(|f| f.sync_all())
+/// Syncs a directory, which makes the names of the files in it durable.
+fn sync_dir(dir: &Path) -> std::io::Result<()> {
+    std::fs::File::open(dir).and_then(|f| f.sync_all())
 }
 
-fn directory_error(folder: &Path) -> impl Fn(std::io::Error) -> StoreError + '_ {
+fn directory_error(dir: &Path) -> impl Fn(std::io::Error) -> StoreError + '_ {
     |source| StoreError::Directory {
-        path: folder.into(),
+        path: dir.into(),
         source,
     }
 }
 
-/// Renames a damaged file, so that it is never read again. One that was renamed before is lost.
+/// Renames a damaged file, so that it is never read again. A file that was quarantined before is overwritten.
 ///
 /// # Errors
 ///
-/// The file can't be renamed, or the folder not be synced.
-pub fn quarantine(folder: &Path) -> Result<(), StoreError> {
-    std::fs::rename(folder.join(FILE_NAME), folder.join(QUARANTINED_FILE_NAME))
-        .and_then(|()| sync_folder(folder))
-        .map_err(directory_error(folder))
+/// Returns an error if the file can't be renamed or the directory can't be synced.
+pub fn quarantine(dir: &Path) -> Result<(), StoreError> {
+    std::fs::rename(dir.join(FILE_NAME), dir.join(QUARANTINED_FILE_NAME))
+        .and_then(|()| sync_dir(dir))
+        .map_err(directory_error(dir))
 }
 
 /// The open file.
@@ -96,34 +102,34 @@
 }
 
 impl Store {
-    fn open_with(folder: &Path, opener: Opener) -> Result<Self, StoreError> {
-        std::fs::create_dir_all(folder).map_err(directory_error(folder))?;
-        let path = folder.join(FILE_NAME);
+    fn open_with(dir: &Path, opener: Opener) -> Result<Self, StoreError> {
+        std::fs::create_dir_all(dir).map_err(directory_error(dir))?;
+        let path = dir.join(FILE_NAME);
         let file = opener(&path).map_err(|e| StoreError::Database {
             path: path.clone(),
             source: Box::new(e.into()),
         })?;
-        sync_folder(folder).map_err(directory_error(folder))?;
+        sync_dir(dir).map_err(directory_error(dir))?;
         Ok(Self { path, file, opener })
     }
 
-    /// Opens the file at a start, and makes it if there is none. All its pages are checked against their checksums:
-    /// `redb` checks them when it recovers, not when it reads. Gives what stands in it besides; `None` for a new file,
-    /// which has to be initialized.
+    /// Opens the file at startup, and creates it if there is none. Verifies the checksums of all pages, because `redb`
+    /// verifies them during recovery but not when it reads. Also returns the contents, or `None` for a new file, which
+    /// has to be initialized.
     ///
     /// # Errors
     ///
-    /// Any [`StoreError`]; [`StoreError::is_corrupted`] tells damage from a disk that refuses.
-    pub fn open(folder: &Path) -> Result<(Self, Option<StoredMember>), StoreError> {
-        Self::open_and_load(folder, open_database)
+    /// Returns any [`StoreError`]; [`StoreError::is_corrupted`] distinguishes damage from I/O errors.
+    pub fn open(dir: &Path) -> Result<(Self, Option<StoredMember>), StoreError> {
+        Self::open_and_load(dir, open_database)
     }
 
     fn open_and_load(
-        folder: &Path,
+        dir: &Path,
         opener: Opener,
     ) -> Result<(Self, Option<StoredMember>), StoreError> {
         let checked = || {
-            let mut store = Self::open_with(folder, opener)?;
+            let mut store = Self::open_with(dir, opener)?;
             let is_intact = store.file.check_integrity();
             if !is_intact.map_err(store.database_error())? {
                 return Err(store.corrupted("pages", Corruption::PageChecksum));
@@ -134,10 +140,10 @@
             let state = store.load()?;
             Ok((store, Some((id, state))))
         };
-        // Some damage makes `redb` panic: to this program it is an error like the others.
+        // `redb` panics on some kinds of damage, which are handled like any other damage.
         std::panic::catch_unwind(checked).unwrap_or_else(|_| {
             Err(StoreError::Corrupted {
-                path: folder.join(FILE_NAME),
+                path: dir.join(FILE_NAME),
                 part: "pages",
                 source: Corruption::Structure,
             })
@@ -159,7 +165,7 @@
         }
     }
 
-    /// The record of this name in the table of records; `None` if there is none.
+    /// Reads the record with this name from the `meta` table; `None` if there is none.
     fn read<T: DeserializeOwned>(&self, name: &'static str) -> Result<Option<T>, StoreError> {
         let reading = self.file.begin_read().map_err(self.database_error())?;
         let table = match reading.open_table(META) {
@@ -175,7 +181,7 @@
             .map_err(|source| self.corrupted(name, source))
     }
 
-    /// Which member of the log this disk makes of the machine; `None` for a new file.
+    /// Reads the node's identity; `None` for a new file.
     fn identity(&self) -> Result<Option<NodeId>, StoreError> {
         match self.read::<u64>("format")? {
             None => Ok(None),
@@ -187,11 +193,12 @@
         }
     }
 
-    /// Makes a new file that of a new member, with the founders if it is one of them. Synced when it returns.
+    /// Initializes a new file for a new node. `founders` is empty unless the node is one of them. The file is synced
+    /// when this returns.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Database`]; nothing of it is in the file then.
+    /// Returns [`StoreError::Database`], in which case nothing was written.
     pub fn initialize(&self, id: NodeId, founders: &Members) -> Result<(), StoreError> {
         let snapshot = Snapshot::initial(founders.clone());
         let writing = self.file.begin_write().map_err(self.database_error())?;
@@ -210,12 +217,13 @@
         writing.commit().map_err(self.database_error())
     }
 
-    /// Term, vote, snapshot and the entries behind it.
+    /// Loads the term, the vote, the snapshot and the entries after it.
     fn load(&self) -> Result<PersistentState, StoreError> {
         let (term, voted_for) = self
             .read::<(u64, Option<NodeId>)>("vote")?
             .unwrap_or_default();
-        // There is one from the first write on: without it, this would be a member that has forgotten all.
+        // Every initialized file has a snapshot. Accepting a file without one would make this a member that has lost
+        // all its state.
         let snapshot = self
             .read::<Snapshot>("snapshot")?
             .ok_or_else(|| self.corrupted("snapshot", Corruption::Missing))?;
@@ -228,7 +236,7 @@
         })
     }
 
-    /// The entries from this index on. Each has to follow the one before; earlier ones are passed over.
+    /// Loads the entries from this index on, which must be contiguous. Earlier ones are skipped.
     fn load_entries(&self, first: u64) -> Result<Vec<Entry>, StoreError> {
         let reading = self.file.begin_read().map_err(self.database_error())?;
         let table = reading.open_table(ENTRIES).map_err(self.database_error())?;
@@ -251,7 +259,7 @@
         Ok(entries)
     }
 
-    /// Writes requests in one transaction, in their order, and syncs.
+    /// Writes the requests in order, in one transaction, and syncs.
     fn write(&self, requests: &[DiskRequest]) -> Result<(), StoreError> {
         let writing = self.file.begin_write().map_err(self.database_error())?;
         {
@@ -269,7 +277,8 @@
     }
 }
 
-/// Term and vote; a received snapshot in the place of the whole log; entries in the place of all from the first on.
+/// Stores the term and the vote. A received snapshot replaces the whole log; entries replace all existing ones from the
+/// first of them on.
 fn persist(
     meta: &mut MetaTable,
     entries: &mut EntryTable,
@@ -290,7 +299,7 @@
     Ok(())
 }
 
-/// A snapshot in the place of the entries up to its index.
+/// Stores a snapshot and removes the entries up to its index.
 fn compact(
     meta: &mut MetaTable,
     entries: &mut EntryTable,
--- a/crates/control-plane/src/store/error.rs
+++ b/crates/control-plane/src/store/error.rs
@@ -1,27 +1,27 @@
-//! Why what is on disk can't be used.
+//! Errors of the store.
 
 use std::path::PathBuf;
 
 use super::FORMAT;
 
-/// Why the control process can't use its file.
+/// An error of accessing the control process's file.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The folder can't be made, read or synced.
+    /// The directory can't be created, read or synced, or a file in it can't be renamed.
     #[error("{}: {source}", path.display())]
     Directory {
-        /// The folder.
+        /// The directory.
         path: PathBuf,
-        /// What the operating system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file can't be opened, read or written: the disk refused, or the file is damaged
-    /// ([`StoreError::is_corrupted`] tells which).
+    /// The file can't be opened, read or written, because of an I/O error or because the file is damaged
+    /// ([`StoreError::is_corrupted`] distinguishes the two).
     #[error("{}: {source}", path.display())]
     Database {
         /// The file.
         path: PathBuf,
-        /// What `redb` says.
+        /// The error of `redb`.
         source: Box<redb::Error>,
     },
     /// A part of the file is damaged.
@@ -29,54 +29,54 @@
     Corrupted {
         /// The file.
         path: PathBuf,
-        /// Name of the record, `entries`, or `pages` for the file as a whole.
+        /// The name of a record, `entries`, or `pages` for the file as a whole.
         part: &'static str,
-        /// What is wrong with it.
+        /// The kind of damage.
         source: Corruption,
     },
-    /// Another build wrote the file, in a format that this one doesn't know. The file is left as it is.
-    #[error("{}: format {found}, and this build reads {FORMAT}", path.display())]
+    /// The file was written by another build, in a format that this one does not support. The file is left unchanged.
+    #[error("{}: unsupported format {found}; this build reads format {FORMAT}", path.display())]
     UnsupportedFormat {
         /// The file.
         path: PathBuf,
-        /// Its format.
+        /// The format of the file.
         found: u64,
     },
 }
 
-/// What is wrong with a damaged part of the file.
+/// A kind of damage to a part of the file.
 #[derive(Debug, thiserror::Error)]
 pub enum Corruption {
     /// A record is shorter than its checksum.
-    #[error("cut short")]
-    CutShort,
-    /// A record's checksum is not that of its value.
-    #[error("its checksum does not match")]
+    #[error("truncated")]
+    Truncated,
+    /// A record's checksum does not match its value.
+    #[error("the checksum does not match")]
     RecordChecksum,
-    /// A record's value is not of its type.
+    /// A record's value can't be decoded as its type.
     #[error(transparent)]
     Undecodable(#[from] ciborium::de::Error<std::io::Error>),
-    /// A record that stands in every file is not there.
-    #[error("it is missing")]
+    /// A record that every file must have is missing.
+    #[error("the record is missing")]
     Missing,
     /// The entries of the log have a gap.
-    #[error("{found} stands where {expected} is expected")]
+    #[error("found index {found} where {expected} is expected")]
     EntryGap {
-        /// Index of the entry that is there.
+        /// The index of the entry that was found.
         found: u64,
-        /// Index of the entry that follows the one before.
+        /// The index that follows that of the previous entry.
         expected: u64,
     },
-    /// A page's checksum, which `redb` keeps, does not match.
+    /// The checksum that `redb` keeps of a page does not match.
     #[error("a page's checksum does not match")]
     PageChecksum,
-    /// `redb` panicked on the file.
-    #[error("their structure is broken")]
+    /// `redb` panicked while reading the file.
+    #[error("the structure is invalid")]
     Structure,
 }
 
 impl StoreError {
-    /// Whether the file itself is damaged, so that trying again can't help.
+    /// Whether the file itself is damaged, so that retrying is futile.
     pub fn is_corrupted(&self) -> bool {
         match self {
             Self::Corrupted { .. } => true,
--- a/crates/control-plane/src/store/record.rs
+++ b/crates/control-plane/src/store/record.rs
@@ -1,14 +1,14 @@
-//! A record of the file: four bytes of a CRC-32 (little-endian) over what follows, and the value as CBOR.
+//! The encoding of a record: the value as CBOR, preceded by its CRC-32 in four bytes (little-endian).
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use super::error::Corruption;
 
-/// Bytes of the checksum.
+/// The size of the checksum.
 const CHECKSUM_BYTES: usize = 4;
 
-/// A value as a record.
+/// Encodes a value as a record.
 pub(super) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut record = vec![0; CHECKSUM_BYTES];
     // Writing to memory does not fail.
@@ -18,11 +18,11 @@
     record
 }
 
-/// The value of a record.
+/// Verifies a record's checksum and decodes its value.
 pub(super) fn decode<T: DeserializeOwned>(record: &[u8]) -> Result<T, Corruption> {
     let (checksum, value) = record
         .split_at_checked(CHECKSUM_BYTES)
-        .ok_or(Corruption::CutShort)?;
+        .ok_or(Corruption::Truncated)?;
     if checksum != crc32fast::hash(value).to_le_bytes() {
         return Err(Corruption::RecordChecksum);
     }
--- a/crates/control-plane/src/store/tests.rs
+++ b/crates/control-plane/src/store/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the file, and of the thread that writes it, on disks that refuse, stall and lose power.
+//! Tests of the store and of the disk thread, on disks that fail, stall and lose power.
 
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -15,10 +15,11 @@
 mod faulty_disk;
 mod volatile_disk;
 
-pub(crate) fn folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("shorefront-{name}-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&folder);
-    folder
+/// Returns the path of a temporary directory that does not exist yet.
+pub(crate) fn empty_dir(name: &str) -> PathBuf {
+    let dir = std::env::temp_dir().join(format!("shorefront-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&dir);
+    dir
 }
 
 fn entry(term: u64, index: u64) -> Entry {
@@ -50,8 +51,8 @@
 
 #[test]
 fn synced_state_is_loaded_after_a_restart() {
-    let at = folder("store");
-    let store = Store::open_with(&at, open_database).expect("a file");
+    let dir = empty_dir("store");
+    let store = Store::open_with(&dir, open_database).expect("a file");
     assert_eq!(store.identity().expect("readable"), None);
     store.initialize(7, &Members::default()).expect("written");
     let batch = [
@@ -60,7 +61,7 @@
     ];
     store.write(&batch).expect("written");
     drop(store);
-    let store = Store::open_with(&at, open_database).expect("a file");
+    let store = Store::open_with(&dir, open_database).expect("a file");
     assert_eq!(store.identity().expect("readable"), Some(7));
     let stored = store.load().expect("readable");
     assert_eq!((stored.term, stored.voted_for), (2, Some(3)));
@@ -68,7 +69,7 @@
     assert_eq!(
         terms,
         [1, 1, 1, 2],
-        "the later entry replaced what followed it"
+        "the later entry replaced all from its index on"
     );
     let compacted = snapshot(3, 1, vec![9]);
     store
@@ -77,7 +78,7 @@
     let stored = store.load().expect("readable");
     assert_eq!(stored.snapshot, Some(compacted));
     assert_eq!(stored.entries.len(), 1);
-    // One that was received takes the place of the whole log, of what follows it too.
+    // A received snapshot replaces the whole log, including entries after its index.
     store
         .write(&[persist_request(
             3,
@@ -100,26 +101,26 @@
         (stored.snapshot, stored.entries.len()),
         (received.snapshot, 0)
     );
-    let _ = std::fs::remove_dir_all(&at);
+    let _ = std::fs::remove_dir_all(&dir);
 }
 
 #[test]
 fn foreign_file_is_corrupted_not_new() {
-    let at = folder("foreign");
-    std::fs::create_dir_all(&at).expect("a folder");
-    std::fs::write(at.join(FILE_NAME), vec![7; 9000]).expect("written");
-    let error = Store::open_with(&at, open_database)
+    let dir = empty_dir("foreign");
+    std::fs::create_dir_all(&dir).expect("a directory");
+    std::fs::write(dir.join(FILE_NAME), vec![7; 9000]).expect("written");
+    let error = Store::open_with(&dir, open_database)
         .err()
         .expect("an error");
     assert!(error.is_corrupted(), "{error}");
-    quarantine(&at).expect("moved");
-    let store = Store::open_with(&at, open_database).expect("a new file");
+    quarantine(&dir).expect("moved");
+    let store = Store::open_with(&dir, open_database).expect("a new file");
     assert_eq!(store.identity().expect("readable"), None);
     assert!(
-        at.join(QUARANTINED_FILE_NAME).exists(),
-        "nothing is thrown away"
+        dir.join(QUARANTINED_FILE_NAME).exists(),
+        "the damaged file is kept"
     );
-    let _ = std::fs::remove_dir_all(&at);
+    let _ = std::fs::remove_dir_all(&dir);
 }
 
 #[test]
@@ -140,11 +141,12 @@
     }
 }
 
-/// Whatever happens to the bytes of the file: what is read is what was written, or an error; no panic.
+/// Damages the file in random places. Opening it must either return exactly what was written or report corruption; it
+/// must never panic.
 #[test]
 fn corrupted_file_loads_intact_or_fails() {
-    let at = folder("flipped");
-    let store = Store::open_with(&at, open_database).expect("a file");
+    let dir = empty_dir("flipped");
+    let store = Store::open_with(&dir, open_database).expect("a file");
     store.initialize(7, &Members::default()).expect("written");
     store
         .write(&[persist_request(
@@ -154,10 +156,10 @@
         )])
         .expect("written");
     drop(store);
-    let file = at.join(FILE_NAME);
+    let file = dir.join(FILE_NAME);
     let whole = std::fs::read(&file).expect("readable");
     let mut rng = oorandom::Rand32::new(20);
-    let (mut unread, mut read) = (0, 0);
+    let (mut rejected, mut read) = (0, 0);
     for round in 0..200 {
         let mut bytes = whole.clone();
         if round % 4 == 0 {
@@ -170,30 +172,31 @@
                 .for_each(|b| *b = rng.rand_u32() as u8);
         }
         std::fs::write(&file, bytes).expect("written");
-        match Store::open(&at) {
+        match Store::open(&dir) {
             Ok((_, None)) => assert_eq!(std::fs::metadata(&file).map_or(0, |m| m.len()), 0),
             Ok((_, Some((id, stored)))) => {
                 read += 1;
                 assert_eq!(id, 7);
-                let right = stored
+                let intact = stored
                     .entries
                     .iter()
                     .zip(1..)
                     .all(|(e, i)| *e == entry(1, i));
-                assert!(right && stored.entries.len() == 40, "not what was written");
+                assert!(intact && stored.entries.len() == 40, "not what was written");
             }
             Err(error) => {
                 assert!(error.is_corrupted(), "{error}");
-                unread += 1;
+                rejected += 1;
             }
         }
     }
-    assert!(read > 0 && unread > 0, "{read} read, {unread} not");
-    let _ = std::fs::remove_dir_all(&at);
+    assert!(read > 0 && rejected > 0, "{read} read, {rejected} not");
+    let _ = std::fs::remove_dir_all(&dir);
 }
 
-/// However long it lives: with many small entries, with configurations of 1,000 routes, and with amendments
-/// of one of 1,500, where each fourth snapshot comes from a leader in the place of the whole log.
+/// Checks that the file stays below 16 MiB over many writes and snapshots: with many small entries, with configurations
+/// of 1,000 routes, and with amendments of a configuration of 1,500 routes. Every fourth snapshot comes from a leader
+/// and replaces the whole log.
 #[test]
 fn file_size_stays_bounded() {
     const CASES: [(usize, u64, u64, usize); 3] = [
@@ -202,8 +205,8 @@
         (600, 64, 80, 480_000),
     ];
     for (bytes, batch, writes, state) in CASES {
-        let at = folder(&format!("small-{bytes}"));
-        let store = Store::open_with(&at, open_database).expect("a file");
+        let dir = empty_dir(&format!("small-{bytes}"));
+        let store = Store::open_with(&dir, open_database).expect("a file");
         store.initialize(7, &Members::default()).expect("written");
         let (mut index, mut kept, mut entries_kept, mut largest) = (0, 0, 0, 0);
         for sequence in 0..writes {
@@ -238,32 +241,32 @@
                 };
                 store.write(&[request]).expect("written");
             }
-            largest = std::fs::metadata(at.join(FILE_NAME))
+            largest = std::fs::metadata(dir.join(FILE_NAME))
                 .map_or(0, |m| m.len())
                 .max(largest);
         }
         assert!(largest < 16 << 20, "entries of {bytes} bytes: {largest}");
-        let _ = std::fs::remove_dir_all(&at);
+        let _ = std::fs::remove_dir_all(&dir);
     }
 }
 
 fn wait_until_synced(synced: &mut UnboundedReceiver<u64>, wanted: u64) {
-    while synced.blocking_recv().expect("the thread goes on") < wanted {}
+    while synced.blocking_recv().expect("the thread keeps running") < wanted {}
 }
 
 #[test]
 fn refused_writes_are_retried() {
     static FAULTS: Faults = Faults::none();
     let opener: Opener = |path| FaultyDisk::open(path, &FAULTS);
-    let at = folder("refuses");
-    let store = Store::open_with(&at, opener).expect("a file");
+    let dir = empty_dir("refuses");
+    let store = Store::open_with(&dir, opener).expect("a file");
     store.initialize(7, &Members::default()).expect("written");
     let (requests, mut synced) = store.spawn_writer().expect("a thread");
     requests
         .send(persist_request(1, 1, vec![entry(1, 1)]))
         .expect("sent");
     assert_eq!(synced.blocking_recv(), Some(1));
-    FAULTS.refuses.store(true, Ordering::SeqCst);
+    FAULTS.fails.store(true, Ordering::SeqCst);
     requests
         .send(persist_request(2, 1, vec![entry(1, 2)]))
         .expect("sent");
@@ -273,63 +276,63 @@
         .expect("sent");
     assert!(
         synced.try_recv().is_err(),
-        "nothing is saved that is not synced"
+        "an unsynced request was reported"
     );
-    FAULTS.refuses.store(false, Ordering::SeqCst);
+    FAULTS.fails.store(false, Ordering::SeqCst);
     wait_until_synced(&mut synced, 3);
     drop(requests);
     assert_eq!(synced.blocking_recv(), None);
-    // A start on a full disk is no reason to call the file damaged: it would be set aside.
-    let copy = folder("refuses-at-start");
-    std::fs::create_dir_all(&copy).expect("a folder");
-    std::fs::copy(at.join(FILE_NAME), copy.join(FILE_NAME)).expect("copied");
-    FAULTS.refuses.store(true, Ordering::SeqCst);
+    // A start on a full disk must not report the file as damaged, because it would then be quarantined.
+    let copy = empty_dir("refuses-at-start");
+    std::fs::create_dir_all(&copy).expect("a directory");
+    std::fs::copy(dir.join(FILE_NAME), copy.join(FILE_NAME)).expect("copied");
+    FAULTS.fails.store(true, Ordering::SeqCst);
     match Store::open_and_load(&copy, opener) {
         Err(error) => assert!(!error.is_corrupted(), "{error}"),
         Ok((_, stored)) => assert_eq!(stored.map(|(id, _)| id), Some(7)),
     }
-    FAULTS.refuses.store(false, Ordering::SeqCst);
+    FAULTS.fails.store(false, Ordering::SeqCst);
     let (_, stored) = Store::open_and_load(&copy, opener).expect("readable");
     assert_eq!(stored.expect("not new").1.entries.len(), 3);
-    [at, copy]
+    [dir, copy]
         .iter()
-        .for_each(|at| drop(std::fs::remove_dir_all(at)));
+        .for_each(|dir| drop(std::fs::remove_dir_all(dir)));
 }
 
 #[test]
 fn stalled_disk_gets_all_requests_at_once() {
     static FAULTS: Faults = Faults::none();
-    let at = folder("stalls");
-    let store = Store::open_with(&at, |path| FaultyDisk::open(path, &FAULTS)).expect("a file");
+    let dir = empty_dir("stalls");
+    let store = Store::open_with(&dir, |path| FaultyDisk::open(path, &FAULTS)).expect("a file");
     store.initialize(7, &Members::default()).expect("written");
     let (requests, mut synced) = store.spawn_writer().expect("a thread");
     FAULTS.stalls.store(true, Ordering::SeqCst);
     for i in 1..=100 {
         requests
             .send(persist_request(i, 1, vec![entry(1, i)]))
-            .expect("whoever tells it does not wait");
+            .expect("sending does not block");
     }
     thread::sleep(Duration::from_millis(100));
     assert!(
         synced.try_recv().is_err(),
-        "nothing is saved that is not synced"
+        "an unsynced request was reported"
     );
     FAULTS.stalls.store(false, Ordering::SeqCst);
     wait_until_synced(&mut synced, 100);
     drop(requests);
     assert_eq!(synced.blocking_recv(), None);
-    let (_, stored) = Store::open(&at).expect("readable");
+    let (_, stored) = Store::open(&dir).expect("readable");
     assert_eq!(stored.expect("not new").1.entries.len(), 100);
-    let _ = std::fs::remove_dir_all(&at);
+    let _ = std::fs::remove_dir_all(&dir);
 }
 
-/// Whatever part of an unfinished write a loss of power leaves: what was synced before is there, and the
-/// file is not taken for damaged.
+/// Interrupts a write by a loss of power at a random step, after which any part of the unsynced data may be on the
+/// disk. What was synced before must be intact, and the file must not be reported as damaged.
 #[test]
 fn power_loss_keeps_synced_state() {
     let mut rng = oorandom::Rand32::new(7);
-    let at = folder("power");
-    std::fs::create_dir_all(&at).expect("a folder");
+    let dir = empty_dir("power");
+    std::fs::create_dir_all(&dir).expect("a directory");
     let (mut before, mut after) = (0, 0);
     for round in 0..60u64 {
         let disk = VolatileDisk::default();
@@ -337,7 +340,7 @@
             .create_with_backend(disk.clone())
             .expect("a file");
         let store = Store {
-            path: at.join(FILE_NAME),
+            path: dir.join(FILE_NAME),
             file,
             opener: open_database,
         };
@@ -353,7 +356,7 @@
         store
             .write(&[DiskRequest::Compact(snapshot.clone())])
             .expect("written");
-        // Power is lost after any of the steps of the next write.
+        // Power is lost after a random step of the next write, or not during it.
         disk.lose_power_after(1 + rng.rand_range(0..30));
         let requests = [persist_request(
             2,
@@ -364,30 +367,27 @@
         let finished = !disk.has_lost_power();
         let left = disk.contents_after_power_loss(&mut rng);
         drop(store);
-        std::fs::write(at.join(FILE_NAME), left).expect("written");
-        let (_, stored) = Store::open(&at).expect("not damaged");
+        std::fs::write(dir.join(FILE_NAME), left).expect("written");
+        let (_, stored) = Store::open(&dir).expect("not damaged");
         let (id, stored) = stored.expect("not new");
         assert_eq!((id, stored.snapshot.as_ref()), (7, Some(&snapshot)));
         let terms: Vec<u64> = stored.entries.iter().map(|e| e.term).collect();
         let kept = terms.iter().take_while(|term| **term == 1).count();
         let old = terms.len() == 11 && kept == 11 && stored.term == 1;
         let new = terms.len() as u64 == 5 + round + 1 && kept == 5 && stored.term == 2;
-        assert!(old || new, "round {round}: half of a write, {terms:?}");
-        assert!(
-            new || !finished,
-            "round {round}: a write that was synced is gone"
-        );
+        assert!(old || new, "round {round}: a partial write, {terms:?}");
+        assert!(new || !finished, "round {round}: a synced write was lost");
         (before, after) = (before + u32::from(old), after + u32::from(new));
     }
     assert!(
         before > 0 && after > 0,
-        "{before} before the write, {after} after it"
+        "state before the write in {before} rounds, after it in {after}"
     );
-    let _ = std::fs::remove_dir_all(&at);
+    let _ = std::fs::remove_dir_all(&dir);
 }
 
-/// Puts a record into a file, as no build of this form does.
-fn forge(store: &Store, change: impl Fn(&mut redb::Table<&str, &[u8]>)) {
+/// Modifies the records of a file, to produce contents that this build never writes.
+fn modify_records(store: &Store, change: impl Fn(&mut redb::Table<&str, &[u8]>)) {
     let writing = store.file.begin_write().expect("a transaction");
     change(&mut writing.open_table(META).expect("a table"));
     writing.commit().expect("written");
@@ -395,8 +395,8 @@
 
 #[test]
 fn damaged_snapshot_is_corruption_and_later_format_is_refused() {
-    let at = folder("forged");
-    let store = Store::open_with(&at, open_database).expect("a file");
+    let dir = empty_dir("modified-records");
+    let store = Store::open_with(&dir, open_database).expect("a file");
     store.initialize(7, &Members::default()).expect("written");
     let snapshot = snapshot(3, 1, vec![9; 100]);
     store
@@ -409,7 +409,7 @@
     let mut flipped = whole.clone();
     flipped[60] ^= 1;
     for bad in [Some(&flipped[..]), Some(&whole[..50]), Some(&[]), None] {
-        forge(&store, |meta| match bad {
+        modify_records(&store, |meta| match bad {
             Some(bad) => drop(meta.insert("snapshot", bad).expect("written")),
             None => drop(meta.remove("snapshot").expect("written")),
         });
@@ -419,21 +419,21 @@
             "{error}"
         );
     }
-    forge(&store, |meta| {
+    modify_records(&store, |meta| {
         meta.insert("format", encode(&(FORMAT + 1)).as_slice())
             .expect("written");
     });
     drop(store);
-    let before = std::fs::read(at.join(FILE_NAME)).expect("readable");
-    let error = Store::open(&at).err().expect("an error");
+    let before = std::fs::read(dir.join(FILE_NAME)).expect("readable");
+    let error = Store::open(&dir).err().expect("an error");
     assert!(
         matches!(error, StoreError::UnsupportedFormat { found, .. } if found == FORMAT + 1),
         "{error}"
     );
-    assert!(!error.is_corrupted(), "it is not set aside");
+    assert!(!error.is_corrupted(), "it must not be quarantined");
     assert_eq!(
-        std::fs::read(at.join(FILE_NAME)).expect("readable").len(),
+        std::fs::read(dir.join(FILE_NAME)).expect("readable").len(),
         before.len()
     );
-    let _ = std::fs::remove_dir_all(&at);
+    let _ = std::fs::remove_dir_all(&dir);
 }
--- a/crates/control-plane/src/store/tests/faulty_disk.rs
+++ b/crates/control-plane/src/store/tests/faulty_disk.rs
@@ -1,4 +1,4 @@
-//! A file on a disk that refuses writes, or stalls, while a test says so.
+//! A file on a simulated disk that fails or stalls on demand.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,36 +7,39 @@
 
 use redb::{Database, StorageBackend};
 
+/// A file whose writes and syncs are subject to [`Faults`].
 #[derive(Debug)]
 pub(super) struct FaultyDisk {
     file: redb::backends::FileBackend,
     faults: &'static Faults,
 }
 
+/// The faults of a [`FaultyDisk`]; a test switches them on and off.
 #[derive(Debug)]
 pub(super) struct Faults {
     /// Writes and syncs fail, as on a full disk.
-    pub(super) refuses: AtomicBool,
-    /// Writes and syncs wait.
+    pub(super) fails: AtomicBool,
+    /// Writes and syncs block.
     pub(super) stalls: AtomicBool,
 }
 
 impl Faults {
     pub(super) const fn none() -> Self {
         Self {
-            refuses: AtomicBool::new(false),
+            fails: AtomicBool::new(false),
             stalls: AtomicBool::new(false),
         }
     }
 }
 
 impl FaultyDisk {
-    fn wait_and_check(&self) -> std::io::Result<()> {
+    /// Waits while the disk stalls, then returns an error if it fails.
+    fn apply_faults(&self) -> std::io::Result<()> {
         while self.faults.stalls.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(5));
         }
-        let refuses = self.faults.refuses.load(Ordering::SeqCst);
-        if refuses {
+        let fails = self.faults.fails.load(Ordering::SeqCst);
+        if fails {
             Err(std::io::ErrorKind::StorageFull.into())
         } else {
             Ok(())
@@ -67,13 +70,13 @@
         self.file.read(offset, out)
     }
     fn set_len(&self, len: u64) -> std::io::Result<()> {
-        self.wait_and_check().and_then(|()| self.file.set_len(len))
+        self.apply_faults().and_then(|()| self.file.set_len(len))
     }
     fn sync_data(&self) -> std::io::Result<()> {
-        self.wait_and_check().and_then(|()| self.file.sync_data())
+        self.apply_faults().and_then(|()| self.file.sync_data())
     }
     fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
-        self.wait_and_check()
+        self.apply_faults()
             .and_then(|()| self.file.write(offset, data))
     }
 }
--- a/crates/control-plane/src/store/writer.rs
+++ b/crates/control-plane/src/store/writer.rs
@@ -1,8 +1,8 @@
-//! The disk thread: writes and syncs, so that a disk that stalls holds up neither heartbeats nor answers.
+//! The disk thread, which writes and syncs. A stalled disk therefore delays neither heartbeats nor responses.
 //!
-//! It owns the open [`Store`] and ends with the sender of its requests, or when the file is damaged. All requests that
-//! wait go into one transaction. A disk that refuses is tried again every [`WRITE_RETRY_INTERVAL`]; until it takes the
-//! write nothing is reported, and what waits piles up in the channel.
+//! The thread owns the open [`Store`]. It ends when the sender of requests is dropped or the file is damaged. All
+//! waiting requests are written in one transaction. A failed write is retried every [`WRITE_RETRY_INTERVAL`]; until it
+//! succeeds, nothing is reported and further requests queue up in the channel.
 
 use std::path::Path;
 use std::sync::mpsc;
@@ -14,33 +14,34 @@
 
 use super::{Store, StoreError};
 
-/// A disk that refused is tried again after this: a fraction of the time for which a lost member is borne.
+/// The delay before retrying after a disk error: a fraction of the time after which a silent member is removed.
 pub const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// The thread keeps little on its stack; the memory of a control process is bounded.
+/// The stack size of the disk thread, which needs little; the memory of a control process is limited.
 const STACK_BYTES: usize = 256 << 10;
 
-/// What the disk thread is to write.
+/// A write request to the disk thread.
 pub enum DiskRequest {
-    /// What the member of the log has to have synced before it makes a promise. Its `sequence` is reported once it is.
+    /// Raft state that must be synced before the node sends messages that depend on it. Its `sequence` is reported once
+    /// it is synced.
     Persist(PersistRequest),
-    /// A snapshot that was made here: the entries up to its index are dropped. Nothing waits for it.
+    /// A snapshot taken by this process. The entries up to its index are removed. Nothing waits for it.
     Compact(Snapshot),
 }
 
-/// The two ends of the disk thread: requests, and the `sequence` of the last [`PersistRequest`] of each synced
-/// transaction.
+/// The channels of the disk thread: one for requests, and one that reports the `sequence` of the last
+/// [`PersistRequest`] in each synced transaction.
 type WriterChannels = (
     mpsc::Sender<DiskRequest>,
     async_mpsc::UnboundedReceiver<u64>,
 );
 
 impl Store {
-    /// Hands the file to a thread of its own. Its reports say: every request up to this `sequence` is synced. The
-    /// channel of reports closes when the file is damaged; until then an error of the disk only delays the reports.
+    /// Starts the disk thread and passes the store to it. Each report means that all requests up to this `sequence` are
+    /// synced. The channel of reports closes when the file is damaged; other disk errors only delay the reports.
     ///
     /// # Errors
     ///
-    /// The thread can't be started.
+    /// Returns an error if the thread can't be started.
     pub fn spawn_writer(self) -> std::io::Result<WriterChannels> {
         let (requests, pending) = mpsc::channel::<DiskRequest>();
         let (reports, synced) = async_mpsc::unbounded_channel();
@@ -51,7 +52,7 @@
         Ok((requests, synced))
     }
 
-    /// Writes until nobody sends requests any more, nobody listens, or the file is damaged.
+    /// Writes requests until one of the channels is closed or the file is damaged.
     fn write_until_closed(
         mut self,
         pending: &mpsc::Receiver<DiskRequest>,
@@ -63,7 +64,7 @@
             self = match self.write_with_retries(&batch) {
                 Ok(store) => store,
                 Err(error) => {
-                    tracing::error!(%error, "the control process's file is damaged; nothing more is written");
+                    tracing::error!(%error, "the control process's file is damaged; the disk thread stops");
                     return;
                 }
             };
@@ -79,23 +80,24 @@
         }
     }
 
-    /// Writes in one transaction, however often the disk refuses. An error is final: the file is damaged.
+    /// Writes a batch in one transaction, and retries until the disk accepts it. Returns an error only if the file is
+    /// damaged.
     fn write_with_retries(mut self, batch: &[DiskRequest]) -> Result<Self, StoreError> {
-        let folder = self.path.parent().unwrap_or(Path::new("/")).to_path_buf();
+        let dir = self.path.parent().unwrap_or(Path::new("/")).to_path_buf();
         while let Err(error) = self.write(batch) {
             if error.is_corrupted() {
                 return Err(error);
             }
-            tracing::warn!(%error, "the disk refused a write; it is tried again");
-            // After an error `redb` wants the file opened anew; what was synced stands in it.
+            tracing::warn!(%error, "a write to the disk failed; retrying");
+            // After an error, `redb` requires the file to be reopened. Everything that was synced is still in it.
             let opener = self.opener;
             drop(self);
             self = loop {
                 thread::sleep(WRITE_RETRY_INTERVAL);
-                match Self::open_with(&folder, opener) {
+                match Self::open_with(&dir, opener) {
                     Ok(store) => break store,
                     Err(error) if error.is_corrupted() => return Err(error),
-                    // It still refuses, and that was logged.
+                    // The disk still fails, which has already been logged.
                     Err(_) => {}
                 }
             };
