--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -28,7 +28,7 @@
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2000);
 /// A peer that has been silent for this long, which is three missed heartbeats, is disconnected.
 const PEER_IDLE_TIMEOUT: Duration = SESSION_SYNC_INTERVAL.saturating_mul(3);
-/// The delay before retrying after a failed accept, or after a connection to a peer that failed or ended.
+/// The delay before accepting again after an error, and before redialling a peer after a connection failed or ended.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A byte stream: a TCP connection, or a simulated one in tests.
--- a/crates/control-plane/src/http_api/operator_api.rs
+++ b/crates/control-plane/src/http_api/operator_api.rs
@@ -52,7 +52,7 @@
 const BODY_READ_TIMEOUT: Duration = Duration::from_millis(10_000);
 /// The maximum size of a configuration, which has to fit into a frame and a log entry.
 const MAX_BODY_BYTES: usize = MAX_FRAME_BYTES / 2;
-/// The error text of responses with status 503.
+/// The error text of a response with status 503 when no majority could be reached in time.
 const NO_MAJORITY: &str = "no majority of the control balancers";
 
 /// Answers the operators' calls.
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -48,7 +48,7 @@
 const RESERVED_FDS: usize = 300;
 /// The lower bound of the number of file descriptors available to callers.
 const MIN_CALLER_FDS: usize = 16;
-/// Each of the two listeners may use one over this number of the callers' file descriptors.
+/// The callers' file descriptors are divided by this number to get the connection limit of each of the two listeners.
 const LISTENER_FD_SHARE: usize = 4;
 
 /// An error that prevents a control process from starting or ends it.
