--- a/crates/load-balancing/src/fleet/mod.rs
+++ b/crates/load-balancing/src/fleet/mod.rs
@@ -12,8 +12,8 @@
 //!
 //! The module does no I/O and reads no clock.
 //!
-//! A restarted balancer begins without credit and with an empty retry window, so it sends less rather than more.
-//! When a balancer has stopped and the fleet size is not yet corrected, its share stays unused.
+//! A restarted balancer begins with less than one send of credit per upstream and with an empty retry window, so it
+//! sends less rather than more. When a balancer has stopped, its share stays unused until the fleet size is corrected.
 
 pub(crate) mod fair_share;
 pub(crate) mod peer_load;
--- a/crates/load-balancing/src/fleet/peer_load.rs
+++ b/crates/load-balancing/src/fleet/peer_load.rs
@@ -15,11 +15,11 @@
     pub(crate) at: Time,
 }
 
-/// Moving average of other balancers' requests per slot, over all upstreams. An upstream's own last report takes
-/// precedence, and decays towards this average.
+/// Moving average of other balancers' requests per slot, over all upstreams; an upstream has one slot for each request
+/// that it runs concurrently. An upstream's own last report takes precedence, and decays towards this average.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PeerLoad {
-    /// Peers' requests per slot.
+    /// Other balancers' requests per slot.
     average: f64,
     reported_at: Time,
 }
@@ -39,21 +39,22 @@
     }
 
     /// Returns the expected number of other balancers' requests at an upstream with this many slots and this last
-    /// report. `fleet_service` and `own_service` are the mean service times of all upstreams and of this one, in
+    /// report. `overall_service` and `own_service` are the mean service times of all upstreams and of this one, in
     /// microseconds.
     ///
-    /// The estimate decays to the average, not to zero: with zero, upstreams without a recent report looked empty,
-    /// and a fleet under load sent most requests to the upstreams that it knew least about.
+    /// The estimate decays to the average, not to zero: with zero, upstreams without a recent report looked empty, and
+    /// under load the balancers sent most requests to the upstreams that they knew least about.
     pub(crate) fn expected(
         &self,
         now: Time,
         slots: f64,
         reported: ReportedLoad,
-        fleet_service: f64,
+        overall_service: f64,
         own_service: f64,
     ) -> f64 {
         let decay = |since: Time, time: f64| (-now.since(since).as_micros() / time).exp();
-        let average = self.average * slots * decay(self.reported_at, fleet_service / AVERAGE_GAIN);
+        let average =
+            self.average * slots * decay(self.reported_at, overall_service / AVERAGE_GAIN);
         average + (reported.peers - average) * decay(reported.at, own_service)
     }
 }
--- a/crates/load-balancing/src/fleet/retry_budget.rs
+++ b/crates/load-balancing/src/fleet/retry_budget.rs
@@ -36,7 +36,8 @@
     }
 
     /// Returns whether one more retry is within this balancer's part of the budget. Retries are counted over one
-    /// bucket more than the window and requests over the window at most, so that errors lead to fewer retries.
+    /// bucket more than the window and requests over the window at most, so that the rounding to whole buckets can only
+    /// reduce the number of retries.
     pub(crate) fn allows_retry(&self, now: Time, settings: &Settings) -> bool {
         let rules = &settings.rules;
         if rules.retry_window.0 <= 0 {
--- a/crates/load-balancing/src/interface/actions.rs
+++ b/crates/load-balancing/src/interface/actions.rs
@@ -18,7 +18,7 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// After which time the client should retry; zero for no advice.
+        /// How long the client should wait before it retries; zero for no advice.
         retry_after: Span,
     },
     /// End the request unserved, without a guarantee that it has not run.
@@ -35,7 +35,7 @@
     },
     /// Deliver [`Event::TimerFired`](super::Event::TimerFired) at or after this time.
     SetTimer {
-        /// Token to be returned with the event.
+        /// Token that the event carries.
         token: u64,
         /// When the timer is due.
         at: Time,
--- a/crates/load-balancing/src/interface/events.rs
+++ b/crates/load-balancing/src/interface/events.rs
@@ -107,7 +107,8 @@
     Request(Request),
     /// An attempt has ended.
     AttemptEnded(AttemptResult),
-    /// The response has begun to stream. The client is bound to this attempt, and the balancer owes no other answer.
+    /// The response has begun to stream. The client gets the response of this attempt, and the balancer need not end
+    /// the request.
     ResponseStarted(RequestId),
     /// The client has disconnected; the request needs no answer.
     ClientDisconnected(RequestId),
@@ -117,7 +118,7 @@
     ProbeEnded {
         /// The upstream.
         server: ServerId,
-        /// Whether the upstream is healthy by its answer.
+        /// Whether the answer shows that the upstream is healthy.
         ok: bool,
         /// How long it took.
         latency: Span,
--- a/crates/load-balancing/src/interface/settings.rs
+++ b/crates/load-balancing/src/interface/settings.rs
@@ -123,18 +123,18 @@
     /// Requests per second that one upstream may get during slow start, from all balancers together; 0 if not
     /// set.
     pub slow_start_rate_per_s: f64,
-    /// If that rate is set: how long an unused send credit remains valid.
+    /// How long an unused send credit remains valid, if `slow_start_rate_per_s` is set.
     pub slow_start_credit_ttl: Span,
     /// An upstream fails if it is sent more than this multiple of its present capacity for `overload_window`.
     pub overload_multiple: f64,
-    /// See `overload_multiple`.
+    /// Time after which an upstream that gets too many requests fails; see `overload_multiple`.
     pub overload_window: Span,
     /// How long requests may still be sent to an upstream after its drain has become known.
     pub drain_grace: Span,
     /// How long after the client's deadline an answer still counts.
     pub answer_slack: Span,
-    /// If the list must be requested: the longest time without news of the list before a change of it counts as
-    /// known.
+    /// If the list must be requested: time after which a change of the list counts as known to the balancer, even if it
+    /// has had no news of the list.
     pub membership_poll_interval: Span,
     /// Time within which idle connections to a draining upstream must be closed; zero for no such rule.
     pub drain_close_timeout: Span,
@@ -145,7 +145,7 @@
     pub retry_window: Span,
     /// Retries allowed per request within the window.
     pub retry_ratio: f64,
-    /// Retries allowed within the window in addition.
+    /// Retries that all balancers together are allowed within the window in addition to `retry_ratio`.
     pub retry_allowance: f64,
 }
 
@@ -228,12 +228,12 @@
     pub load_report_source: LoadReportSource,
 }
 
-/// Shortest interval between timers, in microseconds.
+/// Lower bound of [`Settings::tick`], in microseconds.
 const MIN_TICK_US: i64 = 100;
-/// Lower bound of the capacity at the start: an upstream that starts with none would never get a request, and never
-/// warm up.
+/// Lower bound of [`Rules::slow_start_min_capacity`]: an upstream that starts without any capacity would never get a
+/// request, and never warm up.
 const MIN_SLOW_START_CAPACITY: f64 = 0.01;
-/// Shortest interval between requests for the list of upstreams, in ticks.
+/// Lower bound of [`Rules::membership_poll_interval`], in ticks.
 const MIN_POLL_INTERVAL_TICKS: i64 = 10;
 
 impl Settings {
@@ -267,7 +267,8 @@
     /// Returns the settings with out-of-range values replaced by the nearest valid ones.
     ///
     /// # Errors
-    /// If there is no class, or a latency target or deadline is not above zero: no valid value can be assumed.
+    /// Returns an error if there is no class, or a latency target or deadline is not above zero: no valid value can be
+    /// assumed.
     pub fn into_validated(mut self) -> Result<Self, SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
--- a/crates/load-balancing/src/interface/time.rs
+++ b/crates/load-balancing/src/interface/time.rs
@@ -21,7 +21,7 @@
 }
 
 impl Span {
-    /// Returns the span in microseconds, for arithmetic.
+    /// Returns the span in microseconds as a floating-point number.
     pub fn as_micros(self) -> f64 {
         self.0 as f64
     }
--- a/crates/load-balancing/src/policy/admission.rs
+++ b/crates/load-balancing/src/policy/admission.rs
@@ -1,9 +1,10 @@
 //! Admission control: decides which requests are queued and which are rejected on arrival.
 //!
-//! The paper rejects a request when the number of queued and in-flight requests reaches the sum of N_i = T_QoS /
-//! (2*TP_i + TS_i). This implementation uses one T_QoS for all classes, derived from the wait that the tightest class
-//! can tolerate; otherwise requests with long latency targets would fill the queue and starve those with short ones.
-//! Classes with a low value per unit of work and tenants over their quota may use only part of that wait.
+//! The paper that [`policy`](super) follows rejects a request when the number of queued and in-flight requests reaches
+//! the sum of N_i = T_QoS / (2*TP_i + TS_i). Here T_QoS is the mean service time plus the longest queue wait that every
+//! class can tolerate; if each class had its own T_QoS, requests with long latency targets would fill the queue and
+//! starve those with short ones. Classes with a low value per unit of work may use only part of that wait, and tenants
+//! over their quota none of it.
 
 use super::Balancer;
 use super::state::request::PendingRequest;
@@ -87,10 +88,10 @@
         }
     }
 
-    /// Applies the paper's admission check: the number of queued and in-flight requests must stay below the sum of N_i.
+    /// Applies the admission check: the number of queued and in-flight requests must stay below the sum of N_i.
     fn is_admitted(&self, class: usize, is_within_quota: bool, is_client_retry: bool) -> bool {
         // A request over quota may not use any of the queue wait: otherwise a tenant that sent three times its quota
-        // took other tenants' share of a full fleet.
+        // took other tenants' share while the upstreams were full.
         let queue_share = if is_within_quota {
             self.queue_share(class)
         } else {
@@ -98,7 +99,7 @@
         };
         let pool = self.capacity.of_class(class);
         let qos_time = self.fleet.service_time + self.fleet.max_queue_wait * queue_share;
-        let mut limit = pool.queue_limit_per_us * qos_time;
+        let mut limit = pool.admission_limit_per_us * qos_time;
         // The burst headroom is reserved for first tries. During overload it was used up by clients' retries, which are
         // late anyway, and the first tries rejected in their place came back as more retries.
         if is_client_retry {
--- a/crates/load-balancing/src/policy/attempts.rs
+++ b/crates/load-balancing/src/policy/attempts.rs
@@ -15,8 +15,8 @@
 const PAUSE_IN_SERVICE_TIMES: f64 = 0.5;
 /// Maximum number of times that this pause doubles: a dead upstream is retried about every thirty service times.
 const MAX_PAUSE_DOUBLINGS: u32 = 6;
-/// Maximum number of doublings for a class that goes unanswered. It is higher since each retry costs a request and no
-/// pause is longer than the fault itself.
+/// Maximum number of doublings of the pause of a class's breaker at an upstream. It is higher since each retry costs a
+/// request and no pause is longer than the fault itself.
 pub(super) const MAX_CLASS_PAUSE_DOUBLINGS: u32 = 10;
 
 impl Balancer {
@@ -34,8 +34,8 @@
             && self.slow_start_allows(now, &self.upstreams[upstream])
     }
 
-    /// Returns whether an upstream is in the zones and of the kinds that a class is bound to. Every upstream is allowed
-    /// for `None`.
+    /// Returns whether an upstream is in the zones and of the machine types that a class is bound to. Every upstream
+    /// is allowed for `None`.
     pub(super) fn is_allowed_for(&self, class: Option<usize>, upstream: &Upstream) -> bool {
         let Some(class) = class.map(|class| &self.settings.classes[class]) else {
             return true;
@@ -45,8 +45,9 @@
         is_allowed(&class.zones, &upstream.zone) && is_allowed(&class.kinds, &upstream.kind)
     }
 
-    /// Returns whether a request may be sent to this upstream, apart from conditions that pass by waiting. Checks
-    /// draining, zone and kind bindings, the number of attempts, the retry budget and the effect of the request.
+    /// Returns whether a request may be sent to this upstream, ignoring its key's turn and slow start, which only delay
+    /// it. Checks draining, zone and machine type bindings, the deadline, the number of attempts, the retry budget, the
+    /// conditions for hedging and the effect of the request.
     pub(super) fn is_eligible(
         &self,
         now: Time,
--- a/crates/load-balancing/src/policy/concurrency.rs
+++ b/crates/load-balancing/src/policy/concurrency.rs
@@ -1,7 +1,8 @@
 //! Trials that find out how many requests upstreams run concurrently, where the host does not report it.
 //!
-//! A trial gives an upstream some slots more or fewer than its kind has, for a few service times. The throughput at
-//! each level decides which level is used ([`ConcurrencyEstimate`]).
+//! A trial gives an upstream some slots more or fewer than others of its machine type have, for a few service times. A
+//! level is a number of requests in flight at an upstream; the throughput at each level decides which level is used
+//! ([`ConcurrencyEstimate`]).
 
 use super::Balancer;
 use super::state::concurrency::{ConcurrencyEstimate, MAX_CONCURRENCY};
@@ -10,8 +11,8 @@
 use super::subset;
 use crate::interface::Time;
 
-/// Time until the next answer, in service times, that counts at most: a longer gap indicates a fault rather than the
-/// throughput of the level.
+/// Maximum time until the next answer that is recorded for a level, in service times: a longer gap indicates a fault
+/// rather than the throughput of the level.
 const MAX_ANSWER_GAP_IN_SERVICE_TIMES: f64 = 5.0;
 /// Duration of a trial in service times, enough for a few answers at each level.
 const TRIAL_DURATION_IN_SERVICE_TIMES: f64 = 4.0;
@@ -23,10 +24,11 @@
 const OUTLIER_SLOWNESS: f64 = 2.0;
 
 impl Balancer {
-    /// Returns how many requests an upstream runs concurrently: as reported, or else as estimated for its kind.
+    /// Returns how many requests an upstream runs concurrently: as reported, or else as estimated for its machine
+    /// type.
     pub(super) fn concurrency(&self, upstream: &Upstream) -> f64 {
-        if upstream.has_reported_slots() {
-            return f64::from(upstream.slots);
+        if upstream.reports_concurrency() {
+            return f64::from(upstream.reported_concurrency);
         }
         self.estimate_of_kind(upstream).level as f64
     }
@@ -60,7 +62,8 @@
         self.upstreams[i].in_flight_changed_at = now;
     }
 
-    /// Returns whether an upstream is representative of its kind, which excludes upstreams in slow start and outliers.
+    /// Returns whether an upstream is representative of its machine type, which excludes upstreams in slow start and
+    /// outliers.
     fn is_representative(&self, now: Time, upstream: &Upstream) -> bool {
         upstream.estimate.slowness <= OUTLIER_SLOWNESS
             && self.slow_start_capacity(now, upstream).is_none()
@@ -97,12 +100,12 @@
     }
 
     fn is_candidate_for_trial(&self, now: Time, upstream: &Upstream) -> bool {
-        !upstream.has_reported_slots()
+        !upstream.reports_concurrency()
             && upstream.subset_distance <= subset::OWN_SUBSET_DISTANCE
             && self.is_representative(now, upstream)
     }
 
-    /// Tries a higher level at half of the upstreams for whose kind nothing is known of that level.
+    /// Tries a higher level at half of the upstreams for whose machine type too little is known of that level.
     fn start_first_trials(&mut self, own: &[UpstreamIndex]) {
         for &i in own {
             let estimate = self.estimate_of_kind(&self.upstreams[i]);
--- a/crates/load-balancing/src/policy/dispatch.rs
+++ b/crates/load-balancing/src/policy/dispatch.rs
@@ -1,8 +1,8 @@
 //! Dispatch: decides which queued request is sent to which upstream.
 //!
-//! Following the paper, an upstream gets requests only while it has fewer than K_i attempts in flight. Among the
-//! upstreams with a free slot, the one with the lowest cost is chosen; where upstreams report their load, the one
-//! expected to answer first.
+//! Following the paper named in [`policy`](super), an upstream gets requests only while it has fewer than K_i attempts
+//! in flight. Among the upstreams with a free slot, the one with the lowest cost is chosen; where upstreams report
+//! their load, the one expected to answer first.
 
 use std::cell::LazyCell;
 
@@ -13,12 +13,13 @@
 use super::subset;
 use crate::interface::{Action, RequestId, Span, Time};
 
-/// Share of the fleet whose breakers are open for a class above which these breakers are ignored: then the fleet as a
-/// whole is slow.
+/// If more than this share of the upstreams of a class have their breaker for that class open, these breakers are
+/// ignored: then the upstreams as a whole are slow.
 const PANIC_THRESHOLD: f64 = 0.75;
-/// How much longer, in mean service times, an answer from the own zone may take before an upstream in another zone or
-/// region is preferred, where upstreams report their load.
+/// How much longer, in mean service times, an answer from the balancer's own zone may take before an upstream in
+/// another zone is preferred, where upstreams report their load.
 const OTHER_ZONE_PENALTY: f64 = 0.25;
+/// The same penalty for an upstream in another region.
 const OTHER_REGION_PENALTY: f64 = 1.0;
 /// The same penalty for an upstream outside the subset whose answers keep this balancer's estimates up to date.
 const OUTSIDE_SUBSET_PENALTY: f64 = 0.5;
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Returns the upstream with a free slot that a request should be sent to, if there is one. Upstreams that have
-    /// already failed this request come last.
+    /// Returns the upstream with a free slot that a request should be sent to, if there is one. Upstreams to which this
+    /// request has been sent before come last.
     fn choose_upstream(
         &self,
         now: Time,
@@ -83,18 +84,18 @@
             if !self.has_free_slot(now, upstream, is_pool_full) {
                 continue;
             }
-            let is_closed_to_class =
+            let is_open_for_class =
                 upstream.class_breakers[request.class].is_open(now) && !*is_panicking;
-            if is_closed_to_class
+            if is_open_for_class
                 || upstream.breaker.is_open(now)
                 || !self.may_send(now, id, request, i)
             {
                 continue;
             }
-            if !upstream.has_reported_slots() && !has_attempted {
+            if !upstream.reports_concurrency() && !has_attempted {
                 return Some(i);
             }
-            let cost = if upstream.has_reported_slots() {
+            let cost = if upstream.reports_concurrency() {
                 self.reported_cost(now, upstream)
             } else {
                 0.0
@@ -127,17 +128,18 @@
         load < f64::from(limit)
     }
 
-    /// Returns whether the breakers of so large a share of the fleet are open for a class that they are ignored.
+    /// Returns whether so many upstreams have their breaker for a class open that these breakers are ignored; see
+    /// [`PANIC_THRESHOLD`].
     fn is_panicking(&self, now: Time, class: usize) -> bool {
-        let (mut all, mut closed) = (0.0, 0.0);
+        let (mut all, mut open) = (0.0, 0.0);
         for &i in &self.by_cost {
             let upstream = &self.upstreams[i];
             if self.is_allowed_for(Some(class), upstream) {
                 all += 1.0;
-                closed += f64::from(upstream.class_breakers[class].is_open(now));
+                open += f64::from(upstream.class_breakers[class].is_open(now));
             }
         }
-        closed > all * PANIC_THRESHOLD
+        open > all * PANIC_THRESHOLD
     }
 
     /// Returns the number of other balancers' requests at an upstream, of those in its last report, that are expected
@@ -148,8 +150,8 @@
     }
 
     /// Returns the expected time until an upstream that reports its load answers, in mean service times, plus penalties
-    /// for distance. It includes the requests of other balancers expected to have arrived since the report. The own
-    /// subset is preferred because its estimates are the most recent.
+    /// for distance. It includes the requests of other balancers expected to have arrived since the report. The
+    /// balancer's own subset is preferred because its estimates are the most recent.
     fn reported_cost(&self, now: Time, upstream: &Upstream) -> f64 {
         let concurrency = self.concurrency(upstream);
         let load = f64::from(upstream.in_flight)
--- a/crates/load-balancing/src/policy/estimates.rs
+++ b/crates/load-balancing/src/policy/estimates.rs
@@ -1,7 +1,8 @@
-//! Estimates of TP_i, TS_i, K_i and N_i for each upstream, and of the capacity that the fleet offers this balancer.
+//! Estimates of TP_i, TS_i, K_i and N_i for each upstream, and of the capacity that all upstreams together offer this
+//! balancer.
 //!
-//! [`Balancer::learn`] updates the estimates with every outcome of an attempt. Values for the whole fleet are
-//! recomputed at each sweep and each membership change.
+//! [`Balancer::learn`] updates the estimates with every outcome of an attempt. Values for all upstreams together
+//! are recomputed at each sweep and each membership change.
 
 use super::Balancer;
 use super::state::latency_estimate::SERVICE_TIME_GAIN;
@@ -18,7 +19,7 @@
         self.fleet.service_time * upstream.estimate.slowness
     }
 
-    /// Returns 2*TP_i in microseconds, or the fleet's mean where it is not known.
+    /// Returns 2*TP_i in microseconds, or the mean of all upstreams where it is not known.
     fn propagation(&self, upstream: &Upstream) -> f64 {
         let known = upstream.estimate.propagation;
         known.unwrap_or(self.fleet.propagation)
@@ -29,7 +30,7 @@
     fn exact_max_in_flight(&self, upstream: &Upstream) -> f64 {
         let k =
             self.propagation(upstream) / self.service_time(upstream) + self.concurrency(upstream);
-        k.min(self.admission_limit_per_us(upstream) * self.qos_time)
+        k.min(self.admission_limit_per_us(upstream) * self.mean_latency_target)
     }
 
     /// Returns K_i as a whole number of requests, including the concurrency on trial. It is at least 1, since nothing
@@ -97,7 +98,7 @@
         let all = running + result.report.queued.unwrap_or(0.0);
         let peers = (all - f64::from(upstream.in_flight)).max(0.0);
         upstream.reported = ReportedLoad { peers, at: now };
-        let peers_per_slot = peers / f64::from(upstream.slots.max(1));
+        let peers_per_slot = peers / f64::from(upstream.reported_concurrency.max(1));
         self.fleet.peer_load.learn(now, peers_per_slot);
     }
 
@@ -142,12 +143,16 @@
             }
         }
         let share = FairShare::new(slots, self.fleet.tolerance, self.settings.balancers);
-        // Only where upstreams report their slots. With estimated slots, balancers rejected retries that they could
-        // have served after the number of balancers had shrunk.
-        let are_slots_reported = self.upstreams.iter().any(Upstream::has_reported_slots);
+        // The headroom for bursts is reserved only where upstreams report their concurrency. With an estimated one,
+        // balancers rejected retries that they could have served after the number of balancers had shrunk.
+        let is_concurrency_reported = self.upstreams.iter().any(Upstream::reports_concurrency);
         let pool = &mut self.capacity.pools[pool];
         pool.slots = slots * share.of_slots;
-        pool.queue_limit_per_us = per_us * share.of_slots;
-        pool.even_share = if are_slots_reported { share.even } else { 1.0 };
+        pool.admission_limit_per_us = per_us * share.of_slots;
+        pool.even_share = if is_concurrency_reported {
+            share.even
+        } else {
+            1.0
+        };
     }
 }
--- a/crates/load-balancing/src/policy/fair_share.rs
+++ b/crates/load-balancing/src/policy/fair_share.rs
@@ -1,9 +1,9 @@
-//! The tolerance: how many times its even share of the fleet's slots this balancer may take.
+//! The tolerance: how many times its even share of all upstream slots this balancer may take.
 //!
 //! The tolerance adapts to answers: it grows while they are as fast as under light load and shrinks when upstreams are
-//! crowded. Balancers thereby take over the share of lost balancers while there is spare capacity. With fixed shares,
-//! when a zone was lost along with its balancers, the remaining ones kept to their share of the original fleet and
-//! rejected requests while upstreams were idle.
+//! crowded, so that requests wait there. Balancers thereby take over the share of lost balancers while there is spare
+//! capacity. With fixed shares, when a zone was lost along with its balancers, the remaining ones kept to the share
+//! that they had before the loss and rejected requests while upstreams were idle.
 
 use super::Balancer;
 use super::state::latency_estimate::MAX_SLOWNESS;
@@ -21,8 +21,8 @@
 /// Number of upstreams in an even share above which the tolerance shrinks faster: bursts average out over a larger
 /// share, so it needs fewer of the other balancers' slots.
 const FEW_UPSTREAMS: f64 = 3.0;
-/// Slowdown relative to light load above which an answer counts as crowded. One request ahead of it doubles its
-/// latency.
+/// Slowdown of an answer, relative to light load, above which its upstream counts as crowded. One request ahead of it
+/// doubles its latency.
 const CROWDED_SLOWDOWN: f64 = 1.5;
 /// Weight of an answer in the uncrowded service time when the current service time is higher; a lower one is adopted at
 /// once.
@@ -47,7 +47,7 @@
         // Answers below the limit leave the tolerance as it is. When every expensive request lowered it while it rose
         // only at the limit, which only bursts reach, it stayed at its minimum and balancers rejected requests while
         // upstreams were idle.
-        let pool = self.capacity.fleet();
+        let pool = self.capacity.all_upstreams();
         let is_below_limit = pool.in_flight as f64 + 1.0 < pool.slots;
         if is_below_limit && outcome == AttemptOutcome::Ok {
             return;
--- a/crates/load-balancing/src/policy/hedging.rs
+++ b/crates/load-balancing/src/policy/hedging.rs
@@ -1,4 +1,5 @@
-//! Overdue attempts: they count as faults of their upstreams, may cause hedges, and release their slots when lost.
+//! Overdue attempts: they count as faults of their upstreams, may cause hedges (attempts sent while an earlier one of
+//! the same request is in flight), and release their slots when lost.
 //!
 //! This guards against upstreams that hang or vanish, lost answers, stalls, a class that goes unanswered, and dead
 //! connections. It can do harm where the work of requests within a class varies widely, since an expensive request
@@ -13,10 +14,10 @@
 const OVERDUE_DEVIATIONS: f64 = 3.0;
 /// Minimum delay before a hedge, as a multiple of the mean latency.
 const MIN_HEDGE_DELAY_IN_MEANS: f64 = 1.5;
-/// A hedge is sent only if more than this share of the attempts that were this late were never answered. A fleet that
-/// is merely slow needs no additional load.
+/// A hedge is sent only if more than this share of the attempts for which one was due were never answered. Upstreams
+/// that are merely slow need no additional load.
 const MIN_UNANSWERED_SHARE: f64 = 0.4;
-/// Hedges allowed per first attempt. More would overload a fleet that is already slow.
+/// Hedges allowed per first attempt. More would overload upstreams that are already slow.
 const HEDGES_PER_REQUEST: f64 = 0.3;
 
 /// Points in time from which an attempt counts as late.
@@ -40,7 +41,7 @@
 impl Balancer {
     /// Adds the hedge tokens that a first attempt earns, up to one token per slot.
     pub(super) fn earn_hedge_tokens(&mut self) {
-        let max_tokens = self.capacity.fleet().slots.max(1.0);
+        let max_tokens = self.capacity.all_upstreams().slots.max(1.0);
         self.hedge_tokens = (self.hedge_tokens + HEDGES_PER_REQUEST).min(max_tokens);
     }
 
@@ -76,10 +77,10 @@
         let is_overdue = attempt.is_overdue || now >= overdue_at;
         let is_hedge_due = attempt.is_hedge_due || now >= hedge_at;
         let is_newly_due = is_hedge_due && !attempt.is_hedge_due;
-        // Lost answers used to hold their slots for two latency targets, which caused rejections. An overdue attempt is
+        // Lost answers that held their slots for two latency targets caused rejections, so an overdue attempt is
         // considered lost once its upstream has answered an attempt sent later. With a K_i of 1 no attempt is ever sent
-        // later, and connections that had fallen silent held all slots; so one attempt may also be given up by time
-        // alone, and the next only after the upstream has answered again.
+        // later, and unresponsive connections held all slots; so one attempt may also be given up by time alone, and
+        // the next only after the upstream has answered again.
         let last_answered = self.upstreams[attempt.upstream].last_answered_sent_at;
         let is_overtaken = last_answered > attempt.sent_at;
         let lateness = overdue_at.since(attempt.sent_at);
--- a/crates/load-balancing/src/policy/membership.rs
+++ b/crates/load-balancing/src/policy/membership.rs
@@ -137,10 +137,10 @@
         }
     }
 
-    /// Returns whether an upstream is included in the sums of a pool. An upstream that reports its slots is excluded
-    /// while it is unresponsive and others respond; estimated slots adapt by themselves.
+    /// Returns whether an upstream is included in the sums of a pool. An upstream that reports its concurrency is
+    /// excluded while it is unresponsive and others respond; an estimated concurrency adapts by itself.
     pub(super) fn is_counted(&self, pool: &CapacityPool, upstream: &Upstream) -> bool {
-        (!upstream.has_reported_slots() || !upstream.is_unresponsive() || pool.all_unresponsive)
+        (!upstream.reports_concurrency() || !upstream.is_unresponsive() || pool.all_unresponsive)
             && self.is_allowed_for(pool.class, upstream)
     }
 
--- a/crates/load-balancing/src/policy/mod.rs
+++ b/crates/load-balancing/src/policy/mod.rs
@@ -15,7 +15,8 @@
 //! (upstreams that come and go), `tenants` (quotas).
 //!
 //! [`Balancer`] owns all state and keeps it in memory only; the records are in `state`. After a restart it knows at
-//! most a list of upstreams, starts with default estimates and learns from the first answers.
+//! most a list of upstreams, starts with default estimates and learns from the first answers. The field `fleet` holds
+//! the estimates over all upstreams; the module [`crate::fleet`] is about the fleet of balancers.
 //!
 //! Guarantees:
 //!
@@ -56,8 +57,8 @@
 mod subset;
 mod tenants;
 
-/// Initial TS_i before any answer from any upstream, as a share of T_QoS.
-const INITIAL_SERVICE_TIME_SHARE_OF_QOS: f64 = 0.25;
+/// Initial TS_i before any answer from any upstream, as a share of the mean latency target.
+const INITIAL_SERVICE_TIME_SHARE_OF_TARGET: f64 = 0.25;
 /// Token of the only timer, which triggers the periodic sweep.
 const SWEEP_TIMER_TOKEN: u64 = 1;
 
@@ -65,8 +66,8 @@
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
-    /// T_QoS, in microseconds.
-    qos_time: f64,
+    /// Mean latency target of the active classes in microseconds; T_QoS where N_i limits K_i.
+    mean_latency_target: f64,
     rng: Rand64,
     /// Whether the first event has been handled, which starts the timer.
     has_started: bool,
@@ -97,7 +98,7 @@
     pub in_flight: u32,
     /// K_i: the upstream gets no further attempts while this many are in flight.
     pub max_in_flight: u32,
-    /// N_i within the requested time.
+    /// N_i for the requested T_QoS.
     pub max_admitted: f64,
 }
 
@@ -109,9 +110,9 @@
     /// Returns an error if the settings can't be corrected to safe values; see [`Settings::into_validated`].
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         let settings = settings.into_validated()?;
-        let qos_time = settings.qos_time();
+        let mean_latency_target = settings.mean_latency_target();
         Ok(Self {
-            qos_time,
+            mean_latency_target,
             rng: Rand64::new(u128::from(seed)),
             has_started: false,
             upstreams: UpstreamTable::default(),
@@ -124,8 +125,8 @@
             hedge_tokens: 1.0,
             fleet: FleetEstimate::new(
                 settings.classes.len(),
-                qos_time,
-                qos_time * INITIAL_SERVICE_TIME_SHARE_OF_QOS,
+                mean_latency_target,
+                mean_latency_target * INITIAL_SERVICE_TIME_SHARE_OF_TARGET,
                 fair_share::INITIAL_TOLERANCE,
                 now,
             ),
@@ -153,7 +154,7 @@
             return Err(SettingsError::FewerClasses(classes_before));
         }
         let classes = settings.classes.len();
-        self.qos_time = settings.qos_time();
+        self.mean_latency_target = settings.mean_latency_target();
         self.capacity = settings.capacity_pools();
         self.fleet.resize_classes(classes);
         for upstream in self.upstreams.iter_mut() {
@@ -191,8 +192,8 @@
         }
     }
 
-    /// Returns the current limits of one upstream for metrics: K_i, and N_i within `qos_time`. Returns `None` if the
-    /// upstream is not known.
+    /// Returns the current limits of one upstream for metrics: K_i, and N_i for a T_QoS of `qos_time`. Returns `None`
+    /// if the upstream is not known.
     pub fn upstream_limits(&self, id: ServerId, qos_time: Span) -> Option<UpstreamLimits> {
         let upstream = &self.upstreams[self.upstreams.index_of(id)?];
         Some(UpstreamLimits {
--- a/crates/load-balancing/src/policy/slow_start.rs
+++ b/crates/load-balancing/src/policy/slow_start.rs
@@ -11,9 +11,9 @@
 use crate::fleet::send_credit::SendCredit;
 use crate::interface::{Span, Time};
 
-/// Rate towards an upstream of the own subset, as a share of the configured multiple of its capacity: an upstream is in
-/// the own subset of only a few balancers.
-const OWNER_RATE_SHARE: f64 = 1.0 / 3.0;
+/// Rate towards an upstream of the balancer's own subset, as a share of the configured multiple of its capacity: an
+/// upstream is in the own subset of only a few balancers.
+const OWN_SUBSET_RATE_SHARE: f64 = 1.0 / 3.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
 impl Balancer {
@@ -71,14 +71,14 @@
         let min_rate = multiple / balancers / fleet.service_time;
         let rate = if observed > 0.0 { observed } else { min_rate };
         // Balancers that have the upstream in their own subset send at a higher rate. When they used the rate of an
-        // even spread over all balancers, but no other balancer sent anything, a fleet that had grown fourfold kept
-        // rejecting requests.
-        let owner_rate = if upstream.subset_distance <= subset::OWN_SUBSET_DISTANCE {
-            multiple * OWNER_RATE_SHARE * self.concurrency(upstream) / fleet.service_time
+        // even spread over all balancers, but no other balancer sent anything, requests kept being rejected after the
+        // number of upstreams had grown fourfold.
+        let own_subset_rate = if upstream.subset_distance <= subset::OWN_SUBSET_DISTANCE {
+            multiple * OWN_SUBSET_RATE_SHARE * self.concurrency(upstream) / fleet.service_time
         } else {
             0.0
         };
-        rate.max(owner_rate)
+        rate.max(own_subset_rate)
     }
 
     pub(super) fn spend_send_credit(&mut self, now: Time, upstream: UpstreamIndex) {
@@ -88,8 +88,8 @@
         self.upstreams[upstream].send_credit = SendCredit::new(credit - 1.0, now);
     }
 
-    /// Counts what warm upstreams served rather than what they were sent: while many requests are rejected, the fleet's
-    /// sends add up to a multiple of any upstream's capacity.
+    /// Counts a served request, if its upstream is warm. Sends are not counted: while many requests are rejected, the
+    /// sends of all balancers add up to a multiple of any upstream's capacity.
     pub(super) fn count_served(&mut self, now: Time, upstream: UpstreamIndex) {
         let upstream = &self.upstreams[upstream];
         if self.slow_start_capacity(now, upstream).is_some() {
@@ -136,7 +136,7 @@
     }
 
     /// Updates the send credit of upstreams in slow start to the current time. Returns the total weight of warm
-    /// upstreams by kind.
+    /// upstreams by machine type.
     fn refresh_send_credit(&mut self, now: Time) -> Vec<f64> {
         let mut warm_weight = vec![0.0; self.fleet.warm_served.len()];
         for &i in &self.by_cost {
--- a/crates/load-balancing/src/policy/state/capacity.rs
+++ b/crates/load-balancing/src/policy/state/capacity.rs
@@ -1,11 +1,11 @@
 //! Current load and capacity of sets of upstreams.
 
-/// Load and capacity of the upstreams that a set of classes may be sent to. The first pool is the whole fleet; classes
-/// bound to zones or kinds have a pool of their own. When requests of a bound class were admitted by the sums of the
-/// whole fleet, they queued for slots that they could never use.
+/// Load and capacity of the upstreams that a set of classes may be sent to. The first pool is that of all upstreams;
+/// classes bound to zones or machine types have a pool of their own. When requests of a bound class were admitted by
+/// the sums of all upstreams, they queued for slots that they could never use.
 #[derive(Debug, Default)]
 pub(in crate::policy) struct CapacityPool {
-    /// A class with this pool's binding; `None` for the whole fleet.
+    /// A class with this pool's binding; `None` for all upstreams.
     pub(in crate::policy) class: Option<usize>,
     /// Queued requests of the classes that use this pool.
     pub(in crate::policy) queued: usize,
@@ -17,8 +17,8 @@
     pub(in crate::policy) slots: f64,
     /// This balancer's share of the sum of N_i over live upstreams, per microsecond of the time that a request may
     /// take: `1 / (2*TP_i + TS_i)`.
-    pub(in crate::policy) queue_limit_per_us: f64,
-    /// The share of `slots` and `queue_limit_per_us`, 0 to 1, that is not headroom for bursts.
+    pub(in crate::policy) admission_limit_per_us: f64,
+    /// The share of `slots` and `admission_limit_per_us`, 0 to 1, that is not headroom for bursts.
     pub(in crate::policy) even_share: f64,
 }
 
@@ -32,15 +32,15 @@
 /// All pools, and which of them each class uses.
 #[derive(Debug)]
 pub(in crate::policy) struct CapacityPools {
-    /// The first is the whole fleet.
+    /// The first is that of all upstreams.
     pub(in crate::policy) pools: Vec<CapacityPool>,
     /// By class, the index of its pool.
     pub(in crate::policy) by_class: Vec<usize>,
 }
 
 impl CapacityPools {
-    /// Returns the pool of the whole fleet.
-    pub(in crate::policy) fn fleet(&self) -> &CapacityPool {
+    /// Returns the pool of all upstreams.
+    pub(in crate::policy) fn all_upstreams(&self) -> &CapacityPool {
         &self.pools[0]
     }
 
@@ -48,7 +48,7 @@
         &self.pools[self.by_class[class]]
     }
 
-    /// Changes the number of queued requests of a class, in the pool of the whole fleet and in its own.
+    /// Changes the number of queued requests of a class, in the pool of all upstreams and in its own.
     pub(in crate::policy) fn count_queued(&mut self, class: usize, change: isize) {
         let own = self.by_class[class];
         for (i, pool) in self.pools.iter_mut().enumerate() {
--- a/crates/load-balancing/src/policy/state/circuit_breaker.rs
+++ b/crates/load-balancing/src/policy/state/circuit_breaker.rs
@@ -25,7 +25,7 @@
 
     /// Opens the breaker for `pause_us` microseconds, doubled for each earlier consecutive fault, at most
     /// `max_doublings` times. Without the doubling, every balancer retried the upstreams of a lost zone, which stayed
-    /// listed for long, every few milliseconds, and most attempts of the fleet were lost there.
+    /// listed for long, every few milliseconds, and most attempts of all balancers were lost there.
     pub(in crate::policy) fn trip(&mut self, now: Time, pause_us: f64, max_doublings: u32) {
         if self.is_open(now) {
             return; // Sent before the pause began: the same fault, already counted.
--- a/crates/load-balancing/src/policy/state/concurrency.rs
+++ b/crates/load-balancing/src/policy/state/concurrency.rs
@@ -1,5 +1,6 @@
-//! Estimate of how many requests an upstream of one kind runs concurrently. The paper's upstreams run one at a time;
-//! here the number is estimated from the throughput at each number of this balancer's requests in flight.
+//! Estimate of how many requests an upstream of one machine type runs concurrently. The paper named in
+//! [`policy`](crate::policy) assumes one at a time; here the number is estimated from the throughput at each level,
+//! that is, at each number of this balancer's requests in flight at the upstream.
 //!
 //! Estimating it from the latency at each level made one core look like two: attempts that end before those sent
 //! alongside them are the short ones.
@@ -8,14 +9,14 @@
 pub(in crate::policy) const MAX_CONCURRENCY: usize = 32;
 /// Weight, in answers, of the prior that a level has no more throughput than the one below it, as the paper assumes.
 const LEVEL_PRIOR_ANSWERS: f64 = 16.0;
-/// Number of answers after which the totals of a level are halved, so that old observations fade.
+/// Number of answers after which the totals of a level are halved, so that old observations lose weight.
 const LEVEL_MEMORY_ANSWERS: f64 = 128.0;
 /// Answers needed at the level in use, per round, to compare other levels with it.
 const ROUND_ANSWERS: f64 = 8.0;
 /// The lowest level with this share of the best throughput is used, since a higher one increases latency.
 const SUFFICIENT_THROUGHPUT_SHARE: f64 = 0.75;
 
-/// Observations of one level, that is, of one number of requests in flight at upstreams of one kind.
+/// Observations of one level, that is, of one number of requests in flight at upstreams of one machine type.
 #[derive(Clone, Copy, Debug, Default)]
 struct ConcurrencyLevel {
     /// In this round: time spent at the level, in microseconds.
@@ -25,7 +26,7 @@
     /// In all rounds: work completed at the level.
     total_work: f64,
     /// In all rounds: work that the level in use would have completed in the same time. The ratio of both does not
-    /// change when the fleet as a whole slows down.
+    /// change when all upstreams slow down together.
     expected_work: f64,
 }
 
@@ -37,7 +38,7 @@
     pub(in crate::policy) is_known: bool,
 }
 
-/// Estimated concurrency of upstreams of one kind, with the observations of each level.
+/// Estimated concurrency of upstreams of one machine type, with the observations of each level.
 #[derive(Clone, Debug)]
 pub(in crate::policy) struct ConcurrencyEstimate {
     /// The level in use.
--- a/crates/load-balancing/src/policy/state/fleet_estimate.rs
+++ b/crates/load-balancing/src/policy/state/fleet_estimate.rs
@@ -1,11 +1,11 @@
-//! Estimates over the whole fleet of upstreams. Times are in microseconds.
+//! Estimates over all upstreams; `fleet` stands for these here, not for the balancers. Times are in microseconds.
 
 use crate::fleet::peer_load::PeerLoad;
 use crate::fleet::retry_budget::RetryBudget;
 use crate::interface::Time;
 use crate::policy::state::concurrency::ConcurrencyEstimate;
 
-/// Weight of a new answer in the fleet-wide means.
+/// Weight of a new answer in the means over all upstreams.
 const MEAN_GAIN: f64 = 0.02;
 
 /// Estimates for one class.
@@ -33,23 +33,23 @@
     pub(in crate::policy) class_share: Vec<f64>,
     /// The longest queue wait that every class can tolerate.
     pub(in crate::policy) max_queue_wait: f64,
-    /// By kind of upstream.
+    /// By machine type.
     pub(in crate::policy) concurrency: Vec<ConcurrencyEstimate>,
     /// When the current concurrency trials began.
     pub(in crate::policy) trials_started_at: Time,
-    /// This balancer's limit as a multiple of its even share of the fleet's slots.
+    /// This balancer's limit as a multiple of its even share of all upstream slots.
     pub(in crate::policy) tolerance: f64,
-    /// TS under light load. Compared with the current TS, upstreams that all balancers crowd at once would never look
-    /// crowded.
+    /// TS under light load, by which crowded upstreams are recognized. If answers were compared with the current TS,
+    /// upstreams that are all crowded at once would never look crowded.
     pub(in crate::policy) uncrowded_service_time: f64,
     pub(in crate::policy) peer_load: PeerLoad,
     /// Limits the retries that may still be sent.
     pub(in crate::policy) retry_budget: RetryBudget,
-    /// By kind, a decaying count of answers from warm upstreams, those past their slow start.
+    /// By machine type, a decaying count of answers from warm upstreams, those past their slow start.
     pub(in crate::policy) warm_served: Vec<f64>,
-    /// By kind, the decaying peak rate of these answers per unit of weight, per microsecond.
+    /// By machine type, the decaying peak rate of these answers per unit of weight, per microsecond.
     pub(in crate::policy) warm_rate: Vec<f64>,
-    /// The same peak over all kinds.
+    /// The decaying peak rate of these answers over all machine types, in the same unit.
     pub(in crate::policy) overall_warm_rate: f64,
     /// When the counts and rates of warm upstreams were last updated.
     pub(in crate::policy) warm_counted_at: Time,
@@ -85,7 +85,7 @@
         self.class_share.resize(classes, 0.0);
     }
 
-    /// Returns the mean latency of a class, or the fleet's service time before the first answer of that class.
+    /// Returns the mean latency of a class, or the mean service time before the first answer of that class.
     pub(in crate::policy) fn class_mean(&self, class: usize) -> f64 {
         let mean = self.classes[class].mean;
         if mean > 0.0 { mean } else { self.service_time }
--- a/crates/load-balancing/src/policy/state/latency_estimate.rs
+++ b/crates/load-balancing/src/policy/state/latency_estimate.rs
@@ -1,4 +1,4 @@
-//! The paper's estimator of TP_i and TS_i for one upstream.
+//! Estimates TP_i and TS_i for one upstream, as in the paper named in [`policy`](crate::policy).
 
 use crate::interface::AttemptOutcome;
 
@@ -15,20 +15,20 @@
     /// 2*TP_i, twice the propagation time, in microseconds: the shortest round trip of an answer without any work, that
     /// is, of a rejection.
     pub(in crate::policy) propagation: Option<f64>,
-    /// Service time, including the wait at the upstream, divided by the fleet's mean for the same class. TS_i is this
-    /// times the fleet's mean, independent of the mix of classes that the upstream got.
+    /// Service time, including the wait at the upstream, divided by the mean of all upstreams for the same class.
+    /// TS_i is this times the mean of all upstreams, independent of the mix of classes that the upstream got.
     pub(in crate::policy) slowness: f64,
 }
 
 impl LatencyEstimate {
-    /// The estimate before any answer: as fast as the fleet's mean.
+    /// The estimate before any answer: as fast as the mean of all upstreams.
     pub(in crate::policy) const INITIAL: Self = Self {
         propagation: None,
         slowness: 1.0,
     };
 
-    /// Updates the estimate with an outcome after `latency` microseconds. `mean` is the fleet's mean latency of the
-    /// class.
+    /// Updates the estimate with an outcome after `latency` microseconds. `mean` is the mean latency of the class
+    /// over all upstreams.
     pub(in crate::policy) fn learn(&mut self, outcome: AttemptOutcome, latency: f64, mean: f64) {
         if outcome == AttemptOutcome::Rejected {
             self.propagation = Some(self.propagation.map_or(latency, |known| known.min(latency)));
--- a/crates/load-balancing/src/policy/state/mod.rs
+++ b/crates/load-balancing/src/policy/state/mod.rs
@@ -1,4 +1,4 @@
-//! State records of the balancer: requests, upstreams, sets of upstreams, and the fleet as a whole.
+//! State records of the balancer: requests, upstreams, sets of upstreams, and all upstreams together.
 //!
 //! No decisions are made here: records only update themselves with observations. Dependencies go one way, from the
 //! decisions in [`crate::policy`] to these records.
--- a/crates/load-balancing/src/policy/state/request.rs
+++ b/crates/load-balancing/src/policy/state/request.rs
@@ -65,7 +65,7 @@
     pub(in crate::policy) attempts: Vec<Attempt>,
     /// The ordering key, if its class is ordered: requests with the same key run one at a time.
     pub(in crate::policy) ordering_key: Option<u64>,
-    /// The sharding key; only the owner of this key may run the request.
+    /// The shard key, if the service is sharded: only the owner of this key may run the request.
     pub(in crate::policy) shard: Option<u16>,
 }
 
--- a/crates/load-balancing/src/policy/state/settings.rs
+++ b/crates/load-balancing/src/policy/state/settings.rs
@@ -8,7 +8,7 @@
 const SWEEP_SHARE_OF_TARGET: f64 = 1.0 / 32.0;
 
 impl Settings {
-    /// Returns the capacity pools: one for the whole fleet, and one for each set of upstreams that some class is bound
+    /// Returns the capacity pools: one for all upstreams, and one for each set of upstreams that some class is bound
     /// to.
     pub(in crate::policy) fn capacity_pools(&self) -> CapacityPools {
         let mut pools = vec![CapacityPool::default()];
@@ -39,8 +39,8 @@
         self.classes.iter().filter(|class| !class.retired)
     }
 
-    /// Returns T_QoS in microseconds: the mean of the classes' latency targets, used for all classes.
-    pub(in crate::policy) fn qos_time(&self) -> f64 {
+    /// Returns the mean latency target of the active classes in microseconds.
+    pub(in crate::policy) fn mean_latency_target(&self) -> f64 {
         let (count, sum) = self.active_classes().fold((0.0, 0.0), |(count, sum), c| {
             (count + 1.0, sum + c.latency_target.as_micros())
         });
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the interval of the periodic housekeeping.
+    /// Returns the interval between sweeps, which do the periodic housekeeping.
     pub(in crate::policy) fn sweep_interval(&self) -> Span {
         let targets = self.classes.iter().map(|class| class.latency_target.0);
         let shortest = targets.min().unwrap_or(0);
--- a/crates/load-balancing/src/policy/state/upstream.rs
+++ b/crates/load-balancing/src/policy/state/upstream.rs
@@ -9,7 +9,7 @@
 /// Number of consecutive failures after which an upstream is unresponsive; a single one may be due to an expensive
 /// request.
 const UNRESPONSIVE_AFTER_FAILURES: u32 = 2;
-/// Machine kinds above this number share one estimate, to bound the memory used for estimates per kind.
+/// Machine types from this index on share one estimate, to bound the memory used for estimates per machine type.
 const MAX_KIND: u32 = 255;
 
 /// An upstream from the membership list.
@@ -18,12 +18,13 @@
     pub(in crate::policy) id: ServerId,
     pub(in crate::policy) identity: u64,
     pub(in crate::policy) zone: u32,
+    /// Index of its machine type, at most [`MAX_KIND`].
     pub(in crate::policy) kind: u32,
     pub(in crate::policy) cell: u32,
     pub(in crate::policy) status: Status,
     pub(in crate::policy) weight: f64,
     /// Requests that it runs concurrently, if it reports that; 0 otherwise.
-    pub(in crate::policy) slots: u32,
+    pub(in crate::policy) reported_concurrency: u32,
     pub(in crate::policy) started: Option<Time>,
     /// Attempts of this balancer in flight.
     pub(in crate::policy) in_flight: u32,
@@ -41,9 +42,9 @@
     pub(in crate::policy) send_credit: SendCredit,
     /// Requests of other balancers, from its last load report.
     pub(in crate::policy) reported: ReportedLoad,
-    /// Difference between its concurrency on trial and that of its kind.
+    /// Difference between its concurrency on trial and that of its machine type.
     pub(in crate::policy) concurrency_trial: i32,
-    /// Distance from this balancer's point on the ring, in even shares of the fleet.
+    /// Distance from this balancer's point on the ring, in even shares; see [`subset`](crate::policy::subset).
     pub(in crate::policy) subset_distance: f64,
     /// Until when idle connections to it are closed repeatedly, if the rules ask for it.
     pub(in crate::policy) close_idle_until: Time,
@@ -60,7 +61,7 @@
             cell: endpoint.cell,
             status: endpoint.status,
             weight: 1.0,
-            slots: 0,
+            reported_concurrency: 0,
             started: None,
             in_flight: 0,
             in_flight_changed_at: now,
@@ -94,7 +95,7 @@
         self.cell = endpoint.cell;
         self.status = endpoint.status;
         self.started = endpoint.started;
-        self.slots = endpoint.slots;
+        self.reported_concurrency = endpoint.slots;
         self.weight = if endpoint.weight > 0.0 && endpoint.weight.is_finite() {
             endpoint.weight
         } else {
@@ -111,11 +112,11 @@
     }
 
     /// Returns whether it reports how many requests it runs concurrently.
-    pub(in crate::policy) fn has_reported_slots(&self) -> bool {
-        self.slots > 0
+    pub(in crate::policy) fn reports_concurrency(&self) -> bool {
+        self.reported_concurrency > 0
     }
 
-    /// Makes idle connections to it be closed repeatedly until `within` from now.
+    /// Has idle connections to it closed repeatedly during the time `within` from now.
     pub(in crate::policy) fn close_idle_within(&mut self, now: Time, within: Span) {
         self.close_idle_until = now.plus(within);
     }
--- a/crates/load-balancing/src/policy/subset.rs
+++ b/crates/load-balancing/src/policy/subset.rs
@@ -1,4 +1,4 @@
-//! Subsetting: determines which part of the fleet of upstreams this balancer prefers.
+//! Subsetting: determines which of the upstreams this balancer prefers.
 //!
 //! The live upstreams of each zone are placed on a ring, and so is each balancer, at a point of its own ([`ring`]). The
 //! closer an upstream is to that point, the earlier it is chosen. Balancers are thereby spread over the upstreams
--- a/crates/load-balancing/src/policy/tenants.rs
+++ b/crates/load-balancing/src/policy/tenants.rs
@@ -1,7 +1,7 @@
 //! Tenant quotas.
 //!
-//! Each balancer has an even share of every tenant's quota. Requests over quota are admitted only while the fleet is
-//! not full ([`admission`](super::admission)).
+//! Each balancer has an even share of every tenant's quota. Requests over quota are admitted only while there is
+//! room for them without any queue wait ([`admission`](super::admission)).
 
 use super::Balancer;
 use crate::interface::Time;
--- a/crates/load-balancing/src/settings/site.rs
+++ b/crates/load-balancing/src/settings/site.rs
@@ -152,11 +152,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// None: it is idempotent.
+    /// Idempotent: may be repeated any number of times.
     Retryable,
-    /// The upstreams of a dedup group drop repeats.
+    /// Deduplicated: the upstreams of one dedup group drop repeats within the dedup window.
     Dedup,
-    /// It takes effect each time, so it must not be repeated.
+    /// Not idempotent: must never run twice.
     Fragile,
 }
 
@@ -224,7 +224,8 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Safety {
-    /// Longest time without news of the list before a change of it counts as known, in milliseconds.
+    /// If the list must be requested: time after which a change of the list counts as known to the balancer, even if it
+    /// has had no news of the list; in milliseconds.
     #[serde(default, rename = "AskEvery")]
     pub membership_poll_interval: f64,
     /// How long requests may still be sent to an upstream after its drain has become known, in milliseconds.
@@ -242,7 +243,7 @@
     /// An upstream fails if it is sent more than this multiple of its present capacity for `overload_window`.
     #[serde(rename = "FallMultiple")]
     pub overload_multiple: f64,
-    /// See `overload_multiple`; in milliseconds.
+    /// Time after which an upstream that gets too many requests fails, in milliseconds; see `overload_multiple`.
     #[serde(rename = "TipAfter")]
     pub overload_window: f64,
     /// Time within which idle connections to a draining upstream must be closed, in milliseconds.
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -34,7 +34,7 @@
     /// Its number in the simulator's messages.
     number: u64,
     balancer: Balancer,
-    classes: usize,
+    class_count: usize,
     load_report_fields: Vec<LoadReportField>,
     upstreams: FxHashMap<Box<str>, ServerId>,
     /// Indexed by [`ServerId`].
@@ -56,7 +56,7 @@
         Ok(Self {
             number: start.balancer,
             balancer: Balancer::new(settings.to_settings(), start.seed, now)?,
-            classes: settings.services.len(),
+            class_count: settings.services.len(),
             load_report_fields: fields
                 .map(|name| LoadReportField::from_name(name))
                 .collect(),
@@ -76,7 +76,7 @@
         message: &wire::Request,
         out: &mut Vec<u8>,
     ) -> Result<(), MessageError> {
-        if message.class >= self.classes {
+        if message.class >= self.class_count {
             return Err(MessageError::UnknownClass(message.class));
         }
         let id = self.next_request;
@@ -183,7 +183,7 @@
     ) {
         let mut endpoints = std::mem::take(&mut self.endpoints);
         endpoints.clear();
-        endpoints.extend(message.endpoints.iter().map(|line| self.endpoint(line)));
+        endpoints.extend(message.endpoints.iter().map(|entry| self.endpoint(entry)));
         let kind = match message.kind {
             wire::MembershipKind::Update => interface::MembershipKind::Update,
             wire::MembershipKind::Complete => interface::MembershipKind::Complete,
@@ -198,20 +198,20 @@
         self.endpoints = endpoints;
     }
 
-    fn endpoint(&mut self, line: &wire::Endpoint) -> interface::Endpoint {
-        let started = (line.started > 0.0).then(|| time_from_ms(line.started));
+    fn endpoint(&mut self, entry: &wire::Endpoint) -> interface::Endpoint {
+        let started = (entry.started > 0.0).then(|| time_from_ms(entry.started));
         interface::Endpoint {
-            id: self.server_id(&line.name),
-            identity: stable_hash(&line.name),
-            zone: line.zone,
-            kind: line.kind,
-            cell: line.cell,
-            status: match line.status {
+            id: self.server_id(&entry.name),
+            identity: stable_hash(&entry.name),
+            zone: entry.zone,
+            kind: entry.kind,
+            cell: entry.cell,
+            status: match entry.status {
                 wire::Status::Live => interface::Status::Live,
                 wire::Status::Draining => interface::Status::Draining,
                 wire::Status::Gone => interface::Status::Gone,
             },
-            weight: line.weight,
+            weight: entry.weight,
             slots: 0,
             started,
         }
