--- a/crates/data-plane/src/client_connections.rs
+++ b/crates/data-plane/src/client_connections.rs
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Evicts one connection without an open request: the one that has waited longest for a request head or for its
-    /// close, or else the one that has been idle longest. Otherwise hundreds of silent connections could occupy all
+    /// Evicts one connection without an open request: the one that has waited longest for a request head or to be
+    /// closed, or else the one that has been idle longest. Otherwise hundreds of silent connections could occupy all
     /// slots and lock out every other client.
     pub fn evict_idle(&self) {
         let now = Instant::now();
--- a/crates/data-plane/src/client_connections/connection.rs
+++ b/crates/data-plane/src/client_connections/connection.rs
@@ -102,7 +102,7 @@
         matches!(self.state.get(), State::RequestOpen)
     }
 
-    /// Returns whether a request is open, or has its response and may be followed by another one.
+    /// Returns whether a request is open, or another one may follow the last response.
     pub(super) fn is_in_use(&self) -> bool {
         matches!(self.state.get(), State::RequestOpen | State::KeepAlive(_))
     }
@@ -184,8 +184,8 @@
         self.evicted.notify_one();
     }
 
-    /// Waits until the connection is evicted. Checks the state again after the wake-up, since a request that has
-    /// arrived in between cancels the eviction and would otherwise be dropped while it runs.
+    /// Waits until the connection is evicted. Checks the state again after the wake-up: a request that arrived in
+    /// between cancels the eviction, and would be dropped while it runs if the connection were closed.
     pub async fn wait_for_eviction(&self) {
         loop {
             self.evicted.notified().await;
--- a/crates/data-plane/src/control_client.rs
+++ b/crates/data-plane/src/control_client.rs
@@ -3,7 +3,8 @@
 //!
 //! The client maintains two sessions, each with the nearest control node that responds, so that the failure of one node
 //! does not cut it off from the control plane. One session is the *primary*, which also reports the key load. Each
-//! watch request states whether its session is the primary (`is_secondary`).
+//! watch request states whether its session is the primary (`is_secondary`). Control nodes are the processes that the
+//! command line calls control balancers.
 //!
 //! - `transport`: connects to control nodes, with a connect timeout.
 //! - `control_nodes`: the known control nodes, and which one to connect to next.
@@ -11,9 +12,10 @@
 //! - `session`: one session, from the handshake to its end.
 //!
 //! **Timeouts.** A connection has to be established within [`CONNECT_TIMEOUT`]. Each side sends a message at least
-//! every [`HEARTBEAT_INTERVAL`]; a session on which nothing arrives, or can be sent, for [`IDLE_TIMEOUT`] ends. After
-//! that its control node ranks behind all others for `RECONNECT_BACKOFF`, or for `RECONNECT_BACKOFF_OUT_OF_CONTACT` if
-//! it had no quorum. The next connection is attempted after `RECONNECT_INTERVAL`.
+//! every [`HEARTBEAT_INTERVAL`]; a session on which nothing arrives, or nothing can be sent, for [`IDLE_TIMEOUT`] ends.
+//! After that its control node ranks behind all others for `RECONNECT_BACKOFF`, or for
+//! `RECONNECT_BACKOFF_OUT_OF_CONTACT` if it had no contact with a majority. The next connection is attempted after
+//! `RECONNECT_INTERVAL`.
 //!
 //! **Fallback sessions.** Seeds may name control nodes without a disk, which are not members of the replicated log and
 //! hold no replicated state. They know the members, and a session with one of them keeps this balancer in the directory
@@ -54,8 +56,8 @@
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 /// How long a session may be without an incoming message, and how long a write may take, before the session ends.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long a connection may take to be established before it is tried again. Longer than any round trip, but short,
-/// since a machine that was without power a moment ago has dropped the SYN packet.
+/// How long a connection may take to be established before it is tried again. Longer than any round trip, but short:
+/// a machine that had no power until a moment ago has dropped the SYN packet, and a new attempt reaches it sooner.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// The number of concurrent sessions.
 const SESSIONS: usize = 2;
@@ -75,7 +77,7 @@
     /// role.
     fn watch_request(&self) -> WatchRequest;
     /// Applies an update, except for parts that are not newer than what is held. Returns whether something has to be
-    /// sent in full, because the update is a difference to a version that is not held.
+    /// sent in full, because the update is relative to a version that is not held.
     fn handle_update(&self, update: &WatchUpdate) -> bool;
     /// Returns the load on the keys of sharded services since the last call.
     fn take_key_load(&self) -> KeyLoadReport;
@@ -203,7 +205,7 @@
 
     /// Records the members of the replicated log.
     fn handle_control_nodes(&self, nodes: &[ControlNode]) {
-        self.control_nodes.borrow_mut().learn(nodes);
+        self.control_nodes.borrow_mut().record_members(nodes);
     }
 
     /// Returns why this session should leave its control node voluntarily, or `None` if it should not or may not.
--- a/crates/data-plane/src/control_client/control_nodes.rs
+++ b/crates/data-plane/src/control_client/control_nodes.rs
@@ -12,9 +12,10 @@
 struct KnownNode {
     /// The description from a control node; `None` for a seed that no node has described.
     description: Option<ControlNode>,
-    /// Until when other nodes are preferred, because the last session failed or the node was out of contact.
+    /// The end of the backoff, until which other nodes are preferred. Set when the last session failed, or when the
+    /// node was out of contact with a majority.
     backoff_until: Option<Instant>,
-    /// Whether a session with it is open or being opened.
+    /// Whether a session with the node is open or being opened.
     in_use: bool,
 }
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// The distance of a control node.
+/// How far a control node is from this balancer, nearest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Locality {
     SameZone,
@@ -83,7 +84,7 @@
     }
 
     /// Records the members of the replicated log as described by a control node.
-    pub(super) fn learn(&mut self, members: &[ControlNode]) {
+    pub(super) fn record_members(&mut self, members: &[ControlNode]) {
         for member in members {
             let known = self.0.entry(member.internal_addr).or_default();
             known.description = Some(member.clone());
--- a/crates/data-plane/src/control_client/tests.rs
+++ b/crates/data-plane/src/control_client/tests.rs
@@ -38,7 +38,7 @@
 async fn nearest_free_node_ranks_first_and_one_in_backoff_last() {
     let (mut nodes, balancer) = (ControlNodes::default(), balancer());
     assert_eq!(nodes.nearest_free(&balancer), None);
-    nodes.learn(&[
+    nodes.record_members(&[
         member(1, "x", "y"),
         member(2, "b", "r"),
         member(3, "a", "r"),
@@ -63,10 +63,10 @@
 #[tokio::test(start_paused = true)]
 async fn session_is_left_for_a_nearer_member_but_not_for_an_equally_near_one() {
     let (mut nodes, balancer) = (ControlNodes::default(), balancer());
-    nodes.learn(&[member(1, "b", "r"), member(2, "c", "r")]);
+    nodes.record_members(&[member(1, "b", "r"), member(2, "c", "r")]);
     nodes.occupy(address(1));
     assert!(!nodes.has_nearer(address(1), &balancer));
-    nodes.learn(&[member(3, "a", "r")]);
+    nodes.record_members(&[member(3, "a", "r")]);
     assert!(nodes.has_nearer(address(1), &balancer));
     // A nearer node in backoff is no reason to leave.
     nodes.occupy(address(3));
@@ -85,7 +85,7 @@
     assert_eq!(nodes.nearest_free(&balancer), Some(address(8)));
     assert!(nodes.has_alternative(address(7)));
     nodes.occupy(address(8));
-    nodes.learn(&[member(1, "a", "r")]);
+    nodes.record_members(&[member(1, "a", "r")]);
     assert!(nodes.has_nearer(address(7), &balancer) && nodes.has_nearer(address(8), &balancer));
     nodes.release(address(8), None);
     assert_eq!(nodes.nearest_free(&balancer), Some(address(1)));
--- a/crates/data-plane/src/engine.rs
+++ b/crates/data-plane/src/engine.rs
@@ -61,13 +61,14 @@
 pub struct EngineConfig {
     /// Seed of the balancers' random number generators.
     pub seed: u64,
-    /// How much earlier than the client's deadline the balancers' deadline is, so that a reply at the latter still
-    /// reaches the client despite network latency and load on this process. 30 ms in the data plane.
+    /// How much earlier than the client's deadline the balancer's deadline for a request is. A reply at the balancer's
+    /// deadline then still reaches the client despite network latency and load on this process. 30 ms in the data
+    /// plane.
     pub headroom: Duration,
     /// How long requests may still be sent to an upstream after its drain is known. 0 in the data plane; set by the
     /// deployment's rules in the standalone proxy.
     pub drain_grace: Duration,
-    /// Timers fire on multiples of this, so that those of many services fire together.
+    /// Timers fire on multiples of this duration, so that the timers of many services fire together.
     pub timer_granularity: Duration,
     /// Receives the balancers' requests to subscribe to the list of upstreams; `None` where lists arrive without a
     /// subscription.
@@ -100,7 +101,7 @@
     actions: Vec<Action>,
     /// Attempts that were ended by the engine itself while it carried out actions. The balancers are notified after the
     /// current list of actions.
-    deferred: VecDeque<EndedAttempt>,
+    ended_attempts: VecDeque<EndedAttempt>,
     pool: Rc<UpstreamPool>,
     /// Server ids are never reused, since a late event about a removed upstream would then be applied to another one.
     next_server_id: u32,
@@ -132,7 +133,7 @@
             requests: FxHashMap::default(),
             timers: Timers::default(),
             actions: Vec::new(),
-            deferred: VecDeque::new(),
+            ended_attempts: VecDeque::new(),
             pool,
             next_server_id: 0,
             has_open_upstreams,
@@ -219,7 +220,7 @@
                 result,
             } => {
                 self.on_attempt_ended(id, attempt, result);
-                self.process_deferred();
+                self.report_ended_attempts();
             }
             EngineEvent::SettingsChanged { service, settings } => {
                 if let Err(error) = self.apply_settings(service, *settings) {
@@ -243,11 +244,11 @@
     /// actions have ended.
     fn dispatch(&mut self, service: usize, event: Event) {
         self.feed_balancer(service, event);
-        self.process_deferred();
+        self.report_ended_attempts();
     }
 
-    fn process_deferred(&mut self) {
-        while let Some(ended) = self.deferred.pop_front() {
+    fn report_ended_attempts(&mut self) {
+        while let Some(ended) = self.ended_attempts.pop_front() {
             self.on_attempt_ended(ended.request, ended.attempt, ended.result);
         }
     }
--- a/crates/data-plane/src/engine/abandoned.rs
+++ b/crates/data-plane/src/engine/abandoned.rs
@@ -14,13 +14,13 @@
 /// How an attempt ended after its client had disconnected. The variant names are exported as label values.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, EncodeLabelValue)]
 enum AttemptEnd {
-    /// It was aborted or never sent.
+    /// The attempt was aborted, or its request was never sent.
     Cancelled,
-    /// It ended by itself: the request may run only once, or the response arrived before the cancellation.
+    /// The attempt ended by itself: the request may run only once, or the response arrived before the cancellation.
     Finished,
 }
 
-/// The field names are exported as label names.
+/// The labels of the histogram. The field names are exported as label names.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct Labels {
     end: AttemptEnd,
--- a/crates/data-plane/src/engine/attempts.rs
+++ b/crates/data-plane/src/engine/attempts.rs
@@ -41,7 +41,7 @@
         let target = service.upstreams.target(server);
         let (Some(target), false) = (target, is_over || is_disallowed_hedge) else {
             request.attempts.push(attempt);
-            self.deferred.push_back(EndedAttempt {
+            self.ended_attempts.push_back(EndedAttempt {
                 request: id,
                 attempt: index,
                 result: AttemptResult::from_outcome(AttemptOutcome::NotIssued),
@@ -75,7 +75,7 @@
         let request = self.requests.get_mut(&id);
         if let Some(running) = request.and_then(|request| request.abortable_attempt(attempt)) {
             running.state = AttemptState::Ending;
-            self.deferred.push_back(EndedAttempt {
+            self.ended_attempts.push_back(EndedAttempt {
                 request: id,
                 attempt,
                 result: AttemptResult::from_outcome(AttemptOutcome::Cancelled),
@@ -94,7 +94,7 @@
             return;
         };
         if result.outcome == AttemptOutcome::NotOwner && request.shard.is_none() {
-            // The service has no key owners: the request reached another upstream than the intended one.
+            // The request has no shard key, so no upstream owns it: it reached another one than the intended one.
             result.outcome = AttemptOutcome::Rejected;
         }
         let Some((server, latency)) = request.end_attempt(attempt) else {
--- a/crates/data-plane/src/engine/handle.rs
+++ b/crates/data-plane/src/engine/handle.rs
@@ -21,21 +21,21 @@
 pub struct ListedUpstream {
     /// Identifies one run of the upstream; after a restart it has another id.
     pub id: String,
-    /// Its address; `None` if it is invalid, in which case the last known one stays in use.
+    /// The address; `None` if the listed one is invalid, in which case the last known one stays in use.
     pub address: Option<SocketAddr>,
-    /// Number of its zone.
+    /// Number of the zone.
     pub zone: u32,
-    /// Number of its machine type.
+    /// Number of the machine type.
     pub kind: u32,
-    /// Number of its cell, within which repeats of a request are recognized.
+    /// Number of the cell. Upstreams of the same cell recognize a repeated request.
     pub cell: u32,
-    /// Whether it accepts requests.
+    /// Whether the upstream accepts requests.
     pub status: Status,
     /// Relative capacity; 1 if unknown.
     pub weight: f64,
-    /// Number of requests that it runs concurrently; 0 if unknown.
+    /// Number of requests that the upstream runs concurrently; 0 if unknown.
     pub slots: u32,
-    /// When it last started, if recently.
+    /// When the upstream last started, if recently.
     pub started: Option<SystemTime>,
 }
 
@@ -43,7 +43,7 @@
 pub enum EngineEvent {
     /// A client's request was read completely.
     RequestArrived {
-        /// An id that was never used before.
+        /// The id of the request, which was never used before.
         id: RequestId,
         /// The service that the request is for.
         service: usize,
@@ -58,18 +58,18 @@
     ClientDisconnected(RequestId),
     /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
         /// Index of the attempt within the request, from 0.
         attempt: usize,
-        /// How it ended.
+        /// How the attempt ended.
         result: AttemptResult,
     },
     /// The settings of a service changed. Adds a service if `service` is the number after the last one.
     SettingsChanged {
         /// The service.
         service: usize,
-        /// All of its settings.
+        /// The complete settings of the service.
         settings: Box<Settings>,
     },
     /// A list of a service's upstreams, or a change to it, was received.
@@ -94,19 +94,19 @@
 
 /// The properties of a request that the balancer uses.
 pub struct IncomingRequest {
-    /// Index of its class in the service's settings.
+    /// Index of the request class in the service's settings.
     pub class: usize,
-    /// Index of its tenant in the service's settings.
+    /// Index of the tenant in the service's settings.
     pub tenant: usize,
-    /// Hash of its routing key, if it has one.
+    /// Hash of the routing key, if the request has one.
     pub key: Option<u64>,
-    /// Its shard key, if the service's keys are partitioned among upstreams.
+    /// The shard key, if the service is sharded: each of its keys is owned by certain upstreams.
     pub shard: Option<u16>,
     /// When the client gives up.
     pub deadline: Instant,
-    /// Estimate of how long it keeps an upstream busy, if there is one.
+    /// Estimate of how long the request keeps an upstream busy, if there is one.
     pub estimated_work: Option<Span>,
-    /// Whether the client has sent it before.
+    /// Whether the client has sent the request before.
     pub is_client_retry: bool,
 }
 
@@ -135,7 +135,7 @@
     pub bucket: u16,
 }
 
-/// How long upstreams were busy with requests for partitioned keys.
+/// How long upstreams were busy with requests for the keys of sharded services.
 pub type KeyLoad = FxHashMap<KeyBucket, Duration>;
 
 /// Handle through which client connections and the sources of lists and settings communicate with the engine.
@@ -148,7 +148,7 @@
 }
 
 impl EngineHandle {
-    /// Returns and resets the load of keys since the last call.
+    /// Returns the load on the keys of sharded services since the last call, and resets it.
     pub fn take_key_load(&self) -> KeyLoad {
         std::mem::take(&mut *self.key_load.borrow_mut())
     }
--- a/crates/data-plane/src/engine/pending_request.rs
+++ b/crates/data-plane/src/engine/pending_request.rs
@@ -17,16 +17,16 @@
 /// A request that awaits its reply, or has attempts of whose end the balancer has not been notified.
 pub(super) struct PendingRequest {
     pub(super) service: usize,
-    /// Its shard key, if the service's keys are partitioned among upstreams.
+    /// The shard key, if the service is sharded.
     pub(super) shard: Option<u16>,
     pub(super) forwarded: Rc<ForwardedRequest>,
     /// `None` once the final reply was sent or the client has disconnected.
     reply: Option<oneshot::Sender<EngineReply>>,
     /// Whether a response is still awaited. Attempts check it right before they send the request.
     pub(super) is_awaited: Rc<Cell<bool>>,
-    /// When its client disconnected, if before the reply.
+    /// When the client disconnected, if it did before the reply.
     pub(super) disconnected_at: Option<Instant>,
-    /// When its attempts end at the latest; earlier than the client's deadline.
+    /// When the attempts end at the latest; earlier than the client's deadline.
     pub(super) deadline: Instant,
     pub(super) attempts: Vec<Attempt>,
     /// Outcome of the attempt that ended most recently.
@@ -44,14 +44,14 @@
     pub(super) state: AttemptState,
 }
 
-/// The state of an attempt. Ensures that the balancer is notified of its end only once, also if the attempt ends by
+/// The state of an attempt. Ensures that the balancer is notified of the end only once, also if the attempt ends by
 /// itself while it is being cancelled.
 pub(super) enum AttemptState {
-    /// Its task is running; dropping the task closes the attempt's connection.
+    /// The task of the attempt is running; dropping the task closes the connection.
     Running(AbortOnDrop),
-    /// It has no task, and the balancer is yet to be notified of its end.
+    /// The attempt has no task, and the balancer is yet to be notified of the end.
     Ending,
-    /// The balancer was notified of its end.
+    /// The balancer was notified of the end.
     Reported,
 }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns whether it has had no final reply and its client is still connected.
+    /// Returns whether the request has had no final reply and its client is still connected.
     pub(super) fn awaits_reply(&self) -> bool {
         self.reply.is_some()
     }
@@ -103,7 +103,7 @@
         Some(sender)
     }
 
-    /// Records that its client has disconnected; returns false if it had its reply before.
+    /// Records that the client has disconnected; returns false if the request had its reply before.
     pub(super) fn disconnect(&mut self) -> bool {
         let was_awaiting = self.take_reply_sender().is_some();
         if was_awaiting {
@@ -120,8 +120,8 @@
             .count()
     }
 
-    /// Returns whether an upstream may have run it, judging by its last outcome only: a request that may run only once
-    /// is not retried after an attempt that may have run.
+    /// Returns whether an upstream may have run the request. Considers only the last outcome, since a request that
+    /// may run only once is not retried after an attempt that may have run.
     pub(super) fn may_have_run(&self) -> bool {
         self.last_outcome.is_some_and(|last| !last.has_not_run())
     }
--- a/crates/data-plane/src/engine/requests.rs
+++ b/crates/data-plane/src/engine/requests.rs
@@ -7,7 +7,8 @@
 use super::{DEADLINE_MARGIN, Engine, EngineReply, IncomingRequest, Timer};
 use crate::upstream_pool::ForwardedRequest;
 
-/// When a client may send a request again, through another proxy, that was rejected because of the shutdown (50 ms).
+/// After which time a client may repeat a request that was rejected because of the shutdown, through another proxy
+/// (50 ms).
 const SHUTDOWN_RETRY_AFTER: Span = Span(50_000);
 
 /// A request without attempts in progress at shutdown, and the reply that ends it.
@@ -56,7 +57,7 @@
         self.remove_request(id);
     }
 
-    /// Replies with a timeout to a request that the balancer has not ended shortly before the client's deadline.
+    /// Replies with a timeout, shortly before the client's deadline, to a request that the balancer has not ended.
     pub(super) fn on_deadline(&mut self, id: RequestId) {
         if self.send_reply(id, EngineReply::Failed { timed_out: true }) {
             tracing::warn!(
--- a/crates/data-plane/src/engine/tests.rs
+++ b/crates/data-plane/src/engine/tests.rs
@@ -342,7 +342,7 @@
             attempt: 0,
         };
         harness.engine.apply_action(0, cancel);
-        harness.engine.process_deferred();
+        harness.engine.report_ended_attempts();
         assert!(
             awaits_reply(&mut request),
             "the response arrived before the cancellation"
@@ -373,7 +373,7 @@
                 attempt: 0,
             },
         );
-        harness.engine.process_deferred();
+        harness.engine.report_ended_attempts();
         let late = Response::new(Bytes::from_static(b"late"));
         let ended = AttemptResult {
             response: Some(late),
@@ -410,7 +410,7 @@
                 },
             );
             harness.engine.remove_request(request.id);
-            harness.engine.process_deferred();
+            harness.engine.report_ended_attempts();
             assert!(harness.engine.requests.is_empty());
         }
     };
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -11,6 +11,10 @@
 //! In addition, [`control_client`] receives updates from the control plane, [`metrics`] collects metrics, and
 //! [`runtime`] assembles the process. Everything runs on one thread; only the engine accesses the balancers.
 //!
+//! **Terms.** In [`engine`] and [`upstream_pool`], "the balancer" is the [`load_balancing::policy::Balancer`] of a
+//! service, which decides where requests are sent, and the process is called the proxy. In all other modules, "this
+//! balancer" is the process, one of a fleet of data-plane balancers.
+//!
 //! **Guarantees.** Every request that was read completely gets one final response. A request that may run only once is
 //! not sent again after it may have run. Memory for responses to slow clients is bounded.
 //!
--- a/crates/data-plane/src/listener/connection.rs
+++ b/crates/data-plane/src/listener/connection.rs
@@ -37,11 +37,11 @@
 /// How the exchange of requests and responses on a connection ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ExchangeEnd {
-    /// Regularly, after a response that was the last one.
+    /// Regularly, after the last response.
     Finished,
-    /// By invalid HTTP, a broken connection, or a client that disconnected while its request was open.
+    /// Because of invalid HTTP, a broken connection, or a client that disconnected while its request was open.
     Broken,
-    /// By a timeout or an eviction.
+    /// Because of a timeout or an eviction.
     Expired,
 }
 
@@ -157,7 +157,7 @@
 }
 
 /// Waits until the client disconnects while its request is open. The HTTP library does not detect that while it has
-/// buffered bytes that follow the request, and processed such requests to the end.
+/// buffered bytes that follow the request; without this check, such requests were processed to the end.
 async fn client_disconnected(socket: &SharedSocket, connection: &ClientConnection) {
     poll_fn(|cx| {
         if connection.has_open_request() {
--- a/crates/data-plane/src/routes/client_deadline.rs
+++ b/crates/data-plane/src/routes/client_deadline.rs
@@ -55,6 +55,7 @@
 #[derive(Default)]
 pub(super) struct MaxDeadline(Cell<Windows>);
 
+/// The longest deadlines of the current and the previous window.
 #[derive(Clone, Copy, Default)]
 struct Windows {
     current: Duration,
--- a/crates/data-plane/src/routes/configuration.rs
+++ b/crates/data-plane/src/routes/configuration.rs
@@ -13,10 +13,10 @@
 use super::{MAX_DURATION_MS, Routes, bounded_duration};
 use crate::engine::EngineEvent;
 
-/// The minimum interval of the balancers' periodic work, which limits its CPU use: a process may have only a fifth of a
-/// core.
+/// The minimum interval of the periodic work of each service's balancer, which limits the CPU use: a process may have
+/// only a fifth of a core.
 const MIN_TICK: Duration = Duration::from_millis(25);
-/// The value of a late response. It is worth less than one in time, but the requirements don't specify how much less.
+/// The value of a late response. It is worth less than a timely one, but the requirements don't specify how much less.
 const LATE_VALUE: f64 = 0.3;
 /// The route's latency target divided by this is the margin by which a deadline has to be shorter than the longest one
 /// for the request to count as sent before. Connecting takes less time than this margin.
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the request class of a route for the balancers.
+    /// Returns the request class of a route as the balancers of its services use it.
     fn request_class(&self, route: &Route) -> RequestClass {
         let span = |ms: u64| Span(ms.min(MAX_DURATION_MS) as i64 * 1000);
         let homes = &route.home_regions;
--- a/crates/data-plane/src/routes/membership.rs
+++ b/crates/data-plane/src/routes/membership.rs
@@ -17,8 +17,8 @@
 use super::watch_updates::ControlState;
 use crate::engine::{EngineEvent, ListedUpstream};
 
-/// An upstream's start time is computed from the remaining slow start in each update and therefore varies. It is taken
-/// as a new start only if it is later by more than this.
+/// An upstream's start time is computed from the remaining slow start in each update and therefore varies. It counts as
+/// a new start only if it is later than the known one by more than this.
 const START_TOLERANCE: Duration = Duration::from_millis(1000);
 
 /// The upstreams that the engine knows.
@@ -185,9 +185,9 @@
         }
     }
 
-    /// Puts all upstreams of a zone whose evacuation has ended into slow start, since they had no requests for a while
+    /// Begins slow start for all upstreams of a zone whose evacuation has ended, since they had no requests for a while
     /// and may be cold.
-    pub(super) fn restart_zone(&self, zone: &str) {
+    pub(super) fn begin_slow_start(&self, zone: &str) {
         let control_state = self.control_state.borrow();
         let Some(list) = control_state.zones.get(zone) else {
             return;
--- a/crates/data-plane/src/routes/request.rs
+++ b/crates/data-plane/src/routes/request.rs
@@ -93,8 +93,8 @@
         _: bool,
     ) -> ClientResponse {
         // If a request has both a length and a transfer coding, the coding applies (RFC 9112, 6.3). An intermediary may
-        // have used the length instead; closing the connection prevents that part of what it took for the body is read
-        // as a request here.
+        // have used the length instead; closing the connection prevents a part of what it took for the body from being
+        // read as a request here.
         let chunked = request.headers().contains_key(TRANSFER_ENCODING);
         let mut response = self.respond(request, arrived_at).await;
         if chunked || response.status() == StatusCode::BAD_REQUEST {
--- a/crates/data-plane/src/routes/services.rs
+++ b/crates/data-plane/src/routes/services.rs
@@ -18,7 +18,7 @@
     class_by_route: FxHashMap<String, usize>,
     pub(super) slow_start: Duration,
     pub(super) slow_start_rate_per_s: f64,
-    /// Whether the keys of the service are divided among its upstreams.
+    /// Whether the service is sharded: each of its keys is owned by certain upstreams.
     pub(super) is_sharded: bool,
 }
 
--- a/crates/data-plane/src/routes/watch_updates.rs
+++ b/crates/data-plane/src/routes/watch_updates.rs
@@ -25,7 +25,7 @@
     pub(super) key_ranges: BTreeMap<String, KeyRangeView>,
     /// The upstreams by zone.
     pub(super) zones: BTreeMap<String, UpstreamList>,
-    /// Zones for which a difference to a missing version was received; their full list is requested.
+    /// Zones for which an update relative to a missing version was received; their full list is requested.
     zones_missing_base: BTreeSet<String>,
     pub(super) fleet: Option<FleetView>,
 }
@@ -36,7 +36,7 @@
         self.config_index > 0
     }
 
-    /// Returns the version of a zone's list to which a difference is requested; 0 requests the full list.
+    /// Returns the version of a zone's list to which the next update is to be relative; 0 requests the full list.
     fn requested_version(&self, zone: &str, list: &UpstreamList) -> u64 {
         if self.zones_missing_base.contains(zone) {
             0
@@ -50,7 +50,7 @@
 struct ZoneChanges<'a> {
     /// The ids of the changed upstreams, by zone.
     changed: Vec<(&'a str, BTreeSet<String>)>,
-    /// Whether the update contained a difference to a missing version.
+    /// Whether a part of the update was relative to a missing version.
     is_missing_base: bool,
 }
 
@@ -72,10 +72,10 @@
     }
 
     fn handle_update(&self, update: &WatchUpdate) -> bool {
-        let is_config_new = self.take_config(update);
-        let zones = self.take_zone_updates(update);
-        let are_evacuations_new = self.take_evacuations(update);
-        let are_keys_new = self.take_key_ranges(update);
+        let is_config_new = self.update_config(update);
+        let zones = self.update_zones(update);
+        let are_evacuations_new = self.update_evacuations(update);
+        let are_keys_new = self.update_key_ranges(update);
 
         if is_config_new {
             self.send_settings();
@@ -132,7 +132,7 @@
 
 /// Methods that apply the parts of an update. Those that return a `bool` return whether the part was newer.
 impl Routes {
-    fn take_config(&self, update: &WatchUpdate) -> bool {
+    fn update_config(&self, update: &WatchUpdate) -> bool {
         let held = self.control_state.borrow().config_index;
         let newer = update.config.as_ref().filter(|config| config.index > held);
         if let Some(config) = newer {
@@ -141,7 +141,7 @@
         newer.is_some()
     }
 
-    fn take_zone_updates<'a>(&self, update: &'a WatchUpdate) -> ZoneChanges<'a> {
+    fn update_zones<'a>(&self, update: &'a WatchUpdate) -> ZoneChanges<'a> {
         let mut changes = ZoneChanges {
             changed: Vec::new(),
             is_missing_base: false,
@@ -169,7 +169,7 @@
         changes
     }
 
-    fn take_evacuations(&self, update: &WatchUpdate) -> bool {
+    fn update_evacuations(&self, update: &WatchUpdate) -> bool {
         let held = self.control_state.borrow().evacuations_index;
         let evacuations = update.evacuated_zones.as_ref();
         let Some(Indexed {
@@ -185,12 +185,12 @@
             std::mem::replace(&mut state.evacuated_zones, zones.clone())
         };
         for returned in before.iter().filter(|z| !zones.contains(z)) {
-            self.restart_zone(returned);
+            self.begin_slow_start(returned);
         }
         true
     }
 
-    fn take_key_ranges(&self, update: &WatchUpdate) -> bool {
+    fn update_key_ranges(&self, update: &WatchUpdate) -> bool {
         let mut state = self.control_state.borrow_mut();
         let held = state.keys_index;
         let keys = update.key_ranges.as_ref();
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -43,8 +43,8 @@
 const RESERVED_FDS: usize = 264;
 /// The minimum number of file descriptors for clients and upstreams, regardless of the settings.
 const MIN_CONNECTION_FDS: usize = 32;
-/// The balancers' deadline is this much earlier than the client's, so that a response at that deadline still arrives in
-/// time despite the network latency to the client and a delay in this process.
+/// The deadline that the services' balancers use is this much earlier than the client's, so that a response at that
+/// deadline still arrives in time despite the network latency to the client and a delay in this process.
 const RESPONSE_HEADROOM: Duration = Duration::from_millis(30);
 /// Timers fire on multiples of this, so that timers of many services fire together.
 const TIMER_GRANULARITY: Duration = Duration::from_millis(25);
--- a/crates/data-plane/src/runtime/tests.rs
+++ b/crates/data-plane/src/runtime/tests.rs
@@ -1,4 +1,4 @@
-//! The times between SIGTERM and process exit.
+//! Tests of the times between SIGTERM and process exit.
 
 use super::shutdown::EXIT_MARGIN;
 use super::*;
--- a/crates/data-plane/src/upstream_connection.rs
+++ b/crates/data-plane/src/upstream_connection.rs
@@ -53,7 +53,7 @@
 
 /// The byte stream that a connection uses.
 pub trait Transport: AsyncRead + AsyncWrite + Unpin {
-    /// Returns whether it is open and has nothing to read, neither data nor the end of the stream.
+    /// Returns whether the stream is open and has nothing to read, neither data nor its end.
     fn is_idle(&self) -> bool;
 }
 
@@ -74,14 +74,14 @@
     stream_ended: bool,
     /// The remote address.
     pub address: SocketAddr,
-    /// How long it took to open: about one round trip.
+    /// How long the connection took to open: about one round trip.
     pub connect_time: Duration,
-    /// When its last exchange ended; when it was opened, if there was none.
+    /// When the last exchange ended, or when the connection was opened if there was none.
     pub idle_since: Instant,
-    /// How long it may be idle.
+    /// How long the connection may be idle.
     pub max_idle: Duration,
-    /// Ids of the requests sent on it. A second response to one of them must not be taken for the response to another
-    /// attempt with the same id.
+    /// Ids of the requests sent on the connection. A second response to one of them must not be taken for the response
+    /// to another attempt with the same id.
     carried_ids: CarriedIds,
     /// Whether another exchange may follow the last one.
     pub reusable: bool,
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Returns whether a request may be sent on it: it is open, nothing has arrived on it, and no surplus response that
-    /// may still arrive could be taken for the awaited one.
+    /// Returns whether a request may be sent on the connection: it is open, nothing has arrived on it, and no
+    /// surplus response that may still arrive could be taken for the awaited one.
     pub fn can_carry(&self, awaited: &AwaitedResponse<'_>) -> bool {
         let is_distinguishable = self.carried_ids.is_empty()
             || awaited
--- a/crates/data-plane/src/upstream_connection/matching.rs
+++ b/crates/data-plane/src/upstream_connection/matching.rs
@@ -13,9 +13,9 @@
 /// The request id that upstreams echo in their responses.
 #[derive(Clone, Copy)]
 pub struct EchoedId<'a> {
-    /// The header that contains it, in the request and in the response.
+    /// The header that contains the id, in the request and in the response.
     pub header: &'a HeaderName,
-    /// Its value in the request; `None` if the client sent none.
+    /// The value of the header in the request; `None` if the client sent none.
     pub value: Option<&'a HeaderValue>,
 }
 
@@ -40,7 +40,7 @@
 pub(super) enum ResponseOwner {
     /// The request that was sent last.
     Awaited,
-    /// An earlier one, so that this is a surplus response.
+    /// An earlier request, so that this is a surplus response.
     EarlierRequest,
     /// Unknown: the echoed id is missing or repeated, or is another one on the first exchange of a connection.
     Unclear,
@@ -65,7 +65,8 @@
     }
 }
 
-/// The ids of all requests that a connection has carried, as hashes. A collision costs a connection and nothing else.
+/// The ids of all requests that a connection has carried, as hashes. A collision only means that a
+/// request is sent on another connection.
 #[derive(Debug, Default)]
 pub(super) struct CarriedIds(Vec<u32>);
 
--- a/crates/data-plane/src/upstream_connection/reading.rs
+++ b/crates/data-plane/src/upstream_connection/reading.rs
@@ -54,7 +54,7 @@
     }
 
     /// Reads the next head and determines the framing of its body. Sets `response_started` as soon as anything was
-    /// read, since it may be the response to this request until its owner is known.
+    /// read: until its echoed id is known, it may be the response to this request.
     pub(super) async fn read_head(
         &mut self,
         method: &Method,
--- a/crates/data-plane/src/upstream_connection/request.rs
+++ b/crates/data-plane/src/upstream_connection/request.rs
@@ -19,7 +19,7 @@
         self.bytes_sent == 0
     }
 
-    /// Returns whether its last byte was not sent.
+    /// Returns whether the last byte of the request was not sent.
     pub fn is_incomplete(self) -> bool {
         self.bytes_sent < self.total_bytes.max(1)
     }
--- a/crates/data-plane/src/upstream_pool.rs
+++ b/crates/data-plane/src/upstream_pool.rs
@@ -69,16 +69,17 @@
 /// The target of attempts: an upstream. The cells may change while an attempt waits for its connection.
 #[derive(Debug)]
 pub struct Target {
-    /// Its address.
+    /// The address of the upstream.
     pub address: Cell<SocketAddr>,
-    /// Its name, for [`UpstreamProtocol::target_header`]; `None` if it is not a valid header value.
+    /// The name of the upstream, for [`UpstreamProtocol::target_header`]; `None` if it is not a valid header value.
     pub name: Option<HeaderValue>,
-    /// From when on nothing may be sent to it, because it drains or is gone; `None` while it accepts requests.
+    /// From when on nothing may be sent to the upstream, because it drains or is gone; `None` while it accepts
+    /// requests.
     pub closed_at: Cell<Option<Instant>>,
 }
 
 impl Target {
-    /// Returns whether nothing may be sent to it any more.
+    /// Returns whether nothing may be sent to the upstream any more.
     fn is_closed(&self) -> bool {
         self.closed_at.get().is_some_and(|at| Instant::now() >= at)
     }
@@ -149,7 +150,7 @@
     /// Returns whether a connection has not been idle for too long.
     fn may_be_used(&self, connection: &UpstreamConnection) -> bool {
         let idle_for = connection.idle_since.elapsed();
-        idle_for < connection.max_idle && !self.stale.is_suspect(idle_for)
+        idle_for < connection.max_idle && !self.stale.may_be_stale(idle_for)
     }
 
     /// Closes the idle connections to an upstream.
--- a/crates/data-plane/src/upstream_pool/attempt.rs
+++ b/crates/data-plane/src/upstream_pool/attempt.rs
@@ -101,7 +101,7 @@
         /// The reason.
         #[source]
         fault: ResponseFault,
-        /// The load that its head reported.
+        /// The load that the head of the response reported.
         report: LoadReport,
     },
 }
@@ -211,7 +211,7 @@
                 Some(pooled) => pooled,
                 None => self.connect(address).await?,
             };
-            // While the attempt waited for a connection, the grace period of a drain or the request may have ended.
+            // While the attempt waited for a connection, the request may have ended, or the grace period of a drain.
             if target.is_closed() {
                 return Err(AttemptError::UpstreamClosed);
             }
@@ -226,7 +226,7 @@
             let mut request = OutgoingRequest::new(&head, &forwarded.body, progress);
             match connection.send(&mut request).await {
                 Ok(()) => {}
-                // A reused connection that failed before a byte was sent does not count: try another connection.
+                // A reused connection failed before a byte was sent, so the request has not run: try another one.
                 Err(_) if is_reused && progress.is_unsent() => continue,
                 Err(error) => return Err(AttemptError::Send(error)),
             }
--- a/crates/data-plane/src/upstream_pool/load_report.rs
+++ b/crates/data-plane/src/upstream_pool/load_report.rs
@@ -51,7 +51,7 @@
         let value = values.next()?.trim().parse().ok();
         value.filter(|value| PLAUSIBLE_VALUES.contains(value))
     };
-    // The fields are initialized in the order of the text.
+    // The fields must be initialized in the order of the values in the header.
     LoadReport {
         inflight: next(),
         queued: next(),
--- a/crates/data-plane/src/upstream_pool/stale.rs
+++ b/crates/data-plane/src/upstream_pool/stale.rs
@@ -10,14 +10,14 @@
 
 /// A reused connection that fails within this many times its connect time was stale: processing a request takes longer.
 const STALE_RESET_CONNECT_TIMES: u32 = 3;
-/// Added to that time, to tolerate load on either side.
+/// Added to [`STALE_RESET_CONNECT_TIMES`] connect times, to tolerate load on either side.
 const STALE_RESET_SLACK: Duration = Duration::from_millis(5);
 /// Connections with a shorter idle time are never considered stale. Without this bound, upstreams that reset
 /// connections immediately made the proxy close nearly every reusable connection.
 const MIN_STALE_IDLE: Duration = Duration::from_millis(100);
-/// How long a stale connection is taken into account. Limited, since the causes of dropped connections are temporary
-/// and opening new connections is expensive.
-const STALE_MEMORY: Duration = Duration::from_secs(10);
+/// How long the detection of a stale connection is taken into account. Limited, since the causes of dropped
+/// connections are temporary and opening new connections is expensive.
+const STALE_OBSERVATION_TTL: Duration = Duration::from_secs(10);
 
 /// A failure of a reused connection.
 pub(super) struct ReuseFailure {
@@ -42,7 +42,7 @@
 struct StaleObservation {
     /// The shortest idle time of the stale connections that were detected recently.
     idle_time: Duration,
-    /// When the last of them was detected.
+    /// When the last of these connections was detected.
     at: Instant,
 }
 
@@ -56,11 +56,11 @@
     fn recent(&self) -> Option<StaleObservation> {
         self.last
             .get()
-            .filter(|observation| observation.at.elapsed() < STALE_MEMORY)
+            .filter(|observation| observation.at.elapsed() < STALE_OBSERVATION_TTL)
     }
 
     /// Returns whether a connection that has been idle for this time may be stale.
-    pub(super) fn is_suspect(&self, idle_for: Duration) -> bool {
+    pub(super) fn may_be_stale(&self, idle_for: Duration) -> bool {
         self.recent()
             .is_some_and(|observation| idle_for >= observation.idle_time / 2)
     }
