--- a/crates/data-plane/src/engine/attempts.rs
+++ b/crates/data-plane/src/engine/attempts.rs
@@ -94,7 +94,7 @@
             return;
         };
         if result.outcome == AttemptOutcome::NotOwner && request.shard.is_none() {
-            // The request has no shard key, so no upstream owns it: it reached another one than the intended one.
+            // Without a shard key there is no owner, so the request reached another upstream than the intended one.
             result.outcome = AttemptOutcome::Rejected;
         }
         let Some((server, latency)) = request.end_attempt(attempt) else {
--- a/crates/data-plane/src/listener/connection.rs
+++ b/crates/data-plane/src/listener/connection.rs
@@ -34,9 +34,9 @@
 /// The minimum buffer size that the HTTP library accepts.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// How the exchange of requests and responses on a connection ended.
+/// How a connection stopped serving requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum ExchangeEnd {
+enum ConnectionEnd {
     /// Regularly, after the last response.
     Finished,
     /// Because of invalid HTTP, a broken connection, or a client that disconnected while its request was open.
@@ -45,9 +45,9 @@
     Expired,
 }
 
-/// The result of a completed exchange.
-struct ExchangeResult {
-    end: ExchangeEnd,
+/// The state in which a connection stopped serving requests.
+struct ConnectionResult {
+    end: ConnectionEnd,
     /// Whether the connection was idle when it was closed together with the listener.
     was_idle: bool,
 }
@@ -62,18 +62,18 @@
         closing: watch::Receiver<bool>,
     ) {
         let reporter = H::WANTS_RECEIPT.then(DeliveryReporter::new);
-        let ExchangeResult { end, was_idle } = self
+        let ConnectionResult { end, was_idle } = self
             .serve_requests(io, &socket, &slot, reporter.as_ref(), closing)
             .await;
-        let drained = if end == ExchangeEnd::Expired || was_idle {
+        let drained = if end == ConnectionEnd::Expired || was_idle {
             // Closed without draining: unread input was not processed, and the client may send it to another balancer.
             DeliveryStatus::Unknown
         } else {
             drain_or_evict(&socket, &slot.connection).await
         };
         let status = match end {
-            ExchangeEnd::Broken => DeliveryStatus::Broken,
-            ExchangeEnd::Finished | ExchangeEnd::Expired => drained,
+            ConnectionEnd::Broken => DeliveryStatus::Broken,
+            ConnectionEnd::Finished | ConnectionEnd::Expired => drained,
         };
         if let Some(reporter) = reporter {
             reporter.report(status);
@@ -88,7 +88,7 @@
         slot: &ConnectionSlot,
         reporter: Option<&DeliveryReporter>,
         mut closing: watch::Receiver<bool>,
-    ) -> ExchangeResult {
+    ) -> ConnectionResult {
         let state = &*slot.connection;
         let service = service_fn(|mut request: Request<Incoming>| {
             if let Some(reporter) = reporter {
@@ -110,11 +110,11 @@
             tokio::select! {
                 biased;
                 result = &mut connection => break match result {
-                    Ok(()) => ExchangeEnd::Finished,
-                    Err(_) => ExchangeEnd::Broken,
+                    Ok(()) => ConnectionEnd::Finished,
+                    Err(_) => ConnectionEnd::Broken,
                 },
-                () = client_disconnected(socket, state) => break ExchangeEnd::Broken,
-                () = state.wait_for_end() => break ExchangeEnd::Expired,
+                () = client_disconnected(socket, state) => break ConnectionEnd::Broken,
+                () = state.wait_for_end() => break ConnectionEnd::Expired,
                 _ = closing.wait_for(|c| *c), if !is_closing => {
                     is_closing = true;
                     final_request_by = Some(Instant::now() + self.limits.get().final_request_wait);
@@ -126,7 +126,7 @@
                 }
             }
         };
-        ExchangeResult { end, was_idle }
+        ConnectionResult { end, was_idle }
     }
 
     async fn respond(
--- a/crates/shorefront/src/commands/status.rs
+++ b/crates/shorefront/src/commands/status.rs
@@ -17,7 +17,7 @@
 pub(crate) async fn run(target: &Target) -> Result<String, CommandError> {
     let report = StatusReport::collect(&target.client()?).await;
     let Some(first) = report.responses.first() else {
-        let errors: Vec<String> = report.unanswered.iter().map(Unanswered::text).collect();
+        let errors: Vec<String> = report.failed_calls.iter().map(FailedCall::text).collect();
         return Err(CommandError::AllUnanswered(errors.join("; ")));
     };
     match target.output {
@@ -26,13 +26,13 @@
     }
 }
 
-/// A control balancer that was called and has not responded.
-struct Unanswered {
+/// A call to a control balancer that failed.
+struct FailedCall {
     address: SocketAddr,
     error: CommandError,
 }
 
-impl Unanswered {
+impl FailedCall {
     fn text(&self) -> String {
         format!("{}: {}", self.address, self.error)
     }
@@ -41,17 +41,17 @@
 /// The results of all calls.
 struct StatusReport {
     responses: Vec<Value>,
-    unanswered: Vec<Unanswered>,
+    failed_calls: Vec<FailedCall>,
 }
 
 impl StatusReport {
     /// Calls each control balancer, and also the leader that they name if it was not called.
     async fn collect(client: &OperatorClient) -> Self {
-        let (mut responses, mut unanswered) = (Vec::new(), Vec::new());
+        let (mut responses, mut failed_calls) = (Vec::new(), Vec::new());
         for &address in &client.addresses {
             match read_status(client, address).await {
                 Ok(status) => responses.push(status),
-                Err(error) => unanswered.push(Unanswered { address, error }),
+                Err(error) => failed_calls.push(FailedCall { address, error }),
             }
         }
         if let Some(leader) = uncalled_leader(&responses, &client.addresses)
@@ -61,15 +61,15 @@
         }
         Self {
             responses,
-            unanswered,
+            failed_calls,
         }
     }
 
     /// Formats the report as tables. `first` is the first response.
     fn format(&self, first: &Value) -> String {
         let mut text = format_control_balancers(&self.responses);
-        for unanswered in &self.unanswered {
-            text += &format!("{}\n", unanswered.text());
+        for failed in &self.failed_calls {
+            text += &format!("{}\n", failed.text());
         }
         let leader = self.responses.iter().find(|s| has_member_details(s));
         text += &format_members(leader.unwrap_or(first));
