--- a/crates/mutation-testing/src/main.rs
+++ b/crates/mutation-testing/src/main.rs
@@ -4,7 +4,7 @@
 //! that have to catch it, which are run in order until one fails:
 //!
 //! ```text
-//! Fault: compare no id
+//! Fault: ids are not compared
 //! Test: cargo test -p data-plane --test model
 //! ```
 //!
--- a/crates/mutation-testing/src/report.rs
+++ b/crates/mutation-testing/src/report.rs
@@ -6,7 +6,7 @@
 use crate::fault::Fault;
 use crate::{Error, Verdict};
 
-/// The beginning of a new page.
+/// The text at the beginning of a newly created page.
 const INTRODUCTION: &str = "# Mutation testing
 
 Each fault is a patch in `tests/faults/AREA` that is applied to a copy of the sources, where the tests named in its
--- a/crates/placement/src/candidates.rs
+++ b/crates/placement/src/candidates.rs
@@ -6,7 +6,7 @@
 
 use crate::key_load::KeyLoad;
 
-/// An upstream in the host's list.
+/// An upstream of the service, as listed by the host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// The upstream's id and address.
--- a/crates/placement/src/key_load.rs
+++ b/crates/placement/src/key_load.rs
@@ -10,8 +10,8 @@
 const BUCKETS: usize = (1 << 16) / KEYS_PER_BUCKET as usize;
 /// Time constant of the exponential decay: a load reported this long ago counts for 1/e of one reported now.
 const DECAY_TIME_MS: f64 = 5000.0;
-/// Baseline load of all keys together, as a share of the reported load. It accounts for requests to keys without
-/// recent ones, and makes all keys equal before the first report.
+/// Baseline load of all keys together, as a share of the reported load. It accounts for future requests to keys that
+/// had no recent ones, and makes all keys equal before the first report.
 const BASELINE_SHARE: f64 = 0.1;
 
 /// Estimated load of a service's keys.
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns the load of all keys before this one. Keys of a bucket count equally.
+    /// Returns the load of all keys before `key`. The load of a bucket is divided equally among its keys.
     fn load_before(&self, key: u32) -> f64 {
         let keys_per_bucket = u32::from(KEYS_PER_BUCKET);
         let bucket = (key / keys_per_bucket) as usize;
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -34,7 +34,7 @@
 /// Outcome of a lease call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseCallOutcome {
-    /// The upstream did it. Holds the handoff of a release, if the upstream returned one.
+    /// The upstream granted or released the range. Holds the handoff of a release, if the upstream returned one.
     Completed(Option<String>),
     /// The upstream has seen a higher fencing token.
     Fenced,
--- a/crates/placement/src/timing.rs
+++ b/crates/placement/src/timing.rs
@@ -7,7 +7,7 @@
 /// Each range costs one grant per third of a lease.
 pub(crate) const INITIAL_RANGES_PER_UPSTREAM: usize = 2;
 
-/// Renewals within the length of a lease: two may be lost before the lease expires.
+/// Number of renewals within the length of a lease: two may be lost before the lease expires.
 pub(crate) const RENEWALS_PER_LEASE: u64 = 3;
 /// Factor by which an upstream's clock may run slow, with a safety margin.
 pub(crate) const CLOCK_DRIFT_FACTOR: f64 = 1.03;
@@ -42,7 +42,7 @@
     pub lease_ms: u64,
     /// Timeout of a call. Nothing of the call arrives after it.
     pub call_timeout_ms: u64,
-    /// For how long after its leadership was last confirmed a leader may send grants.
+    /// Time during which a leader may send grants after its leadership was last confirmed.
     pub leader_staleness_ms: u64,
     /// Time from a failed call to the next one.
     pub retry_interval_ms: u64,
@@ -63,7 +63,7 @@
         interval - interval / 4 * u64::from(first_key) / KEY_COUNT
     }
 
-    /// Returns for how long an unresponsive upstream gets no keys.
+    /// Returns the time for which an unresponsive upstream gets no keys.
     pub(crate) fn backoff_ms(&self) -> u64 {
         BACKOFF_LEASES * self.lease_ms
     }
--- a/crates/protocol/src/key_ranges.rs
+++ b/crates/protocol/src/key_ranges.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// A contiguous range of keys with one owner. The first key is the range's key in [`KeyRangeMap`].
+/// A contiguous range of keys with one owner. Its first key is stored in [`KeyRangeMap`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRange {
     /// Last key, inclusive.
@@ -109,7 +109,7 @@
         pub first: u16,
         /// Last key, inclusive.
         pub last: u16,
-        /// Id of the upstream that may receive requests for these keys.
+        /// Id of the upstream that may receive requests for these keys, if any.
         pub owner: Option<String>,
     }
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -8,7 +8,7 @@
 //! | [`wire`] | messages between processes and their framing |
 //! | [`upstream_list`] | the versioned upstream list of a zone, sent as snapshots and deltas |
 //! | [`key_ranges`] | ownership of the key ranges of sharded services |
-//! | [`key_load`] | reported load of these keys |
+//! | [`key_load`] | reported load of the keys of sharded services |
 //!
 //! The crate reads no clock. It does I/O only in [`wire::frame`], on streams that the caller opened, and in
 //! [`settings::Settings::read`].
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -70,13 +70,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Listen {
-    /// Client requests.
+    /// Address for client requests.
     pub http: Option<SocketAddr>,
-    /// Readiness checks.
+    /// Address for readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Operator API of the control plane.
+    /// Address of the operator API of the control plane.
     pub ctl: Option<SocketAddr>,
-    /// Directory through which clients find balancers.
+    /// Address of the directory through which clients find balancers.
     pub dir: Option<SocketAddr>,
 }
 
--- a/crates/protocol/src/upstream_list.rs
+++ b/crates/protocol/src/upstream_list.rs
@@ -27,13 +27,13 @@
 
 /// Number of past versions that a delta can be based on. A zone's list changes at most a few times per second.
 const MAX_HISTORY_STEPS: usize = 64;
-/// Number of drained ids that are remembered: many times the number of upstreams that a zone replaces while an old
-/// message that lists one of them as ready can still arrive.
+/// Maximum number of ids in [`UpstreamList::drained_ids`]. This is many times the number of upstreams that a zone
+/// replaces during the time for which an old message that lists one of them as ready can still arrive.
 const MAX_DRAINED_IDS: usize = 4096;
 /// Difference up to which two reports of the remaining slow start count as equal: they are taken at different times.
 const WARMUP_TOLERANCE_MS: u64 = 500;
-/// Number of low bits of a version that hold the writer's id. The bits above are milliseconds since the Unix epoch, or
-/// a counter that has advanced beyond them.
+/// Number of low bits of a version that hold the writer's id. The bits above hold the time in milliseconds since the
+/// Unix epoch, or their value in the highest known version plus 1 if that is higher.
 const WRITER_ID_BITS: u32 = 10;
 
 /// An upstream in the list, with the time at which it was received.
@@ -65,9 +65,9 @@
     entries: BTreeMap<String, Entry>,
     /// Most recent changes up to `version`, oldest first.
     history: VecDeque<HistoryStep>,
-    /// Ids of upstreams that are known to have drained.
+    /// Ids of upstreams that were seen as draining, including those that are no longer in the list.
     drained_ids: BTreeSet<String>,
-    /// The same ids in the order in which they were recorded.
+    /// The ids in `drained_ids`, in the order in which they were recorded.
     drained_order: VecDeque<String>,
 }
 
@@ -77,7 +77,7 @@
         self.version
     }
 
-    /// Returns the upstreams as of `now`, ordered by id. Those that are known to have drained are marked as draining.
+    /// Returns the upstreams as of `now`, ordered by id. Those that were ever seen as draining are marked as draining.
     pub fn upstreams(&self, now: u64) -> impl Iterator<Item = Upstream> {
         self.entries.values().map(move |e| self.upstream_at(e, now))
     }
@@ -135,8 +135,8 @@
         true
     }
 
-    /// Sets the current list again, including drains that were learned from other processes since. Returns whether
-    /// this created a new version, which has to be sent.
+    /// Sets the current list again, with the upstreams marked as draining that other processes have since reported as
+    /// draining. Returns whether this created a new version, which has to be sent.
     pub fn refresh_platform_list(&mut self, now: u64, unix_ms: u64, writer_id: u64) -> bool {
         let list = self.upstreams(now).collect();
         self.version > 0 && self.set_platform_list(list, now, unix_ms, writer_id)
@@ -272,7 +272,7 @@
         newly_drained
     }
 
-    // Used by both.
+    // Used by senders and receivers.
 
     /// Returns the ids that are new, changed or removed in `next`.
     fn changed_ids(&self, next: &BTreeMap<String, Entry>) -> BTreeSet<String> {
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -7,8 +7,8 @@
 //! | [`session`] | data plane to control plane | [`SessionMessage`] to the control plane, [`WatchUpdate`] back |
 //! | [`peer`] | control process to control process | [`PeerMessage`] |
 //!
-//! **Compatibility.** Names on the wire, their order and the numbers of the protocol do not change when a Rust name
-//! changes, so that different builds interoperate during a rollout. `tests/golden.rs` checks each frame.
+//! **Compatibility.** Names, field order and numbers on the wire do not change when a Rust name changes, so that
+//! different builds interoperate during a rollout. `tests/golden.rs` checks each frame.
 //!
 //! **Failures.** A process with another protocol version is rejected on its [`Handshake`]. A frame that cannot be
 //! decoded ends its connection. Timeouts are the caller's responsibility.
--- a/crates/protocol/src/wire/peer.rs
+++ b/crates/protocol/src/wire/peer.rs
@@ -79,7 +79,8 @@
         #[serde(rename = "told")]
         update: UpstreamUpdate,
     },
-    /// Requests a snapshot of a zone, after a delta from a version that the sender does not have.
+    /// Requests a snapshot of a zone, because the sender of this request received a delta from a version that it does
+    /// not have.
     #[serde(rename = "Want")]
     ZoneSnapshotRequest {
         /// The zone.
--- a/crates/protocol/src/wire/session.rs
+++ b/crates/protocol/src/wire/session.rs
@@ -67,8 +67,8 @@
 
 impl WatchRequest {
     /// Returns whether `next` has to be sent immediately rather than with the next heartbeat. Other processes depend on
-    /// changes of readiness, of the session that delivers updates, and of requested snapshots. All other changes only
-    /// avoid sending an update twice.
+    /// readiness, on which session delivers the updates, and on requested snapshots. All other changes only tell the
+    /// control process which updates it need not send again.
     pub fn is_urgent_change(&self, next: &Self) -> bool {
         let wanted_lists =
             |request: &Self| request.zone_versions.values().filter(|v| **v == 0).count();
--- a/crates/raft/src/election_timer.rs
+++ b/crates/raft/src/election_timer.rs
@@ -56,12 +56,13 @@
         self.election_deadline = now + election_timeout + delay;
     }
 
-    /// Schedules the next pre-vote after half a heartbeat interval to a whole one.
+    /// Schedules the next pre-vote after a random delay between half a heartbeat interval and a
+    /// whole one.
     ///
-    /// A pre-vote deposes nobody, since members in contact with a leader ignore it. A member that
-    /// has just started, or whose pre-vote got no response, therefore retries sooner than it would
-    /// give up on a leader, and a cluster that starts from scratch elects a leader as soon as its
-    /// members can reach each other.
+    /// The delay may be shorter than an election timeout because a pre-vote can't depose a leader:
+    /// members in contact with a leader ignore it. A member that has just started, or whose
+    /// pre-vote got no response, therefore retries soon, and a new cluster elects a leader as soon
+    /// as its members can reach each other.
     pub(crate) fn schedule_pre_vote(&mut self, now: u64) {
         let half_heartbeat = (self.timing.heartbeat_interval_ms / 2).max(1);
         self.election_deadline = now + half_heartbeat + self.rng.rand_range(0..half_heartbeat);
--- a/crates/raft/src/entry.rs
+++ b/crates/raft/src/entry.rs
@@ -1,7 +1,7 @@
 //! Entries of the replicated log, and the snapshot that replaces a prefix of it.
 //!
-//! These types are stored and sent. The golden files of the control plane fix their serialized
-//! names and field order.
+//! These types are stored and sent. The control plane's golden-file tests fail if their serialized
+//! names or field order change.
 
 use serde::{Deserialize, Serialize};
 
@@ -84,9 +84,9 @@
 pub struct Snapshot {
     /// The index of the last entry that it covers.
     pub index: u64,
-    /// The term of that entry.
+    /// The term of the last entry that it covers.
     pub term: u64,
-    /// The membership as of that entry.
+    /// The membership as of the last entry that it covers.
     pub members: Members,
     /// The host's state, which is opaque to the log.
     #[serde(with = "byte_string")]
--- a/crates/raft/src/members.rs
+++ b/crates/raft/src/members.rs
@@ -6,8 +6,8 @@
 
 use crate::NodeId;
 
-/// The members and their addresses. This type is stored and sent; golden files fix its serialized
-/// names and field order.
+/// The members and their addresses. This type is stored and sent; golden-file tests fail if its
+/// serialized names or field order change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
     /// The members that count toward a majority.
--- a/crates/raft/src/membership_policy.rs
+++ b/crates/raft/src/membership_policy.rs
@@ -14,13 +14,15 @@
 
 use crate::{Members, NodeId, Timing};
 
-/// The number of election timeouts without a response after which a voter is removed if that helps.
+/// The number of election timeouts without a response after which a voter is removed if that makes
+/// the majority smaller or if a learner is ready to replace it.
 ///
 /// With this value, a replaced machine no longer counts as lost about four seconds after its
 /// replacement has started: an election takes up to two timeouts of one second, and two more leave
 /// time for the membership changes themselves. A process that restarts in place is back sooner.
 const VOTER_REMOVAL_ELECTION_TIMEOUTS: u64 = 2;
-/// The number of election timeouts without a response after which a voter is removed in any case.
+/// The number of election timeouts without a response after which a voter is removed even if the
+/// majority stays the same size and no learner is ready to replace it.
 ///
 /// Without a replacement, removing one of an odd number of voters does not make the majority
 /// smaller, and a voter that comes back is still useful. The timeout is therefore longer than
@@ -38,7 +40,8 @@
     /// A voter that is unresponsive for this long is removed if that makes the majority smaller or
     /// if a learner is ready to replace it.
     pub voter_removal_timeout_ms: u64,
-    /// A voter that is unresponsive for this long is removed in any case.
+    /// A voter that is unresponsive for this long is removed even if the majority stays the same
+    /// size, as long as [`min_voters`](Self::min_voters) remain.
     pub unconditional_removal_timeout_ms: u64,
     /// A learner that is unresponsive for this long is removed.
     pub learner_removal_timeout_ms: u64,
@@ -168,9 +171,9 @@
         is_removable.then_some(longest_silent)
     }
 
-    /// Returns the learner to promote to voter, if any. Next to an even number of voters, the
-    /// promotion leaves the size of a majority unchanged. Next to an odd number it increases it, so
-    /// it has to wait while any voter is unresponsive and may soon be removed.
+    /// Returns the learner to promote to voter, if any. If the number of voters is even, the
+    /// promotion leaves the size of a majority unchanged. If it is odd, the promotion increases
+    /// that size, so it has to wait while any voter is unresponsive and may soon be removed.
     fn promotable_learner(&self) -> Option<NodeId> {
         let all_in_contact = || self.members.voters.keys().all(|id| self.in_contact(*id));
         if self.has_even_voters() || all_in_contact() {
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -82,7 +82,7 @@
     /// The index of the candidate's last entry.
     #[serde(rename = "last_index")]
     pub last_log_index: u64,
-    /// The term of that entry.
+    /// The term of the candidate's last entry.
     #[serde(rename = "last_term")]
     pub last_log_term: u64,
 }
@@ -103,7 +103,7 @@
     /// The index of the entry before `entries`.
     #[serde(rename = "prev_index")]
     pub prev_log_index: u64,
-    /// The term of that entry.
+    /// The term of the entry before `entries`.
     #[serde(rename = "prev_term")]
     pub prev_log_term: u64,
     /// The entries, in order and without gaps.
@@ -161,7 +161,7 @@
 pub struct TransferId {
     /// The index of the entry, or of the last entry that the snapshot covers.
     pub index: u64,
-    /// The term of that entry.
+    /// The term of the entry at `index`.
     pub term: u64,
     /// The total size of all chunks, in bytes.
     #[serde(rename = "total")]
@@ -191,7 +191,7 @@
     },
     /// The data of an entry.
     Entry {
-        /// The term of the entry before it.
+        /// The term of the entry that precedes the transferred one.
         #[serde(rename = "prev_term")]
         prev_log_term: u64,
     },
--- a/crates/raft/src/persistence.rs
+++ b/crates/raft/src/persistence.rs
@@ -31,9 +31,9 @@
 #[derive(Debug)]
 struct UnsyncedRequest {
     sequence: PersistSequence,
-    /// The index up to which the log is synced once this request is.
+    /// The index up to which the log is synced once this request is synced.
     last_index: u64,
-    /// The size of its entries, in bytes.
+    /// The size of the request's entries, in bytes.
     size_bytes: usize,
 }
 
--- a/crates/raft/src/raft_log.rs
+++ b/crates/raft/src/raft_log.rs
@@ -12,10 +12,11 @@
 use crate::{Entry, LogPosition, Members, Payload, Snapshot};
 use retained_entries::RetainedEntries;
 
-/// The bounds for the size of the entries that are covered by the snapshot but retained for members
-/// that lack them. Between these bounds the limit is the size of the snapshot, which would be sent
+/// The lower bound of the limit on the size of retained entries, which the snapshot covers but some
+/// member lacks. Between the two bounds, the limit is the size of the snapshot, which would be sent
 /// instead.
 const MIN_RETAINED_BYTES: usize = 64 << 10;
+/// The upper bound of the limit on the size of retained entries.
 const MAX_RETAINED_BYTES: usize = 2 << 20;
 
 /// The log of one member.
@@ -142,8 +143,8 @@
         }
     }
 
-    /// Returns the membership as of an entry that the snapshot does not cover, or as of the
-    /// snapshot.
+    /// Returns the membership as of entry `index`, or as of the snapshot if the snapshot covers
+    /// that entry.
     pub(crate) fn members_at(&self, index: u64) -> &Members {
         if self.membership_index.is_none_or(|change| change <= index) {
             return self.members();
@@ -230,8 +231,8 @@
         Some(&self.snapshot)
     }
 
-    /// Drops retained entries up to `replicated_index`, which all members have. If `None`, drops
-    /// all retained entries.
+    /// Drops retained entries up to `replicated_index`, which all members have, and the oldest ones
+    /// beyond the size limit. If `None`, drops all retained entries.
     pub(crate) fn trim_retained(&mut self, replicated_index: Option<u64>) {
         let max_bytes = self
             .snapshot
--- a/crates/raft/src/raft_node.rs
+++ b/crates/raft/src/raft_node.rs
@@ -196,8 +196,8 @@
         self.log.members()
     }
 
-    /// Returns the membership as of entry `index`, which has to be applied and not covered by the
-    /// snapshot, or else as of the snapshot.
+    /// Returns the membership as of entry `index`, which has to be applied, or as of the snapshot
+    /// if the snapshot covers that entry.
     pub fn members_at(&self, index: u64) -> &Members {
         self.log.members_at(index)
     }
--- a/crates/raft/src/raft_node/append_entries.rs
+++ b/crates/raft/src/raft_node/append_entries.rs
@@ -129,8 +129,7 @@
     pub(super) fn install_snapshot(&mut self, from: NodeId, snapshot: Snapshot, sequence: u64) {
         let index = snapshot.index;
         if self.log.contains(snapshot.position()) {
-            // The log already contains the entries that the snapshot covers. The entries after it
-            // are kept, since they may have been acknowledged.
+            // The entries after the snapshot are kept, since they may have been acknowledged.
             self.commit_to(index);
         }
         if index <= self.log.commit_index() {
--- a/crates/raft/src/raft_node/election.rs
+++ b/crates/raft/src/raft_node/election.rs
@@ -40,8 +40,8 @@
             Some(self.become_candidate())
         };
         self.request_votes(campaign, persisted);
-        // The only voter has a majority by its own vote. As leader it still commits entries only
-        // once they are synced.
+        // If this member is the only voter, its own vote is a majority. As leader it still commits
+        // entries only once they are synced.
         self.maybe_win_election(pre_vote);
     }
 
@@ -119,7 +119,7 @@
         self.reset_election_timer();
     }
 
-    /// Follows the sender of entries of the current term as its leader.
+    /// Follows `leader`, which has sent an append or a chunk in the current term.
     pub(super) fn accept_leader(&mut self, leader: NodeId) {
         self.become_follower(self.term, Some(leader));
         self.election_timer.on_leader_contact(self.now);
--- a/crates/raft/src/raft_node/leadership_transfer.rs
+++ b/crates/raft/src/raft_node/leadership_transfer.rs
@@ -45,7 +45,8 @@
             .filter(|id| self.observation(*id).in_contact(&self.policy))
     }
 
-    /// Returns those of them whose disks have all entries, the most recently heard from first.
+    /// Returns the other voters that are in contact and whose disks have all entries, the most
+    /// recently heard from first.
     fn up_to_date_voters(&self) -> Vec<NodeId> {
         let has_all = |id: &NodeId| self.match_index(*id) == self.log.last_index();
         let mut voters: Vec<NodeId> = self.voters_in_contact().filter(has_all).collect();
--- a/crates/raft/src/raft_node/read_index.rs
+++ b/crates/raft/src/raft_node/read_index.rs
@@ -77,8 +77,8 @@
         if self.role != Role::Leader {
             return self.respond_to_read(from, token, None);
         }
-        // An unanswered broadcast started before this read. The next broadcast serves all reads
-        // that arrive until then.
+        // A broadcast that is still unanswered started before this read and can't confirm it. The
+        // next broadcast confirms all reads that arrive before it starts.
         let is_under_way = !self.is_answered_by_majority(self.broadcasts.sequence());
         if !is_under_way {
             self.broadcast_heartbeat();
--- a/crates/raft/src/raft_node/replication.rs
+++ b/crates/raft/src/raft_node/replication.rs
@@ -303,7 +303,8 @@
         self.members().is_majority(has_answered)
     }
 
-    /// Drops retained entries that the snapshot covers and that no member lacks.
+    /// Drops the retained entries that no member lacks or that exceed the size limit. A member that
+    /// does not lead drops all of them.
     pub(super) fn trim_retained_entries(&mut self) {
         let replicated_index = match self.role {
             Role::Leader => self.tracker.min_replicated_index(),
--- a/crates/raft/src/storage.rs
+++ b/crates/raft/src/storage.rs
@@ -14,7 +14,7 @@
     pub sequence: u64,
     /// The current term.
     pub term: u64,
-    /// The vote in that term.
+    /// The vote in the current term.
     pub voted_for: Option<NodeId>,
     /// Entries that replace the stored log from the index of the first one on.
     pub entries: Vec<Entry>,
@@ -27,7 +27,7 @@
 pub struct PersistentState {
     /// The latest term known to the member.
     pub term: u64,
-    /// The vote in that term.
+    /// The vote in `term`.
     pub voted_for: Option<NodeId>,
     /// The latest snapshot.
     pub snapshot: Option<Snapshot>,
--- a/crates/raft/src/tracker/outgoing_transfer.rs
+++ b/crates/raft/src/tracker/outgoing_transfer.rs
@@ -50,7 +50,7 @@
     received_bytes: usize,
     /// The number of bytes that were sent to the member.
     sent_bytes: usize,
-    /// Whether the last chunk was sent. An empty transfer has one, too.
+    /// Whether the last chunk was sent. An empty transfer consists of one empty chunk.
     sent_last_chunk: bool,
     /// When the member last reported progress.
     last_progress_at: u64,
@@ -81,7 +81,7 @@
         self.data.id.index
     }
 
-    /// Returns the position of that entry.
+    /// Returns the position up to which the member has the log once the transfer is complete.
     pub(crate) fn position(&self) -> LogPosition {
         self.data.id.position()
     }
--- a/crates/raft/src/tracker/progress.rs
+++ b/crates/raft/src/tracker/progress.rs
@@ -127,7 +127,8 @@
             }
         };
         self.next_index = index + 1;
-        // This is below the acknowledged index only if the member's disk has lost synced entries.
+        // `index` is below the acknowledged index only if the member's disk has lost synced
+        // entries.
         self.match_index = self.match_index.min(index);
         self.reset_sequence = sequence;
         self.inflights.clear();
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -1,6 +1,7 @@
 //! Records the observations of a run and checks the invariants against them.
 //!
-//! The world reports each observation to [`History`], which keeps the first check that fails as the run's violation.
+//! The simulated world reports each observation to [`History`], which keeps the first check that fails as the run's
+//! violation.
 //! Nothing here draws random numbers or affects the simulation.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,7 +17,7 @@
 /// The number of characters of a configuration that the text of a violation includes.
 const BODY_PREFIX_CHARACTERS: usize = 12;
 
-/// Counts what a run produced for the checks.
+/// Numbers of the observations that a run has checked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Commands acknowledged to operators.
@@ -76,7 +77,7 @@
 /// Everything that was committed, acknowledged, rejected and read so far.
 #[derive(Default)]
 pub(crate) struct History {
-    /// By term.
+    /// The election of each term.
     elections: BTreeMap<u64, Election>,
     /// Every entry that was written to any log, by index and term.
     written: BTreeMap<(u64, u64), Entry>,
@@ -91,7 +92,7 @@
     rejected: BTreeSet<CommandKey>,
     /// The newest index that any client has observed through an acknowledgement or a read.
     observed_index: u64,
-    /// Ordered by time.
+    /// The acknowledgements, ordered by time.
     acknowledgements: Vec<Acknowledgement>,
     /// The members as of the last committed membership change.
     members: Members,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Returns how much was checked so far.
+    /// Returns the numbers of the observations that were checked so far.
     pub(crate) fn counts(&self) -> Counts {
         self.counts
     }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// Runs one seed after the other until none is left or the deadline has passed.
+/// Runs the schedules of the remaining seeds one after the other, until none is left or the deadline has passed.
 #[expect(
     clippy::needless_pass_by_value,
     reason = "each thread drops its sender when it ends"
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -11,15 +11,16 @@
 
 /// The shortest delay of a message, in milliseconds.
 const MIN_DELAY_MS: u64 = 1;
-/// Delays are shorter than this, in milliseconds.
+/// The delay of a message is shorter than this, in milliseconds.
 const MAX_DELAY_MS: u64 = 25;
 /// The size of a message on the wire without its entries.
 const FRAME_BYTES: u64 = 120;
 /// The size of an entry that contains no command.
 const SMALL_ENTRY_BYTES: u64 = 32;
-/// A message that would wait longer than this for a low-bandwidth link is lost, as if its connection had been closed.
+/// A message that would wait longer than this many milliseconds for a low-bandwidth link is lost, as if its connection
+/// had been closed.
 const MAX_QUEUE_MS: u64 = 2000;
-/// A duplicate arrives less than this after the original, in milliseconds.
+/// A duplicate arrives less than this many milliseconds after the original.
 const MAX_DUPLICATE_DELAY_MS: u64 = 500;
 
 /// A direction of a link: the slots of the sender and the receiver.
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -4,15 +4,15 @@
 use control_plane::configuration::{Command, CommandOutcome};
 use oorandom::Rand64;
 
-/// How long an operator waits for a response before it tries another machine. In milliseconds, like all times below.
+/// How long an operator waits for a response before it tries another machine, in milliseconds.
 pub(crate) const RESPONSE_TIMEOUT_MS: u64 = 1000;
-/// A request without a definite response is abandoned after this time.
+/// A request without a definite response is abandoned after this time, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 20_000;
-/// The delay between two attempts at a request.
+/// The delay between two attempts at a request, in milliseconds.
 const RETRY_DELAY_MS: u64 = 60;
-/// The longest pause between two requests.
+/// The longest pause between two requests, in milliseconds.
 const MAX_PAUSE_MS: u64 = 1200;
-/// One in this many requests has a body that does not depend on the operator.
+/// On average, one in this many requests has a body that does not depend on the operator.
 const SHARED_BODY_ONE_IN: u64 = 8;
 
 /// A response from a control process.
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -127,9 +127,9 @@
     pub(crate) state: ReplicatedState,
     applied_index: u64,
     compaction_threshold: usize,
-    /// By log index.
+    /// The commands that this process has proposed, by log index.
     proposed_commands: BTreeMap<u64, ProposedCommand>,
-    /// By the token of the read request.
+    /// The requests that wait for their read index, by the token of the read request.
     pending_reads: BTreeMap<u64, PendingRead>,
     confirmed_reads: Vec<ConfirmedRead>,
     next_token: u64,
@@ -225,7 +225,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if self.raft.status().role != Role::Leader {
-            // The world fills in the leader's slot.
+            // `World::send_response` fills in the leader's slot.
             effects.push(Effect::Respond(caller, Response::NotLeader(None)));
             return;
         }
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -8,7 +8,8 @@
 /// How long a machine still counts as lost after its fault has ended, in milliseconds, because it needs time to catch
 /// up.
 pub const CATCH_UP_TIME_MS: u64 = 6000;
-/// The time without faults at the end of each schedule, in milliseconds. The liveness invariant must hold in it.
+/// The time without faults at the end of each schedule, in milliseconds. The liveness invariant must hold during that
+/// time.
 pub const QUIET_TIME_MS: u64 = 18_000;
 
 /// How many faults may coincide, and therefore when the deployment has to make progress.
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -27,7 +27,7 @@
 use crate::process::{Caller, Input};
 use crate::schedule::{Profile, QUIET_TIME_MS, Schedule};
 
-/// The maximum number of events in a run. The longest run has about a tenth of it.
+/// The maximum number of events in a run. The longest run has about a tenth as many.
 const MAX_EVENTS: u64 = 300_000;
 /// The number of operators.
 const OPERATORS: usize = 2;
@@ -37,7 +37,7 @@
 const FIRST_REQUEST_MS: u64 = 1000;
 /// The time at which the first read is sent.
 const FIRST_READ_MS: u64 = 1500;
-/// Members that join later have ids above this.
+/// The initial members have ids up to this, and members that join later have higher ones.
 const FOUNDER_ID_LIMIT: NodeId = 100;
 
 /// The result of a run.
@@ -47,7 +47,7 @@
     pub violation: Option<Violation>,
     /// A digest of the sequence of events.
     pub trace: u64,
-    /// How much was checked.
+    /// The numbers of the observations that were checked.
     pub counts: Counts,
     /// The number of events handled.
     pub events: u64,
@@ -143,7 +143,7 @@
     last_id: NodeId,
     /// Members whose disks are lost. For durability they count as having synced every entry.
     lost_members: BTreeSet<NodeId>,
-    /// The last time at which a fault began or ended.
+    /// The last time at which a fault began or ended, or a process started or resumed.
     last_disturbance_ms: u64,
     /// The last time at which a command was acknowledged.
     last_acknowledged_ms: u64,
--- a/crates/simulation/src/world/checks.rs
+++ b/crates/simulation/src/world/checks.rs
@@ -5,8 +5,8 @@
 use super::World;
 use crate::schedule::Profile;
 
-/// A command has to be acknowledged within this time after the last acknowledgement and the last begin or end of a
-/// fault.
+/// A command has to be acknowledged within this time after the last acknowledgement and the last disturbance, in
+/// milliseconds. See [`World::last_disturbance_ms`].
 const PROGRESS_TIMEOUT_MS: u64 = 14_000;
 
 impl World<'_> {
--- a/crates/standalone-proxy/src/config/limits.rs
+++ b/crates/standalone-proxy/src/config/limits.rs
@@ -13,11 +13,11 @@
 
 /// Descriptors reserved for uses other than client and upstream connections: standard streams, the event queue, the
 /// listener, the discovery watch and signals.
-const RESERVED_SOCKETS: usize = 24;
+const RESERVED_DESCRIPTORS: usize = 24;
 /// Minimum number of descriptors; fewer leave too few connections to serve requests.
-pub(super) const MIN_SOCKETS: usize = 4 * RESERVED_SOCKETS;
-/// Time for which connections are still accepted after SIGTERM. Whoever directs clients to this process needs a moment
-/// to notice the shutdown.
+pub(super) const MIN_DESCRIPTORS: usize = 4 * RESERVED_DESCRIPTORS;
+/// Time for which connections are still accepted after SIGTERM. The system that directs clients to this process needs
+/// time to notice the shutdown.
 const ACCEPT_GRACE: Duration = Duration::from_millis(500);
 /// Timeout for a request head, from the start of the connection or, on a kept-alive connection, from the first byte of
 /// the head. Together with the body timeout it is below the 3 s within which an incomplete request has to be answered.
@@ -40,16 +40,16 @@
     /// Returns the maximum number of connections to clients, and likewise to upstreams: half of the available
     /// descriptors each. Every attempt belongs to a client's request, so as long as clients are limited to their half,
     /// upstreams never need more than theirs.
-    fn sockets_per_side(&self) -> usize {
-        (self.max_sockets - RESERVED_SOCKETS) / 2
+    fn connections_per_side(&self) -> usize {
+        (self.max_descriptors - RESERVED_DESCRIPTORS) / 2
     }
 
     /// Returns the limits of the listener. Idle connections are closed once clients use more than a quarter of the
     /// descriptors. Draining takes up to `longest_deadline`, so that the last accepted request has its full deadline.
     pub(crate) fn listener_limits(&self, longest_deadline: Duration) -> ListenerLimits {
         ListenerLimits {
-            max_connections: self.sockets_per_side(),
-            idle_eviction_threshold: self.max_sockets / 4,
+            max_connections: self.connections_per_side(),
+            idle_eviction_threshold: self.max_descriptors / 4,
             max_header_bytes: MAX_HEADER_BYTES,
             timeouts: ClientTimeouts {
                 header: HEAD_TIMEOUT,
@@ -57,7 +57,7 @@
             },
             accept_grace: ACCEPT_GRACE,
             drain_timeout: longest_deadline,
-            // A request that started later would not have its full deadline.
+            // A request accepted during such a wait would not have its full deadline.
             final_request_wait: Duration::ZERO,
         }
     }
@@ -67,7 +67,7 @@
         let limits = &self.site.policy_limits;
         let report_names = self.site.stats.names.iter();
         PoolConfig {
-            max_connections: self.sockets_per_side(),
+            max_connections: self.connections_per_side(),
             keepalive: duration_or_default(limits.keepalive, DEFAULT_KEEPALIVE_MS),
             connect_timeout: duration_or_default(
                 limits.connect_timeout,
--- a/crates/standalone-proxy/src/config/mod.rs
+++ b/crates/standalone-proxy/src/config/mod.rs
@@ -10,7 +10,7 @@
 use crate::discovery::UpstreamList;
 
 /// Descriptor limit if the platform specifies none.
-const DEFAULT_SOCKETS: usize = 1024;
+const DEFAULT_DESCRIPTORS: usize = 1024;
 /// Memory limit in MiB if the platform specifies none.
 const DEFAULT_MEMORY_MB: usize = 192;
 
@@ -39,7 +39,7 @@
     BadAddress { name: &'static str, value: String },
     /// The descriptor limit is too low for client and upstream connections.
     #[error("a limit of {0} sockets is too low to serve requests")]
-    TooFewSockets(usize),
+    TooFewDescriptors(usize),
 }
 
 /// Contents of the configuration file. Other fields are ignored.
@@ -94,7 +94,7 @@
     /// Seed of the random number generator.
     pub(crate) seed: u64,
     /// Maximum number of open descriptors.
-    pub(crate) max_sockets: usize,
+    pub(crate) max_descriptors: usize,
     /// Memory limit in bytes.
     pub(crate) max_memory_bytes: usize,
     /// Last known list of upstreams, used until discovery responds.
@@ -118,16 +118,16 @@
         } else {
             file.discovery
         };
-        let max_sockets = file.limits.sockets.unwrap_or(DEFAULT_SOCKETS);
-        if max_sockets < limits::MIN_SOCKETS {
-            return Err(ConfigError::TooFewSockets(max_sockets));
+        let max_descriptors = file.limits.sockets.unwrap_or(DEFAULT_DESCRIPTORS);
+        if max_descriptors < limits::MIN_DESCRIPTORS {
+            return Err(ConfigError::TooFewDescriptors(max_descriptors));
         }
         Ok(Self {
             name: from_environment("LB_NAME", file.name),
             listen: parse_address("LB_LISTEN", from_environment("LB_LISTEN", file.listen))?,
             discovery: parse_address("LB_DISCOVERY", discovery)?,
             seed: key_hash(&file.seed.unwrap_or_default()),
-            max_sockets,
+            max_descriptors,
             max_memory_bytes: file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) << 20,
             last_known_upstreams: file.known,
             site: file.settings,
--- a/crates/standalone-proxy/src/discovery/list.rs
+++ b/crates/standalone-proxy/src/discovery/list.rs
@@ -20,6 +20,7 @@
     /// Whether this is the complete list, so that upstreams that are not in it have been removed.
     #[serde(default)]
     pub(crate) complete: bool,
+    /// The upstreams in the list, or the changed ones.
     #[serde(default, deserialize_with = "deserialize_valid_entries")]
     pub(crate) members: Vec<UpstreamEntry>,
 }
--- a/crates/standalone-proxy/src/discovery/watch.rs
+++ b/crates/standalone-proxy/src/discovery/watch.rs
@@ -31,8 +31,8 @@
 const IDLE_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Timeout for connecting, and for the response head.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Delay before a watch that is not on demand is reopened. Short because the discovery agent runs on the same machine,
-/// where requests cost little.
+/// Delay before a watch that is not on demand is reopened (see [`DiscoveryWatch`]). Short because the discovery agent
+/// runs on the same machine, where requests cost little.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(500);
 /// Maximum length of a line, which holds one list. A longer line is not from a valid discovery service.
 const MAX_LINE_BYTES: usize = 4 << 20;
@@ -83,7 +83,7 @@
     revision: u64,
     /// Number of the current connection.
     connection: u64,
-    /// Whether each watch is requested by the load balancer. Such watches send heartbeats.
+    /// Whether each watch is requested by the load balancer. Discovery sends heartbeats on such a watch.
     is_on_demand: bool,
     names: SiteNames,
     send_event: T,
@@ -143,7 +143,7 @@
             WatchMessage::Ended { connection } if connection == self.connection => {
                 self.on_ended().await;
             }
-            // Message of an earlier connection.
+            // Messages of earlier connections are ignored.
             WatchMessage::Updated { .. } | WatchMessage::Ended { .. } => {}
         }
     }
--- a/crates/standalone-proxy/src/main.rs
+++ b/crates/standalone-proxy/src/main.rs
@@ -61,7 +61,7 @@
 }
 
 async fn run() -> Result<(), StartError> {
-    // First of all, because without a handler SIGHUP ends the process.
+    // The handlers are installed first, because without a handler SIGHUP ends the process.
     let hangup = signal(SignalKind::hangup()).map_err(StartError::Hangup)?;
     let mut terminate = signal(SignalKind::terminate()).map_err(StartError::Terminate)?;
     let config = Config::read()?;
