--- a/crates/control-plane/src/command.rs
+++ b/crates/control-plane/src/command.rs
@@ -34,30 +34,31 @@
         /// The new `rev`, `upsert` and `remove` as JSON, exactly as received.
         body: String,
     },
-    /// An evacuation in the form written by builds before snapshot format 4. Still applied when a log contains it.
+    /// Begins an evacuation. Builds that wrote snapshot forms before form 4 wrote this command; it is still applied
+    /// when a log contains it.
     #[serde(rename = "Evacuate")]
     LegacyEvacuate {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
         /// Index of the last evacuation or return that the proposing server had applied. The command has no effect if
-        /// the state has changed since then.
+        /// another one has been applied since.
         #[serde(rename = "seen")]
         expected_index: u64,
     },
-    /// A return, which ends an evacuation, in the form written by builds before snapshot format 4. Still applied when a
-    /// log contains it.
+    /// Ends an evacuation. Written by the same builds as [`Self::LegacyEvacuate`], and still applied when a log
+    /// contains it.
     #[serde(rename = "Return")]
     LegacyReturn {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
-        /// As in [`Self::LegacyEvacuate`].
+        /// Has the same meaning as in [`Self::LegacyEvacuate`].
         #[serde(rename = "seen")]
         expected_index: u64,
     },
     /// Assigns ranges of a service's keys. Each change is applied or rejected on its own.
     #[serde(rename = "Place")]
     AssignKeys {
-        /// The service.
+        /// The name of the service.
         service: String,
         /// The changes; each contains the fencing token that it expects.
         changes: Vec<KeyRangeChange>,
@@ -65,9 +66,9 @@
     /// A step of the evacuation of a zone, or of its return.
     #[serde(rename = "Evacuation")]
     ZoneStep {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
-        /// The step.
+        /// The step to apply.
         step: EvacuationStep,
     },
 }
@@ -75,21 +76,21 @@
 /// The result of applying a command at its index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// It changed the state.
+    /// The command changed the state.
     Applied,
     /// An identical command, byte for byte, was applied before: this one was resent. Acknowledged like
     /// [`Self::Applied`].
     AlreadyApplied,
-    /// It is based on a revision other than the current one and was not applied before.
+    /// The command is based on a revision other than the current one, and was not applied before.
     RevisionMismatch {
         /// The current revision.
         current: u64,
     },
     /// A concurrent command changed the same zone or the same keys first. The caller decides again on the new state.
     Conflict,
-    /// It can never be applied.
+    /// The command can never be applied.
     Invalid(InvalidCommand),
-    /// It is too old: whether it was applied is no longer known. It must not be reported as rejected.
+    /// The command is too old: whether it was applied is no longer known. It must not be reported as rejected.
     Expired,
 }
 
--- a/crates/control-plane/src/configuration/amendment.rs
+++ b/crates/control-plane/src/configuration/amendment.rs
@@ -35,7 +35,7 @@
     /// The amendment names a list other than `routes` and `services`.
     #[error("{at}: expected `routes` or `services`")]
     UnknownList {
-        /// The unknown list.
+        /// The path of the unknown list.
         at: ListPath,
     },
     /// The names to remove, or the items to add, are not a JSON array.
--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -1,11 +1,13 @@
-//! Connections between our own processes. A control process dials every other one and sends messages only on the
-//! connections that it dialled. Balancers of the data plane dial control processes and watch for updates.
+//! Connections of a control process to other control processes (its *peers*) and to balancers of the data plane. A
+//! control process dials every peer and sends messages only on the connections that it dialled. Balancers dial control
+//! processes and watch for updates.
 //!
 //! **State.** Only the state of each open connection. Received messages are passed to [`ControlServer`].
 //!
-//! **Failures.** A caller that sends nothing, or accepts no data, for a few seconds is disconnected and has to dial
-//! again. A peer that does not answer is redialled indefinitely. Messages in flight are lost when a connection ends; a
-//! new connection begins with an introduction.
+//! **Failures.** A process that dialled this one is disconnected if it sends nothing, or accepts no data, for a few
+//! seconds; it has to dial again. A peer that does not answer is redialled indefinitely. Messages in flight are lost
+//! when a connection ends; on a new connection to a peer, the handshake is followed by all sessions and zone lists of
+//! the dialling process.
 
 mod dialer;
 mod watch_session;
@@ -24,7 +26,8 @@
 use self::watch_session::WatchSession;
 use crate::server::{ControlServer, SESSION_SYNC_INTERVAL};
 
-/// A caller that has sent no handshake after this time is disconnected. Callers send it immediately.
+/// An accepted connection on which no handshake has arrived after this time is closed. The dialling process sends it
+/// immediately.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2000);
 /// A peer that has been silent for this long, which is three missed heartbeats, is disconnected.
 const PEER_IDLE_TIMEOUT: Duration = SESSION_SYNC_INTERVAL.saturating_mul(3);
@@ -60,9 +63,9 @@
 /// Serves a connection from a peer or a balancer until it ends.
 ///
 /// # Errors
-/// Always returns the reason for the end: the caller hung up, was silent for too long, accepted no data, or violated
-/// the protocol (`Unsupported`: it uses another protocol version; `InvalidData`: the first message of a balancer was
-/// not a watch request).
+/// Always returns the reason for the end: the peer or balancer closed the connection, was silent for too long, accepted
+/// no data, or violated the protocol (`Unsupported`: it uses another protocol version; `InvalidData`: the first message
+/// of a balancer was not a watch request).
 pub async fn serve_connection(
     server: Rc<ControlServer>,
     mut stream: impl Stream,
@@ -78,7 +81,7 @@
     if *protocol_version != PROTOCOL_VERSION {
         tracing::warn!(
             protocol_version,
-            "disconnecting a caller that uses another protocol version"
+            "closing a connection from a process that uses another protocol version"
         );
         return Err(io::ErrorKind::Unsupported.into());
     }
--- a/crates/control-plane/src/connections/dialer.rs
+++ b/crates/control-plane/src/connections/dialer.rs
@@ -32,8 +32,8 @@
 /// Dials a peer and sends it messages; redials whenever the connection fails. Never returns.
 async fn keep_connected(server: Rc<ControlServer>, mut request: DialRequest) {
     loop {
-        // The peer has connected to this process, so it is reachable: redial instead of waiting for a dial that was
-        // started earlier.
+        // When the peer connects to this process, it is reachable: the dial in progress, which may still wait for a
+        // timeout, is abandoned and started again.
         let dialled = tokio::select! {
             dialled = connect(request.address) => dialled,
             () = request.connected.notified() => continue,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Introduces this process, then sends the messages from the queue until the connection ends.
+/// Sends the handshake and the introduction messages, then the messages from the queue, until the connection ends.
 async fn send_messages(
     server: &ControlServer,
     stream: TcpStream,
@@ -68,7 +68,8 @@
         node_id: server.id,
         control_node: server.control_node.clone(),
     };
-    // Messages queued so far are older than the introduction. Raft resends its own messages.
+    // Messages queued so far are discarded: the introduction messages contain newer state, and Raft resends its own
+    // messages.
     while queue.try_recv().is_ok() {}
     peer_writer::write_frame(&mut writer, &wire::encode_frame(&handshake)?).await?;
     // Reading detects that the peer has closed the connection; the peer never sends messages on it.
--- a/crates/control-plane/src/connections/watch_session.rs
+++ b/crates/control-plane/src/connections/watch_session.rs
@@ -1,8 +1,8 @@
-//! A session of a data-plane balancer, which reports the versions that it has and is sent what is newer.
+//! A session of a data-plane balancer. The balancer reports the versions that it has, and is sent newer ones.
 //!
 //! A balancer keeps two sessions with different control processes. The secondary one (`is_secondary`) delays updates
 //! briefly: by then most have arrived on the primary session, and the balancer has reported them. Quorum contact is
-//! checked immediately before anything is sent, because this process may have been suspended.
+//! checked immediately before anything is sent, because this process may have been suspended since the last check.
 
 use std::io;
 use std::rc::Rc;
@@ -23,10 +23,11 @@
 /// How long a new session waits for a majority to confirm the state before it reports that this process is out of
 /// contact. The balancer can then turn to another control process, which may be in contact.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The same if this process was out of contact before: the time that a majority across regions takes to answer.
+/// Replaces [`CONFIRM_TIMEOUT`] if this process was out of contact when the session opened. It is the time that a
+/// majority across regions takes to answer.
 const CONFIRM_TIMEOUT_OUT_OF_CONTACT: Duration = Duration::from_millis(250);
-/// How long a secondary session delays an update, so that it can arrive on the primary session and be reported here.
-/// Short compared with any bound on the delay of updates.
+/// How long a secondary session delays an update, so that it can arrive on the primary session and be reported here. It
+/// is short compared with every bound on the delay of updates.
 const SECONDARY_DELAY: Duration = Duration::from_millis(600);
 /// The capacity of the queue of received messages. While it is full, nothing more is read from the balancer.
 const QUEUE_MESSAGES: usize = 8;
@@ -44,16 +45,17 @@
     server: Rc<ControlServer>,
     id: SessionId,
     session: Session,
-    /// What the balancer has reported to have, or was sent since.
-    reported: WatchRequest,
+    /// The balancer's last report of what it has, updated with what it was sent since.
+    known: WatchRequest,
     opened_at: Instant,
     /// Whether everything that was acknowledged before the session opened is known to be applied here.
     is_confirmed: bool,
-    /// The quorum contact that was last reported to the balancer.
-    reported_contact: Option<bool>,
+    /// Whether this process was in quorum contact according to the last update or heartbeat. `None` before the first
+    /// one.
+    sent_contact: Option<bool>,
     /// When the last update or heartbeat was sent.
     sent_at: Instant,
-    /// Since when there has been an update to send. A secondary session delays it.
+    /// When the update that is now to be sent became due; `None` if there is none. A secondary session delays it.
     pending_since: Option<Instant>,
 }
 
@@ -70,10 +72,10 @@
             server,
             id,
             session,
-            reported: WatchRequest::default(),
+            known: WatchRequest::default(),
             opened_at: Instant::now(),
             is_confirmed: false,
-            reported_contact: None,
+            sent_contact: None,
             sent_at: Instant::now(),
             pending_since: None,
         }
@@ -127,7 +129,7 @@
         (self.session.ready, self.session.draining) = (request.ready, request.draining);
         self.server.update_session(self.id, self.session.clone());
         self.server.observe_zone_versions(&request.zone_versions);
-        self.reported = request;
+        self.known = request;
     }
 
     /// Waits, for a limited time, until everything that was acknowledged before the session opened is applied here.
@@ -152,30 +154,28 @@
     /// Returns what is due now: an update, a change of quorum contact, or a heartbeat.
     fn next_step(&mut self) -> Step {
         let in_contact = self.is_in_contact();
-        let mut new_reported = self.reported.clone();
+        let mut new_known = self.known.clone();
         let node = &self.session.balancer.node;
-        let mut update = self
-            .server
-            .watch_update(node, &mut new_reported, in_contact);
+        let mut update = self.server.watch_update(node, &mut new_known, in_contact);
         self.pending_since = update
             .as_ref()
             .map(|_| self.pending_since.unwrap_or_else(Instant::now));
         let delayed_until = self
             .pending_since
-            .filter(|_| self.reported.is_secondary)
+            .filter(|_| self.known.is_secondary)
             .map(|since| since + SECONDARY_DELAY);
         if delayed_until.is_some_and(|until| Instant::now() < until) {
             update = None;
         }
         let is_due = self.sent_at.elapsed() >= HEARTBEAT_INTERVAL;
-        if update.is_none() && self.reported_contact == Some(in_contact) && !is_due {
+        if update.is_none() && self.sent_contact == Some(in_contact) && !is_due {
             let heartbeat_at = self.sent_at + HEARTBEAT_INTERVAL;
             return Step::WaitUntil(delayed_until.map_or(heartbeat_at, |at| at.min(heartbeat_at)));
         }
         if update.is_some() {
-            (self.reported, self.pending_since) = (new_reported, None);
+            (self.known, self.pending_since) = (new_known, None);
         }
-        (self.sent_at, self.reported_contact) = (Instant::now(), Some(in_contact));
+        (self.sent_at, self.sent_contact) = (Instant::now(), Some(in_contact));
         Step::Send(Box::new(WatchUpdate {
             out_of_contact: !in_contact,
             ..update.unwrap_or_default()
--- a/crates/control-plane/src/discovery.rs
+++ b/crates/control-plane/src/discovery.rs
@@ -17,8 +17,8 @@
 use crate::server::ControlServer;
 
 /// How many times a zone is polled during the time that a draining upstream keeps serving.
-const REQUESTS_PER_DRAIN: u32 = 4;
-/// The lower bound of the drain time that the polling interval is derived from, in ms.
+const POLLS_PER_DRAIN: u32 = 4;
+/// The lower bound of the drain time from which the polling interval is derived, in ms.
 const MIN_DRAIN_MS: u64 = 400;
 /// The timeout of a call to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -71,7 +71,7 @@
     };
     let client = HttpClient::new(platform.addr);
     let drain_ms = server.settings.bounds.drain_ms.max(MIN_DRAIN_MS);
-    let interval = Duration::from_millis(drain_ms) / REQUESTS_PER_DRAIN;
+    let interval = Duration::from_millis(drain_ms) / POLLS_PER_DRAIN;
     loop {
         let next = Instant::now() + interval;
         for zone in server.managed_zones() {
--- a/crates/control-plane/src/evacuations.rs
+++ b/crates/control-plane/src/evacuations.rs
@@ -45,16 +45,17 @@
 /// Whether the caller may have received the acknowledgement of its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcknowledgementState {
-    /// Certainly not: no acknowledgement was written.
+    /// No acknowledgement was written, so the caller has certainly not received one.
     #[serde(rename = "Unwritten")]
     NotSent,
-    /// Possibly: this attempt has written the acknowledgement or is about to.
+    /// This attempt has written the acknowledgement or is about to, so the caller may have received it.
     #[serde(rename = "Written")]
     Sent(AcknowledgementAttempt),
-    /// Probably not: the acknowledgement was written, but the connection broke before the caller confirmed it.
+    /// The acknowledgement was written, but the connection broke before the caller confirmed it: the caller has
+    /// probably not received it.
     #[serde(rename = "Broken")]
     ConnectionBroken,
-    /// Accepted by a build before snapshot format 4, which did not record this.
+    /// The command was accepted by a build before snapshot form 4, which did not record acknowledgements.
     Unknown,
 }
 
@@ -68,8 +69,8 @@
         /// The evacuation to end.
         ends: CommandId,
     },
-    /// An attempt is about to send the acknowledgement, and may do so only if this step is applied. Thus only one of
-    /// several concurrent attempts does.
+    /// Reserves the acknowledgement for an attempt, which may send it only if this step is applied. Thus only one of
+    /// several concurrent attempts sends it.
     Acknowledge {
         /// The evacuation or return.
         #[serde(rename = "order")]
@@ -77,8 +78,8 @@
         /// The attempt.
         attempt: AcknowledgementAttempt,
     },
-    /// The caller has not received the acknowledgement of that attempt, or probably not: another attempt may
-    /// acknowledge.
+    /// Ends an attempt whose acknowledgement the caller has not received, or probably not. Another attempt may then
+    /// acknowledge the command.
     Withdraw {
         /// The evacuation or return.
         #[serde(rename = "order")]
@@ -88,13 +89,13 @@
         /// Whether the acknowledgement had been written before its connection broke.
         written: bool,
     },
-    /// The caller of a return has received the acknowledgement: a later return is a new one.
+    /// Records that the caller of a return has received the acknowledgement: a later return is a new one.
     Confirm {
         /// The return.
         #[serde(rename = "order")]
         command: CommandId,
     },
-    /// The returns up to this one are no longer resent.
+    /// Records that the returns up to this one are no longer resent.
     Expire {
         /// The last of these returns.
         last: CommandId,
@@ -113,14 +114,14 @@
 /// How to handle an evacuation or return call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// It is a new call: propose this step, and decide again once the step is applied.
+    /// The call is new: propose this step, and decide again once the step is applied.
     New(EvacuationStep),
-    /// It is a resent copy of this command, whose caller has not received an acknowledgement.
+    /// The call is a resent copy of this command, whose caller has not received an acknowledgement.
     Duplicate(CommandId),
-    /// It may be a resent copy of this command, whose caller may have received the acknowledgement: acknowledge it
-    /// without any effect.
+    /// The call may be a resent copy of this command, whose caller may have received the acknowledgement: acknowledge
+    /// it without any effect.
     PossibleDuplicate(CommandId),
-    /// It is a return, and the zone has no evacuation.
+    /// The call is a return, and the zone has no evacuation.
     NothingToReturn,
 }
 
@@ -228,7 +229,8 @@
         }
     }
 
-    /// Begins an evacuation, unless the zone has one that no caller can know to be accepted.
+    /// Begins an evacuation, unless the zone has one whose acknowledgement has not been sent: the call is then a copy
+    /// of that one.
     fn begin(&mut self, index: CommandId) -> bool {
         let applies = !has_unsent(&self.evacuations);
         if applies {
@@ -238,7 +240,8 @@
         applies
     }
 
-    /// Ends an evacuation, unless the zone has a return that no caller can know to be accepted.
+    /// Ends an evacuation, unless the zone has a return whose acknowledgement has not been sent: the call is then a
+    /// copy of that one.
     fn finish(&mut self, index: CommandId, ends: CommandId) -> bool {
         let applies = !has_unsent(&self.returns) && self.evacuations.remove(&ends).is_some();
         if applies {
--- a/crates/control-plane/src/http_api.rs
+++ b/crates/control-plane/src/http_api.rs
@@ -2,8 +2,8 @@
 //! `dir`.
 //!
 //! It owns no replicated state: calls that change something are passed to the
-//! [`ControlServer`](crate::server::ControlServer), and responses are built from its state. The JSON field names,
-//! status codes and texts are fixed by `crates/shorefront/tests/outside_view.rs`.
+//! [`ControlServer`](crate::server::ControlServer), and responses are built from its state. The test
+//! `crates/shorefront/tests/outside_view.rs` pins the JSON field names, status codes and texts.
 
 mod directory_api;
 mod operator_api;
--- a/crates/control-plane/src/http_api/directory_api.rs
+++ b/crates/control-plane/src/http_api/directory_api.rs
@@ -31,7 +31,7 @@
 use super::responses::raw_json_response;
 use crate::server::ControlServer;
 
-/// The part of `grace_s` for which an answer is valid. Some clients refresh only after three times the TTL, and all of
+/// The TTL of an answer as a fraction of `grace_s`. Some clients refresh only after three times the TTL, and all of
 /// them have to learn of a draining balancer within `grace_s`.
 const TTL_PER_GRACE: f64 = 1.0 / 3.0;
 /// The lower bound of the TTL of an answer.
@@ -43,7 +43,7 @@
 /// If the client's zone has fewer balancers than this, those of its region are listed too, so that the client has an
 /// alternative when one fails.
 const MIN_ZONE_BALANCERS: usize = 2;
-/// The `Retry-After` for clients when no balancer is ready.
+/// The `Retry-After` for clients when no balancer is ready: 1 s.
 const RETRY_AFTER: Span = Span(1_000_000);
 
 /// Answers the clients' look-ups.
--- a/crates/control-plane/src/key_leases.rs
+++ b/crates/control-plane/src/key_leases.rs
@@ -1,8 +1,8 @@
 //! Key leases. For services whose keys are sharded among their upstreams, the leader of the log assigns key ranges to
 //! upstreams, and grants and releases leases accordingly. `placement` plans without I/O; this module makes the calls.
 //!
-//! **State.** The plans of one term and the connections to upstreams, all in memory. A new leader plans anew from the
-//! replicated state, after all leases that its predecessor may have granted have expired.
+//! **State.** The plans of one term and the connections to upstreams, all in memory. A new leader makes new plans from
+//! the replicated state, after all leases that its predecessor may have granted have expired.
 //!
 //! **Failures.** An upstream that does not answer is assigned no keys for a while; one that has disappeared loses its
 //! keys when its lease expires. A leader that is partitioned off stops making calls after `LEADER_STALENESS_MS`.
@@ -27,7 +27,7 @@
 
 use crate::server::{ControlServer, ELECTION_TIMEOUT_MS, KnownUpstream};
 
-/// The duration of a lease, unless the platform allows only a shorter one. A lease that was renewed a third of this
+/// The duration of a lease, unless the setting `max_hold_ms` is lower. A lease that was renewed a third of this
 /// duration ago must outlast an election, which takes up to two election timeouts.
 const LEASE_MS: u64 = 5000;
 const _: () = assert!(LEASE_MS - LEASE_MS / 3 > 2 * ELECTION_TIMEOUT_MS);
@@ -35,11 +35,11 @@
 const GRANT_TIMEOUT_MS: u64 = 800;
 /// The timeout of a release, which is answered only when all work on the keys has ended.
 const RELEASE_TIMEOUT_MS: u64 = 3000;
-/// How long a leader keeps sending grants after a majority last confirmed it: a few heartbeats.
+/// How long a leader keeps making calls after a majority last confirmed it: a few Raft heartbeats.
 const LEADER_STALENESS_MS: u64 = 1000;
 /// The delay before a failed call is retried.
 const RETRY_INTERVAL_MS: u64 = 200;
-/// Keys are assigned once no new upstream has appeared for this long, which allows for two polls of the platform in
+/// Keys are assigned once no new upstream has appeared for this long. The time allows for two polls of the platform in
 /// each zone.
 const STABILIZATION_MS: u64 = 2500;
 /// The interval at which plans are updated.
@@ -65,7 +65,7 @@
     term: u64,
     /// Log index of the configuration that the list of services was taken from; 0 if there is none yet.
     config_index: u64,
-    /// By service.
+    /// The plans by service.
     plans: BTreeMap<String, ServicePlan>,
     /// Connections by upstream id.
     clients: BTreeMap<String, Rc<HttpClient>>,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Returns the connection to an upstream. It is reset when it is dropped.
+    /// Returns the connection to an upstream, which is reset when the last reference to it is dropped.
     fn client(&mut self, holder: &LeaseHolder) -> Rc<HttpClient> {
         self.clients
             .entry(holder.id.clone())
--- a/crates/control-plane/src/operator_client.rs
+++ b/crates/control-plane/src/operator_client.rs
@@ -38,8 +38,9 @@
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// For each body part of this size the timeout is extended by [`ATTEMPT_TIMEOUT`], to allow for slow links.
 const BODY_BYTES_PER_TIMEOUT: usize = 64 << 10;
-/// The initial and the maximum delay between two rounds over all addresses.
+/// The delay after the first round over all addresses. It doubles after each further round.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// The maximum delay between two rounds over all addresses.
 const MAX_BACKOFF: Duration = Duration::from_millis(1600);
 
 /// A call, which is sent unchanged in every attempt.
@@ -77,11 +78,11 @@
     }
 }
 
-/// Why there is no definite answer.
+/// The reason why a call got no definite answer.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
     /// [`OperatorClient::addresses`] is empty.
-    #[error("no control balancer address is known")]
+    #[error("no address of a control process is known")]
     NoAddress,
     /// There was no definite answer in time; the command may or may not have been applied.
     #[error(
@@ -115,7 +116,7 @@
 
 /// A client for the control processes.
 pub struct OperatorClient {
-    /// Their `ctl` addresses.
+    /// The `ctl` addresses of the control processes.
     pub addresses: Vec<SocketAddr>,
     /// How long a call is retried.
     pub timeout: Duration,
--- a/crates/control-plane/src/peer_writer.rs
+++ b/crates/control-plane/src/peer_writer.rs
@@ -1,5 +1,5 @@
-//! Writes messages to a peer. Raft messages take precedence over those about sessions and zones, without starving them.
-//! A slow link may take any time for its messages, as long as it never stalls.
+//! Writes messages to a peer. Raft messages take precedence over all others, but do not starve them. There is no limit
+//! on how long a slow link takes to transfer a message, as long as it keeps accepting data.
 //!
 //! **State.** The messages of one connection that were taken from the peer's queue but are not written yet. They are
 //! lost with the connection, and their content is sent again. Raft itself bounds its messages in flight: see
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-/// Writes the introduction, then the messages from the queue, until writing fails or the queue is closed.
+/// Writes the introduction messages, then the messages from the queue, until writing fails or the queue is closed.
 ///
 /// # Errors
 /// Always returns an error: one of [`write_frame`], or `BrokenPipe` if the queue is closed.
--- a/crates/control-plane/src/replicated_state.rs
+++ b/crates/control-plane/src/replicated_state.rs
@@ -4,7 +4,7 @@
 //! **State and owner.** [`ReplicatedState`] is the whole state on which the control processes agree. Each process holds
 //! a copy, which only [`ReplicatedState::apply`] changes, once per committed entry in log order, so copies that have
 //! applied the same entries are equal. A copy is rebuilt from a snapshot ([`crate::snapshot`]) and the entries after
-//! it. No I/O, no clock: peers and their failures have no influence here.
+//! it. This module does no I/O and reads no clock, so failures of peers have no influence on it.
 //!
 //! **Where resent commands are detected.**
 //!
@@ -22,7 +22,8 @@
 //! rejection is therefore written to the log (`ReplicatedState::is_final` tells which outcomes need that) and
 //! remembered until its base is outdated.
 //!
-//! **What may be lost.** Only what is described above: the digests of changes older than the remembered revisions.
+//! **What may be lost.** Only the digests of accepted changes older than the last [`MAX_REMEMBERED_REVISIONS`]. A copy
+//! of such a change gets no definite outcome, as described above.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::rc::Rc;
-use std::sync::mpsc as disk;
+use std::sync::mpsc as std_mpsc;
 use std::time::Duration;
 
 use data_plane::client_connections::ClientTimeouts;
@@ -48,8 +48,9 @@
 const RESERVED_FDS: usize = 300;
 /// The lower bound of the number of file descriptors available to callers.
 const MIN_CALLER_FDS: usize = 16;
-/// The callers' file descriptors are divided by this number to get the connection limit of each of the two listeners.
-const LISTENER_FD_SHARE: usize = 4;
+/// The number of file descriptors available to callers is divided by this to get the connection limit of each of the
+/// listeners `ctl` and `dir`.
+const LISTENER_FD_DIVISOR: usize = 4;
 
 /// An error that prevents a control process from starting or ends it.
 #[derive(Debug, thiserror::Error)]
@@ -89,7 +90,7 @@
 struct Persistence {
     id: NodeId,
     stored: PersistentState,
-    disk: disk::Sender<DiskRequest>,
+    disk: std_mpsc::Sender<DiskRequest>,
     /// Sequence numbers of synced writes. The channel closes when the disk fails.
     synced: mpsc::UnboundedReceiver<u64>,
     /// Keeps `synced` open in a process without a disk, where nothing is ever synced.
@@ -177,10 +178,10 @@
         })
     }
 
-    /// Creates the substitute for a process without a disk, which is not a member of the log and redirects callers to
-    /// its members.
+    /// Creates the substitute for a process without a disk, where nothing is written. Such a process is not a member of
+    /// the log, and redirects callers to its members.
     fn none() -> Self {
-        let (disk, _) = disk::channel();
+        let (disk, _) = std_mpsc::channel();
         let (synced_sender, synced) = mpsc::unbounded_channel();
         Self {
             id: random_id(),
@@ -292,7 +293,7 @@
 /// Returns the limits for each of the listeners `ctl` and `dir`.
 fn listener_limits(settings: &Settings) -> ListenerLimits {
     let caller_fds = settings.limits.max_fds.saturating_sub(RESERVED_FDS);
-    let max_connections = caller_fds.max(MIN_CALLER_FDS) / LISTENER_FD_SHARE;
+    let max_connections = caller_fds.max(MIN_CALLER_FDS) / LISTENER_FD_DIVISOR;
     ListenerLimits {
         max_connections,
         idle_eviction_threshold: max_connections / 2,
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -13,8 +13,8 @@
 //! **Guarantees.** A command's outcome is returned only after its entry is committed by a majority and applied here.
 //! Replicated state is read and served only in quorum contact.
 //!
-//! **Failures.** The sessions of a peer that is silent for 3 s are dropped, and it has to introduce itself again. A
-//! peer that restarts with a wiped disk has a new id and is treated as a new peer. Without a leader, commands end as
+//! **Failures.** The sessions of a peer that is silent for 3 s are dropped, and it has to reconnect. A peer that
+//! restarts with a wiped disk has a new id and is treated as a new peer. Without a leader, commands end as
 //! [`Indeterminate`].
 
 mod acknowledgement;
@@ -33,7 +33,7 @@
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::mpsc as disk;
+use std::sync::mpsc as std_mpsc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use data_plane::change_notifier::{ChangeNotifier, ChangeWatcher};
@@ -58,7 +58,7 @@
 };
 use crate::store::DiskRequest;
 
-/// The interval between the leader's heartbeats. Heartbeats cross regions, where traffic is billed by the byte.
+/// The interval between the Raft leader's heartbeats. They cross regions, where traffic is billed by the byte.
 const HEARTBEAT_INTERVAL_MS: u64 = 200;
 /// A member that receives nothing from a leader for a random time between this and twice this starts an election. It
 /// allows for two lost or late heartbeats.
@@ -74,11 +74,11 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// The log is compacted when it has more entries than this.
 pub(crate) const COMPACT_AFTER_ENTRIES: usize = 256;
-/// The log is compacted when the commands applied since the last compaction have more bytes than this: large
-/// configurations must not fill the disk while there are still few entries.
+/// The log is compacted when the commands applied since the last compaction have more bytes than this, because a few
+/// large configurations could otherwise fill the disk before the log has [`COMPACT_AFTER_ENTRIES`] entries.
 pub(crate) const COMPACT_AFTER_BYTES: usize = 2 << 20;
-/// The interval at which control processes send each other heartbeats, and all their sessions to peers that missed
-/// changes.
+/// The interval at which control processes send each other [`PeerMessage::Heartbeat`], and all their sessions to peers
+/// that missed changes. These heartbeats are independent of those of the Raft leader.
 pub const SESSION_SYNC_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// A request to connect to a peer.
@@ -94,7 +94,7 @@
 /// Channels through which a [`ControlServer`] requests work from its host.
 pub struct Channels {
     /// Writes for the disk, in order.
-    pub disk: disk::Sender<DiskRequest>,
+    pub disk: std_mpsc::Sender<DiskRequest>,
     /// Peers to connect to.
     pub dial: mpsc::UnboundedSender<DialRequest>,
     /// Errors after which this process can't continue.
@@ -151,7 +151,7 @@
     pub control_node: ControlNode,
     clock: Clock,
     state: RefCell<State>,
-    disk: disk::Sender<DiskRequest>,
+    disk: std_mpsc::Sender<DiskRequest>,
     fatal_errors: mpsc::UnboundedSender<FatalError>,
     changes: ChangeNotifier,
 }
@@ -159,7 +159,7 @@
 /// Why the outcome of a command is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Indeterminate {
-    /// Another process leads. Contains its address for peers, if known.
+    /// This process does not lead. Contains the address at which the leader listens for peers, if known.
     NotLeader(Option<SocketAddr>),
     /// No majority answered in time. The command may or may not have been applied.
     NoMajority,
--- a/crates/control-plane/src/server/acknowledgement.rs
+++ b/crates/control-plane/src/server/acknowledgement.rs
@@ -13,8 +13,8 @@
 use crate::configuration::Command;
 use crate::evacuations::{AcknowledgementAttempt, CommandId, EvacuationStep};
 
-/// An applied zone command whose caller may now get its acknowledgement. If it is dropped before the acknowledgement is
-/// written, the log records that none was sent.
+/// The acknowledgement of an applied zone command (an evacuation or a return). If it is dropped before
+/// [`Self::mark_sent`], the log records that it was not sent.
 pub struct Acknowledgement {
     server: Rc<ControlServer>,
     zone: String,
@@ -28,7 +28,7 @@
 }
 
 impl Acknowledgement {
-    /// Creates an acknowledgement, which counts as open for its zone until it is dropped.
+    /// Creates an acknowledgement. It counts as open for its zone until it is dropped.
     pub(super) fn open(
         server: Rc<ControlServer>,
         zone: &str,
--- a/crates/control-plane/src/server/commands.rs
+++ b/crates/control-plane/src/server/commands.rs
@@ -15,7 +15,8 @@
 use crate::configuration::{Command, CommandOutcome};
 use crate::evacuations::{CommandId, Decision, EvacuationStep};
 
-/// How long a caller waits for the answer to a zone command. A command may thus be this old when it arrives.
+/// How long a caller waits for the answer to an evacuation or a return (a *zone command*). A command may thus be this
+/// old when it arrives.
 pub const CALLER_WAIT: Duration = Duration::from_millis(1000);
 
 /// The time allowed for deciding on a zone command, which takes up to four rounds of replication.
@@ -105,7 +106,7 @@
             acknowledgement.abandon_attempt();
             return Ok(None);
         }
-        // Past the deadline the caller no longer listens: the acknowledgement is dropped, and thereby withdrawn.
+        // Past the deadline the caller no longer waits: the acknowledgement is dropped, and thereby withdrawn.
         if Instant::now() < deadline {
             Ok(Some(acknowledgement))
         } else {
@@ -155,7 +156,8 @@
     ) -> Decision {
         let mut resend_window = Duration::from_millis(self.settings.bounds.ack_ms);
         if !is_evacuation {
-            // For a return, the window starts at the last acknowledgement, which may be as late as the caller listens.
+            // For a return, the window starts at the last acknowledgement, which may be as late as the end of the time
+            // for which its caller waits.
             resend_window += CALLER_WAIT;
         }
         let mut state = self.state.borrow_mut();
--- a/crates/control-plane/src/server/contact.rs
+++ b/crates/control-plane/src/server/contact.rs
@@ -1,10 +1,10 @@
 //! Quorum contact, linearizable reads, and leadership.
 //!
 //! A control process is **in quorum contact** if, at some point within the last 2 s, it had applied everything that had
-//! been acknowledged anywhere by then. The leader proves this by a round of heartbeats that a majority has answered, a
-//! follower by the leader's answer to a request (Raft thesis, 6.4). Both count from the time of sending, on a clock
-//! that includes time during which the process was suspended. A check right after a suspension therefore finds the
-//! process out of contact.
+//! been acknowledged anywhere by then. The leader proves this by a round of Raft heartbeats that a majority has
+//! answered, a follower by the leader's answer to a request (Raft thesis, 6.4). Both count from the time of sending, on
+//! a clock that includes time during which the process was suspended. A check right after a long suspension therefore
+//! finds the process out of contact.
 //!
 //! Without a majority no process is in contact: reads fail, and balancers are told so. A process without a disk is not
 //! a member of the log and is never in contact; it only learns which process leads.
@@ -20,9 +20,9 @@
 use super::state::{PeerReadToken, Reader};
 use super::{ControlServer, ELECTION_TIMEOUT_MS, Indeterminate};
 
-/// How long the replicated state is served after the time at which it is known to have been complete. It allows for two
-/// contact requests that are lost or slow on a narrow link, and is far below the time within which a new configuration
-/// has to take effect.
+/// How long the replicated state is served after the last time at which it is known to have been up to date. It allows
+/// for two contact requests that are lost or slow on a narrow link, and is far below the time within which a new
+/// configuration has to take effect.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(2000);
 /// How long to wait for a majority to confirm the leader to which a caller is redirected: a few round trips across
 /// regions.
@@ -38,7 +38,8 @@
 pub struct ConfirmedLeadership {
     /// The term in which it leads.
     pub term: u64,
-    /// Uptime in ms at which it certainly led, confirmed by a majority.
+    /// Latest uptime in ms at which this process is known to have led, because a majority has answered what it sent
+    /// then.
     pub at_ms: u64,
 }
 
@@ -86,8 +87,8 @@
     }
 
     /// Waits until everything acknowledged before this call is applied here. Returns whether that happened within
-    /// `within`. Always false without a disk: a process without a disk once took the confirmation that a leader exists
-    /// for quorum contact and reported it to balancers, although it had none of the replicated state.
+    /// `within`. Always false without a disk: such a process has none of the replicated state. A process without a disk
+    /// once took the confirmation that a leader exists for quorum contact, and reported that contact to balancers.
     pub async fn wait_until_current(&self, within: Duration) -> bool {
         if !self.control_node.has_disk {
             return false;
--- a/crates/control-plane/src/server/log_driver.rs
+++ b/crates/control-plane/src/server/log_driver.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Returns the time until the next tick. It ends early for an election or a heartbeat that is due, which must not
-    /// be delayed by the rest of the interval.
+    /// Returns the time until the next tick. It is shorter than [`TICK_INTERVAL`] if an election or a Raft heartbeat is
+    /// due earlier, because neither may be delayed by the rest of the interval.
     fn time_to_next_tick(&self) -> Duration {
         let next_tick_at = self.state.borrow().log.node().next_tick_at();
         let remaining_ms = next_tick_at.saturating_sub(self.uptime_ms()).max(1);
@@ -106,12 +106,13 @@
         has_changed
     }
 
-    /// A closed channel means that the disk thread has ended; `run_disk_events` then returns, and the process ends.
+    /// Queues a write for the disk thread. Sending fails only if the thread has ended; `run_disk_events` then returns,
+    /// and the process ends.
     fn write_to_disk(&self, request: DiskRequest) {
         let _ = self.disk.send(request);
     }
 
-    /// A closed channel means that the process is already ending.
+    /// Reports an error that ends this process. Sending fails only if the process is already ending.
     fn report_fatal(&self, error: FatalError) {
         let _ = self.fatal_errors.send(error);
     }
--- a/crates/control-plane/src/server/membership.rs
+++ b/crates/control-plane/src/server/membership.rs
@@ -1,8 +1,8 @@
 //! This process's membership in the log: it asks to join, reports the state of the members, and hands over leadership
 //! before the process ends.
 //!
-//! A member that was removed while it was unreachable learns of this only from the leader that adds it again. It
-//! therefore asks to join while it is not a voter or knows no leader.
+//! A member that was removed while it was unreachable learns of this only from the leader that adds it again. A process
+//! therefore asks to join whenever it is not a voter or knows no leader.
 
 use std::time::Duration;
 
@@ -36,7 +36,8 @@
     pub report: Option<MembershipReport>,
 }
 
-/// Returns when members are removed, given the number of node losses to tolerate according to the settings.
+/// Returns the policy for removing members: the timeouts above, and the number of node losses to tolerate according to
+/// the settings.
 pub(super) fn policy(settings: &Settings) -> MembershipPolicy {
     MembershipPolicy {
         voter_removal_timeout_ms: VOTER_REMOVAL_TIMEOUT_MS,
--- a/crates/control-plane/src/server/peers.rs
+++ b/crates/control-plane/src/server/peers.rs
@@ -2,8 +2,8 @@
 //!
 //! Each process dials every other one and sends only on the connection that it opened (`connections`). The sessions of
 //! a peer that stays silent are dropped; the peer itself stays listed, and dialling continues. Messages that don't fit
-//! into a peer's queue are dropped: Raft resends its messages, sessions are later sent in full, zones are sent on
-//! request.
+//! into a peer's queue are dropped: Raft resends its messages, all sessions are sent with a later heartbeat, and zone
+//! lists are sent on request.
 
 use std::net::SocketAddr;
 
@@ -31,18 +31,18 @@
         }
     }
 
-    /// Records that a peer has connected and introduced itself.
+    /// Records that a peer has connected and sent its handshake.
     pub fn on_peer_connected(&self, id: NodeId, node: ControlNode) {
         self.state.borrow_mut().peers.on_connected(id, node);
     }
 
-    /// Handles a message from a peer. Returns whether the connection may continue: after too long a silence the peer
-    /// has to introduce itself again, because its sessions were dropped.
+    /// Handles a message from a peer. Returns whether the connection may continue: a peer that was silent for too long
+    /// has to reconnect, because its sessions were dropped.
     pub fn handle_peer_message(&self, from: SocketAddr, message: PeerMessage) -> bool {
         let has_returned = {
             let mut state = self.state.borrow_mut();
             match state.peers.on_message(from, Instant::now()) {
-                MessageAdmission::Refused => return false,
+                MessageAdmission::Rejected => return false,
                 MessageAdmission::Accepted => false,
                 MessageAdmission::AcceptedAfterSilence => {
                     state.sessions.invalidate_all();
@@ -57,7 +57,8 @@
         true
     }
 
-    /// Returns whether the peers' sessions have changed. Handlers notify watchers of any other change.
+    /// Passes a message to its handler. Returns whether the peers' sessions have changed; handlers notify watchers of
+    /// any other change.
     fn dispatch_peer_message(&self, from: SocketAddr, message: PeerMessage) -> bool {
         match message {
             PeerMessage::Raft(message) => self.with_raft_node(|node| node.step(message)),
@@ -156,8 +157,8 @@
         state.peers.broadcast_session_changes(&message);
     }
 
-    /// Sends all peers a heartbeat, peers that missed changes all sessions, and the leader the balancers' request
-    /// counts.
+    /// Sends a heartbeat to all peers, all sessions to the peers that missed changes, and the balancers' request counts
+    /// to the leader.
     pub(super) fn send_heartbeats(&self) {
         let leader = if self.control_node.has_disk {
             self.leader_address()
@@ -185,7 +186,8 @@
         }
     }
 
-    /// Returns the messages to send on a new connection. The peer may have missed anything before.
+    /// Returns the messages to send first on a new connection: all sessions of this process and all zone lists, because
+    /// the peer may have missed any earlier message.
     pub fn introduction_messages(&self) -> Vec<PeerMessage> {
         let mut messages = vec![self.sessions_message()];
         let state = self.state.borrow();
--- a/crates/control-plane/src/server/sessions.rs
+++ b/crates/control-plane/src/server/sessions.rs
@@ -21,8 +21,8 @@
 
     /// Records what a balancer reports of itself on its session.
     pub fn update_session(&self, id: SessionId, session: Session) {
-        let is_new = self.state.borrow_mut().sessions.update(id, session);
-        if is_new {
+        let has_changed = self.state.borrow_mut().sessions.update(id, session);
+        if has_changed {
             self.notify_changed();
         }
     }
@@ -54,9 +54,9 @@
         }
     }
 
-    /// Returns what a balancer that has `known` lacks, and updates `known` as if the balancer had received it. Out of
-    /// contact the update contains no replicated state and no smaller fleet, because missing balancers may merely be on
-    /// the other side of a partition.
+    /// Returns the changes since the versions in `known`, or `None` if there are none, and updates `known` as if the
+    /// balancer had received them. Out of contact the update contains no replicated state and no smaller fleet, because
+    /// missing balancers may merely be on the other side of a partition.
     pub fn watch_update(
         &self,
         node: &str,
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -5,7 +5,7 @@
 //! | --- | --- | --- |
 //! | [`ReplicatedLog`] | Raft node, replicated state, applied index | `server::log_driver` |
 //! | [`PendingCommands`] | callers that wait for a command's outcome | `server::commands`, `server::log_driver` |
-//! | [`ReadRequests`] | callers that wait for a read of the log | `server::contact`, `server::log_driver` |
+//! | [`ReadRequests`] | readers that wait for a read of the log | `server::contact`, `server::log_driver` |
 //! | [`QuorumContact`] | when this process was last known to be current | `server::contact` |
 //! | [`PeerRegistry`] | other control processes, and what they reported | `server::peers` |
 //! | [`SessionRegistry`] | sessions of the data plane with this process | `server::sessions` |
--- a/crates/control-plane/src/server/state/key_load_counts.rs
+++ b/crates/control-plane/src/server/state/key_load_counts.rs
@@ -6,8 +6,8 @@
 
 /// Request counts by service and key bucket, summed until they are taken.
 ///
-/// Invariant: each count is in one place only; taking the counts leaves none behind. Counts saturate. Counts held here
-/// are lost when the process fails; the leader then briefly plans with lower counts.
+/// Invariant: no request is counted by two processes, because taking the counts clears them here. Sums saturate. Counts
+/// held here are lost when the process fails; the leader then briefly plans with lower counts.
 #[derive(Default)]
 pub(crate) struct KeyLoadCounts {
     counts: BTreeMap<String, BTreeMap<u16, u16>>,
--- a/crates/control-plane/src/server/state/peer_registry.rs
+++ b/crates/control-plane/src/server/state/peer_registry.rs
@@ -27,7 +27,7 @@
 }
 
 struct Peer {
-    /// How the peer introduced itself; `None` until it has connected.
+    /// The peer's description of itself from its handshake; `None` until it has connected.
     node: Option<ControlNode>,
     queue: mpsc::Sender<PeerMessage>,
     /// Notifies the task that dials the peer.
@@ -36,9 +36,9 @@
     leader_hint: Option<LeaderHint>,
     /// The balancers' sessions with the peer, by node.
     sessions: BTreeMap<String, Session>,
-    /// A message about sessions did not fit into the queue, so all sessions are sent next.
+    /// Whether a message about sessions did not fit into the queue, so that all sessions have to be sent.
     missed_session_changes: bool,
-    /// The peer was silent for too long and its sessions were dropped: it has to introduce itself again.
+    /// Whether the peer was silent for too long, so that its sessions were dropped and it has to reconnect.
     is_expired: bool,
 }
 
@@ -47,7 +47,8 @@
         self.last_heard.is_some_and(|at| now < at + PEER_TIMEOUT)
     }
 
-    /// Drops the message if it doesn't fit: everything sent this way is either sent again later or may be lost.
+    /// Queues a message, or drops it if the queue is full: everything sent this way is either sent again later or may
+    /// be lost.
     fn send(&self, message: PeerMessage) {
         let _ = self.queue.try_send(message);
     }
@@ -60,13 +61,13 @@
     Accepted,
     /// Handle it. It is the first message of the peer, or the first after a silence, so its sessions count from now on.
     AcceptedAfterSilence,
-    /// Reject it: the peer has to introduce itself first.
-    Refused,
+    /// Reject it: the peer has to reconnect first.
+    Rejected,
 }
 
 /// The peers by address, and the address of each member of the log that has connected.
 ///
-/// Invariants: this process is never listed. For each peer, one dial request is sent, when the peer is added; peers are
+/// Invariants: this process is not among the peers. One dial request is sent for each peer, when it is added; peers are
 /// never removed. An expired peer has no sessions here. Only `server::peers` changes the registry; whoever changes
 /// sessions has to invalidate the merged list of the `SessionRegistry`. Everything is lost with the process: peers are
 /// found again through the seeds in the settings, the members of the log, and other peers.
@@ -121,7 +122,7 @@
         })
     }
 
-    /// Records that a peer has connected and introduced itself.
+    /// Records that a peer has connected and sent its handshake.
     pub(crate) fn on_connected(&mut self, id: NodeId, node: ControlNode) {
         let address = node.internal_addr;
         self.addresses.insert(id, address);
@@ -140,7 +141,7 @@
             return MessageAdmission::Accepted;
         };
         if peer.is_expired {
-            return MessageAdmission::Refused;
+            return MessageAdmission::Rejected;
         }
         let was_live = peer.is_live(now);
         peer.last_heard = Some(now);
--- a/crates/control-plane/src/server/state/quorum_contact.rs
+++ b/crates/control-plane/src/server/state/quorum_contact.rs
@@ -1,4 +1,5 @@
-//! The latest time at which this process is known to have applied everything that was acknowledged anywhere.
+//! The latest time at which this process is known, from reads, to have applied everything that was acknowledged
+//! anywhere.
 
 use std::time::Duration;
 
--- a/crates/control-plane/src/server/state/read_requests.rs
+++ b/crates/control-plane/src/server/state/read_requests.rs
@@ -1,4 +1,4 @@
-//! Callers that wait for a read of the log to be confirmed (Raft thesis, 6.4).
+//! Readers that wait for a read of the log to be confirmed (Raft thesis, 6.4).
 
 use std::net::SocketAddr;
 
@@ -60,11 +60,11 @@
 }
 
 impl ReadRequests {
-    /// Creates an empty set of readers. Tokens are numbered from the successor of `first_token`.
-    pub(crate) fn new(first_token: u64) -> Self {
+    /// Creates an empty set of readers. The first token is the successor of `last_token`.
+    pub(crate) fn new(last_token: u64) -> Self {
         Self {
             readers: FxHashMap::default(),
-            last_token: ReadToken(first_token),
+            last_token: ReadToken(last_token),
         }
     }
 
--- a/crates/control-plane/src/server/state/replicated_log.rs
+++ b/crates/control-plane/src/server/state/replicated_log.rs
@@ -23,16 +23,16 @@
     applied_index: u64,
     /// Bytes of the commands applied since the last compaction.
     uncompacted_bytes: usize,
-    /// Built once for all sessions, on first use.
+    /// The configuration in the form that is sent to balancers. It is built once for all sessions, on first use.
     compact_config: Option<Indexed<Arc<CompactConfig>>>,
     /// The leader at the time of the last log message about leadership.
     reported_leader: Option<NodeId>,
-    /// This process has become leader and has not yet announced it to its peers.
+    /// Whether this process has become leader and has not yet announced it to its peers.
     has_won_election: bool,
 }
 
 impl ReplicatedLog {
-    /// Creates a log of which nothing is applied.
+    /// Creates a log of which no entry is applied.
     pub(crate) fn new(node: RaftNode) -> Self {
         Self {
             node,
@@ -84,7 +84,7 @@
             .collect()
     }
 
-    /// Logs the leader if it has changed since the last call.
+    /// Logs the leader if it has changed since the last call, and records whether this process has become leader.
     pub(crate) fn report_leader_change(&mut self, own_id: NodeId) {
         let status = self.node.status();
         if status.leader == self.reported_leader {
--- a/crates/control-plane/src/server/state/session_registry.rs
+++ b/crates/control-plane/src/server/state/session_registry.rs
@@ -48,16 +48,16 @@
     pub(crate) fn update(&mut self, id: SessionId, session: Session) -> bool {
         let node = session.balancer.node.clone();
         let before = self.local.get(&node);
-        let is_new = before.is_none_or(|before| before.session != session);
+        let has_changed = before.is_none_or(|before| before.session != session);
         self.local
             .insert(node.clone(), LocalSession { id, session });
-        if is_new {
+        if has_changed {
             self.record_change(node);
         }
-        is_new
+        has_changed
     }
 
-    /// Ends a session. Returns whether the node has no session now; a later session of the node is kept.
+    /// Ends a session, unless the node has opened a later one. Returns whether the session was ended.
     pub(crate) fn end(&mut self, id: SessionId, node: &str) -> bool {
         let is_latest = self.local.get(node).is_some_and(|known| known.id == id);
         if is_latest {
@@ -99,7 +99,8 @@
         SessionChanges { changed, removed }
     }
 
-    /// Discards the merged list, because the peers' sessions have changed or different ones count.
+    /// Discards the merged list. Has to be called whenever a peer's sessions have changed or a peer has become
+    /// reachable.
     pub(crate) fn invalidate_all(&mut self) {
         self.all = None;
     }
--- a/crates/control-plane/src/server/state/zone_commands.rs
+++ b/crates/control-plane/src/server/state/zone_commands.rs
@@ -13,11 +13,12 @@
 
 /// What this process knows of zone commands in addition to the replicated state.
 ///
-/// Invariants: for every command in the replicated state that was part of a decision here, `resend_window_starts`
-/// contains a time not before the last one at which its caller can have started to wait for an answer. For a command of
-/// which this process knows no such time, the window starts when it is first considered. `open_acknowledgements` is
-/// exactly the number of existing `Acknowledgement`s. Changed by `server::commands` and by applied entries. If the
-/// process fails, another one decides and regards every command as recent, which is the safe assumption.
+/// Invariants: for every command in the replicated state that a decision here has considered, `resend_window_starts`
+/// contains a time that is not earlier than the last time at which the command's caller can have started to wait for an
+/// answer. If this process knows no such time, the window starts when the command is first considered.
+/// `open_acknowledgements` is exactly the number of existing `Acknowledgement`s. Changed by `server::commands` and by
+/// applied entries. If the process fails, another one decides and regards every command as recent, which is the safe
+/// assumption.
 #[derive(Default)]
 pub(crate) struct ZoneCommands {
     /// When an evacuation was applied, or when a return was last applied or acknowledged.
--- a/crates/control-plane/src/server/zones.rs
+++ b/crates/control-plane/src/server/zones.rs
@@ -85,8 +85,9 @@
                 let request = PeerMessage::ZoneSnapshotRequest { zone };
                 self.state.borrow().peers.send(from, request);
             }
-            // The update is stale, but names upstreams that were not known to drain. Its sender knew more, maybe as an
-            // earlier run of this process. The process that manages the zone sends its list again with this knowledge.
+            // The update is stale, but it lists these upstreams as draining, which was not known here: its sender,
+            // maybe an earlier run of this process, knew more. The process that manages the zone sends its list again,
+            // in which they are now draining.
             UpdateOutcome::Stale(ids) if !ids.is_empty() && self.is_zone_managed(zone) => {
                 self.change_zone(zone, |list| {
                     list.refresh_platform_list(uptime_ms, unix_ms, self.id)
--- a/crates/control-plane/src/snapshot.rs
+++ b/crates/control-plane/src/snapshot.rs
@@ -32,12 +32,12 @@
 const CURRENT_FORM: u32 = 4;
 /// The form with only the number of evacuations of each zone, and no state of their acknowledgements.
 const FORM_WITH_EVACUATION_COUNTS: u32 = 3;
-/// The form that additionally has no key ranges.
+/// The form that has neither those states nor key ranges.
 const FORM_WITHOUT_KEYS: u32 = 2;
 /// The number of accepted revisions that builds before form 4 remembered.
 const MAX_REMEMBERED_REVISIONS_BEFORE_FORM_4: usize = 1024;
 
-/// An error of encoding or decoding a snapshot.
+/// An error that occurred while encoding or decoding a snapshot.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
     /// The state can't be serialized.
--- a/crates/control-plane/src/store.rs
+++ b/crates/control-plane/src/store.rs
@@ -49,7 +49,7 @@
 const FILE_NAME: &str = "control.redb";
 /// The name to which a damaged file is renamed.
 const QUARANTINED_FILE_NAME: &str = "control.redb.damaged";
-/// The size of `redb`'s cache. It is meant to hold the whole file, which compaction keeps small.
+/// The size of `redb`'s cache. It is meant to hold the whole file, which compaction of the log keeps small.
 const CACHE_BYTES: usize = 2 << 20;
 
 /// Records by name: `format`, `id`, `vote` (term and vote), `snapshot`.
@@ -114,8 +114,8 @@
     }
 
     /// Opens the file at startup, and creates it if there is none. Verifies the checksums of all pages, because `redb`
-    /// verifies them during recovery but not when it reads. Also returns the contents, or `None` for a new file, which
-    /// has to be initialized.
+    /// verifies them during recovery but not when it reads. Returns the store and the file's contents, or `None` for a
+    /// new file, which has to be initialized.
     ///
     /// # Errors
     ///
--- a/crates/control-plane/src/store/error.rs
+++ b/crates/control-plane/src/store/error.rs
@@ -4,7 +4,7 @@
 
 use super::FORMAT;
 
-/// An error of accessing the control process's file.
+/// An error that occurred while accessing the control process's file.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The directory can't be created, read or synced, or a file in it can't be renamed.
--- a/crates/control-plane/src/store/tests/volatile_disk.rs
+++ b/crates/control-plane/src/store/tests/volatile_disk.rs
@@ -1,4 +1,4 @@
-//! A simulated disk that can lose power. Synced data is kept; of unsynced data, a random part.
+//! A simulated disk that can lose power. Synced data and a random part of the unsynced data are kept.
 
 use std::sync::{Arc, Mutex};
 
