--- a/crates/control-plane/src/configuration/validation.rs
+++ b/crates/control-plane/src/configuration/validation.rs
@@ -18,21 +18,21 @@
     /// Two services have the same name.
     #[error("service `{service}` stands twice")]
     DuplicateService {
-        /// The shared name.
+        /// The name that both services have.
         service: String,
     },
     /// `warmup_s` (seconds) or `warmup_per_s` (requests per second) is negative, infinite or NaN.
     #[error("service `{service}`: `warmup_s` and `warmup_per_s` are 0 or more")]
     InvalidWarmup {
-        /// The service.
+        /// Name of the service.
         service: String,
     },
     /// A route violates a rule.
     #[error("route `{route}`: {source}")]
     Route {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The violated rule.
+        /// The rule that the route violates.
         source: RouteError,
     },
 }
@@ -70,7 +70,7 @@
     /// The route names a service that the configuration doesn't contain.
     #[error("names the unknown service `{service}`")]
     UnknownService {
-        /// The unknown name.
+        /// Name of the unknown service.
         service: String,
     },
 }
--- a/crates/data-plane/src/listener/connection.rs
+++ b/crates/data-plane/src/listener/connection.rs
@@ -37,7 +37,7 @@
 /// How a connection stopped serving requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ConnectionEnd {
-    /// Regularly, after the last response.
+    /// Without an error, after the last response was sent.
     Finished,
     /// Because of invalid HTTP, a broken connection, or a client that disconnected while its request was open.
     Broken,
--- a/crates/data-plane/src/listener/delivery.rs
+++ b/crates/data-plane/src/listener/delivery.rs
@@ -6,11 +6,11 @@
 /// What the end of a connection reveals about the delivery of its last response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryStatus {
-    /// The client closed the connection regularly after the response, so it has read the response.
+    /// The client closed the connection after the response without resetting it, so it has read the response.
     Delivered,
     /// The connection broke.
     Broken,
-    /// The connection ended without either indication.
+    /// The connection ended without showing whether the client read the response.
     Unknown,
 }
 
--- a/crates/data-plane/src/runtime/tests.rs
+++ b/crates/data-plane/src/runtime/tests.rs
@@ -3,7 +3,8 @@
 use super::shutdown::EXIT_MARGIN;
 use super::*;
 
-/// Requests that are accepted later than this after SIGTERM would have to get a response whatever their upstream does.
+/// Time after SIGTERM by which the process must have stopped accepting requests. A client whose request is sent later
+/// and still accepted must get a response whatever the upstream does, which cannot be guaranteed.
 const MAX_ACCEPT_TIME: Duration = Duration::from_secs(3);
 
 #[test]
--- a/crates/load-balancing/src/fleet/ring.rs
+++ b/crates/load-balancing/src/fleet/ring.rs
@@ -1,10 +1,11 @@
-//! Points of the balancers on a ring of circumference 1.
+//! Places the balancers of a fleet on a ring of circumference 1, from which each selects its subset of the upstreams,
+//! and spreads their sends to an upstream in slow start over time.
 
 /// Fractional part of the golden ratio. Its multiples modulo 1 are spread evenly for any run of consecutive
 /// positions, and for every n-th position.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 
-/// Returns a balancer's point on the ring.
+/// Returns the point on the ring, 0 to 1, of the balancer at this position in the fleet.
 pub(crate) fn point(position: u32) -> f64 {
     (f64::from(position) * GOLDEN_RATIO_FRACTION).fract()
 }
--- a/crates/load-balancing/src/interface/settings.rs
+++ b/crates/load-balancing/src/interface/settings.rs
@@ -37,9 +37,11 @@
     pub late_value: f64,
     /// Effect of running a request more than once.
     pub effect: Effect,
-    /// The upstreams that together drop repeats of a keyed request.
+    /// The upstreams that deduplicate a keyed request together: once one of them has run it, none of them runs it again
+    /// within `dedup_window`.
     pub dedup_group: DedupGroup,
-    /// For how long they drop repeats, from the time at which the first attempt that may have run was sent.
+    /// For how long the dedup group drops repeated attempts of a keyed request, counted from when the first attempt
+    /// that may have run was sent.
     pub dedup_window: Span,
     /// The latency target grows by this multiple of a request's own work, up to the deadline.
     pub latency_target_stretch: f64,
@@ -183,9 +185,9 @@
     /// There are no load reports.
     #[default]
     None,
-    /// With answers and probes.
+    /// Answers to requests and to probes carry load reports.
     Answers,
-    /// With probes only.
+    /// Only answers to probes carry load reports.
     Probes,
 }
 
--- a/crates/load-balancing/src/policy/state/concurrency.rs
+++ b/crates/load-balancing/src/policy/state/concurrency.rs
@@ -7,26 +7,29 @@
 
 /// Highest concurrency that is tried.
 pub(in crate::policy) const MAX_CONCURRENCY: usize = 32;
-/// Weight, in answers, of the prior that a level has no more throughput than the one below it, as the paper assumes.
+/// Weight of the prior that a level has no more throughput than the one below it, as the paper assumes. In requests of
+/// mean work.
 const LEVEL_PRIOR_ANSWERS: f64 = 16.0;
-/// Number of answers after which the totals of a level are halved, so that old observations lose weight.
+/// The totals of a level are halved when its completed work exceeds this, so that old observations lose weight. In
+/// requests of mean work.
 const LEVEL_MEMORY_ANSWERS: f64 = 128.0;
-/// Answers needed at the level in use, per round, to compare other levels with it.
+/// Work that must be completed at the level in use before a round ends and other levels are compared with it. In
+/// requests of mean work.
 const ROUND_ANSWERS: f64 = 8.0;
-/// The lowest level with this share of the best throughput is used, since a higher one increases latency.
+/// The lowest level that reaches this share of the best throughput is used, since a higher one increases latency.
 const SUFFICIENT_THROUGHPUT_SHARE: f64 = 0.75;
 
 /// Observations of one level, that is, of one number of requests in flight at upstreams of one machine type.
 #[derive(Clone, Copy, Debug, Default)]
 struct ConcurrencyLevel {
-    /// In this round: time spent at the level, in microseconds.
+    /// Time spent at the level since the current round began, in microseconds.
     round_time: f64,
-    /// In this round: work completed at the level, in requests of mean work.
+    /// Work completed at the level since the current round began, in requests of mean work.
     round_work: f64,
-    /// In all rounds: work completed at the level.
+    /// Work completed at the level in all previous rounds, in requests of mean work; see [`LEVEL_MEMORY_ANSWERS`].
     total_work: f64,
-    /// In all rounds: work that the level in use would have completed in the same time. The ratio of both does not
-    /// change when all upstreams slow down together.
+    /// Work that the level in use would have completed in the time of `total_work`. The ratio of `total_work` to it is
+    /// the relative throughput of the level; it does not change when all upstreams slow down together.
     expected_work: f64,
 }
 
@@ -43,6 +46,7 @@
 pub(in crate::policy) struct ConcurrencyEstimate {
     /// The level in use.
     pub(in crate::policy) level: usize,
+    /// The observations, indexed by level.
     levels: Vec<ConcurrencyLevel>,
 }
 
@@ -106,7 +110,7 @@
 }
 
 impl ConcurrencyLevel {
-    /// Adds the round to the totals. `work_rate` is the work per microsecond at the level in use.
+    /// Adds the current round to the totals and resets it. `work_rate` is the work per microsecond at the level in use.
     fn fold_round(&mut self, work_rate: f64) {
         self.total_work += self.round_work;
         self.expected_work += self.round_time * work_rate;
